--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -1,12 +1,12 @@
-//! An instance without a disk: it keeps nothing, and sends others on.
+//! An instance without a disk: it stores nothing and forwards requests.
 //!
-//! A deployment may run the control program on more instances than have a
-//! disk. Such an instance must not take part: what it agreed to would be gone
-//! with its process. But it may be all that others know, since seeds name any
-//! instance that runs the program. Those that keep the log therefore announce
-//! themselves to every seed that is no member, and this instance passes that
-//! on: operators are redirected, entries are told where to ask, and an
-//! instance that lost its disk finds its cluster again.
+//! A deployment may run the control program on more instances than have a disk. Such an
+//! instance must not vote, since its state would be lost with its process. It may however
+//! be the only address that others have, because seeds can name any instance that runs
+//! the program. Instances that keep the log therefore announce themselves to every seed
+//! that is not a member, and this instance passes their addresses on: operators are
+//! redirected, entries receive the addresses of the control instances, and an instance
+//! that lost its disk finds its cluster again.
 
 use crate::internal::{self, CLUSTER_PATH, JOIN_PATH, MEMBER_PATH};
 use crate::settings::Settings;
@@ -32,28 +32,27 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Path of [`Announced`].
+/// Path on which instances send [`Announced`].
 pub const ANNOUNCE_PATH: &str = "/internal/announce";
-/// How long an instance is named that does not announce itself any more; a few
-/// of its intervals.
+/// How long an instance counts after its last announcement; a few announcement intervals.
 const KEPT: Duration = Duration::from_secs(4);
-/// Longest wait for an instance that a message is passed on to.
+/// Time-out for a forwarded message.
 const PASS_ON: Duration = Duration::from_millis(900);
-/// Shortest time between two answers to one entry that has no routes.
+/// Shortest time between two responses to an entry that has no routes.
 const PACE: Duration = Duration::from_millis(50);
 
-/// An instance that keeps the log, as it announces itself.
+/// Announcement of an instance that keeps the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announced {
-    /// Its cluster.
+    /// Id of its cluster.
     pub cluster: u128,
     /// Its internal address.
     pub internal: SocketAddr,
-    /// Its address for operators.
+    /// Address of its operator API.
     pub operators: SocketAddr,
 }
 
-/// Instances that announced themselves lately. Clones share them.
+/// Instances with a recent announcement. Clones share them.
 #[derive(Clone, Debug)]
 struct Known {
     seen: Arc<Mutex<Vec<(Announced, Instant)>>>,
@@ -91,23 +90,23 @@
         seen.iter().map(|(announced, _)| *announced).collect()
     }
 
-    /// Waits until there is one, `most` at the longest.
+    /// Waits up to `most` until at least one instance is known.
     async fn some(&self, most: Duration) {
         let mut heard = self.heard.subscribe();
         if self.all().is_empty() {
-            // Whether one came or not, the caller looks again.
+            // After a time-out the caller finds the list still empty.
             let _ = timeout(most, heard.changed()).await;
         }
     }
 
-    /// One of them, a different one each time.
+    /// Picks an instance in round-robin order.
     fn pick(&self) -> Option<Announced> {
         let all = self.all();
         let at = self.next.fetch_add(1, Ordering::Relaxed);
         all.get(at % all.len().max(1)).copied()
     }
 
-    /// Passes a message on until an instance answers it.
+    /// Forwards a message to each instance in turn until one answers.
     async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
     where
         M: Serialize + Sync,
@@ -129,7 +128,7 @@
 ///
 /// # Errors
 ///
-/// Text that says why the instance can't run.
+/// A message that names the address that can't be bound.
 pub async fn run(settings: Settings, drain: Drain) -> Result<(), String> {
     let bind = |address| async move {
         let bound = Listener::bind(address).await;
@@ -163,7 +162,7 @@
     Ok(())
 }
 
-/// Routes for the router's own processes. Every one needs the cluster key.
+/// Routes for other processes of the router; all require the cluster key.
 fn private(known: Known) -> Router {
     let secret = Arc::clone(&known.secret);
     let routes = Router::new()
@@ -190,7 +189,7 @@
     }
 }
 
-/// Tells an entry where to ask.
+/// Returns the addresses of the control instances to an entry.
 async fn routes(State(known): State<Known>, bytes: Bytes) -> Response {
     internal::serve(bytes, |follow: FollowRoutes| async move {
         if follow.known.is_some() {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,14 +1,13 @@
-//! The daemon that keeps what must survive: service documents, claims of
-//! non-idempotent requests, leases and fencing numbers.
+//! The control daemon: durable state of the router, that is, service documents, claims of
+//! non-idempotent requests, leases and fencing tokens.
 //!
-//! [`state`] is the replicated state machine: the same commands in the same
-//! order give the same state everywhere. [`replica`] drives the log
-//! ([`dogwoodhill_consensus`]) and the disk ([`dogwoodhill_store`]) and hands
-//! commands out once a majority has them. [`service`] is what requests see of
-//! it: any instance takes a request and passes it on to the leader where that
-//! is needed. Commands may be applied twice without harm, because a sender
-//! that lost an answer sends again: a document by its version, a claim and a
-//! lease by their holder.
+//! [`state`] is the replicated state machine: the same commands in the same order produce
+//! the same state on every instance. [`replica`] drives the log
+//! ([`dogwoodhill_consensus`]) and the disk ([`dogwoodhill_store`]) and applies commands
+//! once a majority has stored them. [`service`] is the entry point for requests: any
+//! instance accepts them and forwards them to the leader where needed. Commands are
+//! idempotent, because a sender that loses a reply sends again: a document is identified
+//! by its version, a claim and a lease by their holder.
 
 pub mod command;
 pub mod control;
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask a control instance.
+//! HTTP API for operators.
 
 use crate::command::{Acceptance, Action, Put, PutError, Reply};
 use crate::presence::Presence;
@@ -18,21 +18,21 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Largest document.
+/// Largest document, in bytes.
 const MAX_DOCUMENT: usize = 16 * 1024 * 1024;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone, Debug)]
 pub struct Outside {
-    /// The cluster.
+    /// Access to the cluster.
     pub service: Service,
-    /// Entries.
+    /// Entries that poll the cluster.
     pub presence: Presence,
     teams: Arc<KeyRing<TeamId>>,
 }
 
 impl Outside {
-    /// Offers the cluster to `teams`.
+    /// Handler state that authenticates requests with the keys of `teams`.
     pub fn new(service: Service, presence: Presence, teams: &[Team]) -> Self {
         let keys = teams
             .iter()
@@ -45,104 +45,104 @@
     }
 }
 
-/// Answer to `PUT`.
+/// Response to `PUT /v1/services/{service}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// What was accepted.
+    /// Also returned for a resend of the same document.
     pub accepted: Acceptance,
 }
 
-/// An error, as operators get it.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorText {
-    /// What happened, and the remedy.
+    /// What happened and how to resolve it.
     pub error: String,
-    /// Faults of a document, one by one.
+    /// Faults of a rejected document.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<String>,
-    /// The acceptance that won, where another one did.
+    /// The acceptance that the request conflicts with.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub won: Option<Acceptance>,
 }
 
-/// Answer to `PUT /v1/routes`.
+/// Response to `PUT /v1/routes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesAccepted {
-    /// Version in force now: the one sent, or a higher one.
+    /// Current version: the one sent, or a higher one.
     pub version: Version,
 }
 
 /// One version in a service's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Past {
-    /// The acceptance.
+    /// Who put the version in force, and when.
     pub accepted: Acceptance,
-    /// Text, where it is still kept.
+    /// Document text; only the newest versions retain it.
     pub text: Option<String>,
 }
 
-/// Answer to `GET /v1/status`.
+/// Response to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Name of the service documents' newest revision.
+    /// Revision of the newest service document.
     pub revision: Revision,
-    /// This instance.
+    /// Id of this instance, as 16 hexadecimal digits.
     pub node: String,
-    /// Its term.
+    /// Raft term of this instance.
     pub term: u64,
-    /// Whether it leads.
+    /// Whether this instance is the leader.
     pub leads: bool,
-    /// Whether it is in contact with a majority.
+    /// Whether this instance is in contact with a majority.
     pub contact: bool,
-    /// Entries that follow.
+    /// Number of entries that poll the cluster.
     pub entries: u32,
-    /// Claims kept.
+    /// Number of retained claims.
     pub claims: usize,
-    /// Bytes in the log.
+    /// Bytes in the log on disk.
     pub log_bytes: usize,
     /// Control instances.
     pub members: Vec<MemberStatus>,
-    /// Services.
+    /// Services, sorted by name.
     pub services: Vec<ServiceStatus>,
-    /// Duties of one holder.
+    /// Duties and their holders.
     #[serde(default)]
     pub duties: Vec<DutyStatus>,
-    /// Usage reports, where any window was ever fixed.
+    /// Usage reporting; `None` before the first window is committed.
     #[serde(default)]
     pub usage: Option<UsageStatus>,
 }
 
-/// A duty and who holds it, or held it last.
+/// A duty and its current or last holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// What it is.
+    /// Kind of duty.
     pub duty: String,
-    /// What it is about.
+    /// What the duty applies to; empty where there is only one.
     pub subject: String,
     /// Internal address of the holder.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing token of the holder.
     pub fence: Fence,
 }
 
-/// Usage reports.
+/// Progress of usage reporting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageStatus {
-    /// The first window whose counts are not fixed.
+    /// The first window whose counts are not committed.
     pub next: Window,
-    /// Windows that are fixed and not known to be reported. The newest one stays here until
-    /// the next is fixed.
+    /// Committed windows that are not known to be reported. The newest window stays here
+    /// until the next one is committed.
     pub owed: usize,
-    /// Windows that were owed for so long that they were given up.
+    /// Windows that were discarded unreported to bound the backlog.
     pub dropped: u64,
 }
 
-/// One control instance.
+/// A control instance that is a member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Id.
+    /// Instance id, as 16 hexadecimal digits.
     pub node: String,
-    /// Name.
+    /// Configured name.
     pub name: String,
     /// Internal address.
     pub address: String,
@@ -150,18 +150,18 @@
     pub voter: bool,
 }
 
-/// One service.
+/// The current document of one service, in brief.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Name.
+    /// Service name.
     pub service: ServiceId,
-    /// Version in force.
+    /// Version of the document.
     pub version: Version,
-    /// Its revision.
+    /// Revision at which that version was accepted.
     pub revision: Revision,
-    /// Owner.
+    /// Team that may change the document.
     pub owner: TeamId,
-    /// State.
+    /// Life-cycle state that the document declares.
     pub state: String,
 }
 
@@ -220,7 +220,7 @@
     }
 }
 
-/// Routes for operators.
+/// Routes of the operator API.
 pub fn routes(outside: Outside) -> Router {
     Router::new()
         .route("/v1/services/{service}", get(current).put(put))
@@ -241,7 +241,7 @@
         team.ok_or(Refused::Key)
     }
 
-    /// The documents, as a majority has them now.
+    /// The documents, confirmed by a majority.
     async fn documents(&self) -> Result<Arc<Documents>, Refused> {
         let confirmed = self.service.confirm().await;
         confirmed.map_err(|_| Refused::NoMajority)?;
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -1,8 +1,8 @@
-//! The route set: accepting it from operators, handing it to entries.
+//! The route set: accepting it from operators and serving it to entries.
 //!
-//! A set is checked before it enters the log, and refused there and then; the
-//! log itself keeps it as the text that was sent, so that a read returns what
-//! was written. The state machine lets the highest version win.
+//! A set is validated before it enters the log. The log stores the text as it was sent,
+//! so a read returns exactly what was written. The state machine keeps the set with the
+//! highest version.
 
 use crate::command::{Action, Reply};
 use crate::presence::Presence;
@@ -19,34 +19,34 @@
 use http::StatusCode;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest poll that is taken.
+/// Upper bound on the wait that a caller can request.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Why a route set was not accepted or could not be read.
+/// Why a route set could not be accepted or read.
 #[derive(Debug, Display, Error)]
 pub enum RoutesError {
-    /// The set is unusable, and nothing changed.
+    /// The set is invalid; nothing has changed.
     #[display("{source}")]
     Invalid {
-        /// Why.
+        /// First fault of the set.
         source: Invalid,
     },
-    /// Whether the set is in force is not known.
+    /// No majority answered; the set may or may not have taken effect.
     #[display("no majority confirmed in time; send the same set again")]
     NoMajority,
-    /// The set in force can't be unpacked.
+    /// The current set can't be decompressed.
     #[display("{source}")]
     Unreadable {
-        /// Why.
+        /// Cause reported by the decoder.
         source: PackError,
     },
-    /// No set was accepted yet.
+    /// No set has been accepted yet.
     #[display("no route set was accepted yet; send one")]
     Empty,
 }
 
 impl RoutesError {
-    /// The HTTP status that tells an operator of it.
+    /// Status code of the HTTP response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Invalid { .. } => StatusCode::BAD_REQUEST,
@@ -58,11 +58,13 @@
 }
 
 impl Service {
-    /// Puts a route set in force and returns the version in force now.
+    /// Submits a route set and returns the current version, which may be higher than the
+    /// one submitted.
     ///
     /// # Errors
     ///
-    /// [`RoutesError`].
+    /// [`RoutesError::Invalid`] if the set fails validation, [`RoutesError::NoMajority`]
+    /// if no majority confirms it in time.
     pub async fn put_routes(
         &self,
         format: &dyn SetFormat,
@@ -89,11 +91,12 @@
         outcome
     }
 
-    /// The text of the route set in force, as a majority has it now.
+    /// The text of the current route set, confirmed by a majority.
     ///
     /// # Errors
     ///
-    /// [`RoutesError`].
+    /// [`RoutesError::NoMajority`], [`RoutesError::Empty`] or
+    /// [`RoutesError::Unreadable`].
     pub async fn get_routes(&self) -> Result<Vec<u8>, RoutesError> {
         let confirmed = self.confirm().await;
         confirmed.map_err(|_| RoutesError::NoMajority)?;
@@ -113,8 +116,8 @@
 ///
 /// # Errors
 ///
-/// [`Unable::NoMajority`] where an entry without a set asks and this instance
-/// can't confirm that the one it has is the newest.
+/// [`Unable::NoMajority`] if the entry has no set and this instance can't confirm that
+/// its own is current.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
@@ -128,7 +131,7 @@
     let end = Instant::now() + follow.wait.min(MAX_WAIT);
     let mut routes = replica.routes.clone();
     let newer = |sets: &Sets| sets.version() > follow.known;
-    // Whether one came or not, the answer says what there is.
+    // On a time-out, the response repeats the version that the entry already has.
     let _ = timeout_at(end, routes.wait_for(newer)).await;
     news(replica, presence, &follow)
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,4 +1,5 @@
-//! What requests see of the cluster: any instance takes them.
+//! Access to the cluster from any instance: requests are forwarded to the leader where
+//! needed.
 
 use crate::command::{Action, Reply};
 use crate::replica::Replica;
@@ -10,16 +11,16 @@
 use serde::de::DeserializeOwned;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Path of an [`Action`] for the leader.
+/// Path on which the leader accepts an [`Action`].
 pub const SUBMIT_PATH: &str = "/internal/submit";
-/// Path of a read's confirmation by the leader.
+/// Path on which the leader confirms a read.
 pub const CONFIRM_PATH: &str = "/internal/confirm";
-/// Longest time a request is tried before it is answered with no majority.
+/// Longest time for which a request is retried.
 pub const PATIENCE: Duration = Duration::from_secs(2);
 /// Pause between tries while there is no leader.
 const PAUSE: Duration = Duration::from_millis(40);
 
-/// The cluster as one instance offers it. Clones share it.
+/// The cluster as seen from one instance. Clones share the replica and the connections.
 #[derive(Clone, Debug)]
 pub struct Service {
     replica: Replica,
@@ -27,22 +28,23 @@
 }
 
 impl Service {
-    /// Offers the cluster through `replica`.
+    /// A service that submits commands through `replica` or, if another instance leads,
+    /// through `caller`.
     pub fn new(replica: Replica, caller: Caller) -> Self {
         Self { replica, caller }
     }
 
-    /// The instance's own replica.
+    /// The replica of this instance.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Runs a command on the cluster. It is sent again while there is no
-    /// leader, which is safe since commands may be applied twice.
+    /// Submits a command to the cluster. It is resent while there is no leader, which is
+    /// safe since commands are idempotent.
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`PATIENCE`]; the command may be in force.
+    /// [`Unable::NoMajority`] after [`PATIENCE`]; the command may have taken effect.
     pub async fn submit(&self, action: &Action) -> Answered<Reply> {
         let end = Instant::now() + PATIENCE;
         loop {
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Waits until this instance's state contains everything that was
-    /// committed when the call began.
+    /// Waits until the state of this instance contains everything that was committed when
+    /// the call began.
     ///
     /// # Errors
     ///
@@ -90,7 +92,7 @@
         reached.map(|_| index).map_err(|_| Unable::NoMajority)
     }
 
-    /// Passes a message on to the leader.
+    /// Forwards a message to the leader.
     pub(crate) async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
     where
         M: Serialize + Sync,
--- a/crates/control/src/sets.rs
+++ b/crates/control/src/sets.rs
@@ -1,24 +1,24 @@
 //! Route sets that entries may be fetching.
 //!
-//! An entry fetches a set in pieces and completes the one it began, so an instance
-//! keeps some that newer ones have replaced.
+//! An entry fetches a route set in pieces and completes the set it began, so an instance
+//! retains some sets that newer ones have replaced.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::routes::HeldRoutes;
 use std::sync::Arc;
 
-/// Sets that are kept: changes that follow one another within some ten milliseconds
-/// come in series of a few dozen, and a transfer outlasts a few of them.
+/// Changes within some 10 ms of each other come in series of a few dozen, and a transfer
+/// outlasts a few of them.
 const MOST: usize = 8;
-/// Bytes that the replaced ones may have together; an instance has 88 MB.
+/// Bound on the total size of the replaced sets; an instance has 88 MB of memory.
 const MOST_BYTES: usize = 4 * 1024 * 1024;
 
-/// The newest set and some before it, oldest first. Clones share the texts.
+/// The newest route set and some previous ones, oldest first. Clones share the contents.
 #[derive(Clone, Debug, Default)]
 pub struct Sets(Vec<Arc<HeldRoutes>>);
 
 impl Sets {
-    /// Takes a set in, if it is newer than all. Returns whether it is.
+    /// Adds a set if it is newer than all others. Returns whether it was added.
     pub fn take(&mut self, held: Option<&Arc<HeldRoutes>>) -> bool {
         let Some(held) = held.filter(|held| Some(held.version) > self.version()) else {
             return false;
@@ -33,17 +33,17 @@
         true
     }
 
-    /// The newest one.
+    /// The set with the highest version.
     pub fn newest(&self) -> Option<&Arc<HeldRoutes>> {
         self.0.last()
     }
 
-    /// Version of the newest one.
+    /// The highest version.
     pub fn version(&self) -> Option<Version> {
         self.newest().map(|held| held.version)
     }
 
-    /// The one of this version.
+    /// The set with this version, if it is still retained.
     pub fn find(&self, version: Version) -> Option<&Arc<HeldRoutes>> {
         let found = self.0.binary_search_by_key(&version, |held| held.version);
         found.ok().map(|at| &self.0[at])
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control instance.
+//! Settings of a control instance and their parsing from JSON with comments.
 
 use crate::reporter::{CALL_TIMEOUT, DUTY, UsageSettings};
 use dogwoodhill_core::keys::KeyHash;
@@ -9,98 +9,91 @@
 use tokio::sync::watch;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Entries in the log after which it is compacted.
 const DEFAULT_COMPACT: u64 = 2_000;
-/// How long connections are still accepted after a drain began.
 const DEFAULT_LINGER: Duration = Duration::from_secs(1);
 
-/// Lease of a duty.
 const DEFAULT_LEASE: Duration = Duration::from_secs(3);
-/// Time after a lease in which its holder may still act on it.
+/// Time after its lease for which a holder that was suspended may still act on it.
 const DEFAULT_SLACK: Duration = Duration::from_millis(300);
-/// Calls to the platform in a second: far more than a report a window.
+/// A holder sends one report per usage window, so the limit only matters for catching up.
 const DEFAULT_CALLS: f64 = 10.0;
 
-/// A team of operators.
+/// A team of operators and the keys that authenticate it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Name, as documents' `owner` writes it.
+    /// Matched against `owner` in service documents.
     pub name: TeamId,
-    /// Hashes of its keys.
+    /// A request with any of these keys acts for the team.
     pub keys: Vec<KeyHash>,
 }
 
-/// How an instance without state comes to be.
+/// How an instance finds or creates its cluster at start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Start {
-    /// It has state already.
+    /// Restarts with the state in its data folder.
     #[default]
     Again,
-    /// It is the first one of a new cluster.
+    /// Creates a new cluster with itself as the first member.
     Bootstrap,
-    /// It joins the cluster its peers belong to.
+    /// Joins the cluster that its peers belong to.
     Join,
-    /// The seeds decide: see [`Seeds`].
+    /// Creates or joins a cluster as [`Seeds`] describes.
     Seeded,
 }
 
-/// Addresses that every instance is given alike, for deployments in which
-/// nobody names the first instance.
+/// Addresses that are configured identically on every instance, for deployments in which
+/// no instance is designated as the first.
 ///
-/// While the deployment starts for the first time, the instance with the
-/// lowest of the seeds' addresses founds the cluster and the others join it.
-/// Two can't found, since all are given the same seeds. Later an instance
-/// without state joins through whichever seed answers, and takes the place of
-/// one that is gone.
+/// During the first start of a deployment, the instance with the lowest seed address
+/// creates the cluster and the others join it. Since all instances have the same seeds,
+/// no two of them create a cluster. Later, an instance without state joins through any
+/// seed that answers and takes the place of a failed member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seeds {
-    /// Internal addresses of some instances; may name this one.
+    /// Internal addresses of some instances; may include this one.
     pub addresses: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time.
+    /// Whether the whole deployment is starting for the first time.
     pub founding: bool,
 }
 
 /// Settings of a control instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the instance; a replacement of a lost one has the same.
+    /// Name of the instance; a replacement for a failed instance reuses it.
     pub name: String,
-    /// Address for operators.
+    /// Address of the operator API.
     pub listen: SocketAddr,
-    /// Address for the router's own processes.
+    /// Address for calls from other processes of the router.
     pub internal: SocketAddr,
     /// Internal addresses of the other control instances.
     pub peers: Vec<SocketAddr>,
-    /// Seeds, in place of peers.
+    /// Used in place of `peers`.
     pub seeds: Seeds,
-    /// Losses at the same time that no acknowledged change may be lost by.
-    /// Changes are refused until twice as many voters and one more are there.
-    /// Default 0.
+    /// Number of simultaneous instance losses that acknowledged changes survive. Changes
+    /// are refused while there are fewer than `2 * losses + 1` voters. Default 0.
     pub losses: usize,
-    /// Data folder; empty on an instance without a disk, which only sends
-    /// others on.
+    /// Data folder; empty on an instance without a disk, which only forwards requests.
     pub data: PathBuf,
-    /// Key shared by the router's processes.
+    /// Cluster key, shared by all processes of the router.
     pub secret: String,
     /// Teams that may change documents.
     pub teams: Vec<Team>,
-    /// Log entries after which the log is compacted. Default 2,000: replaying
-    /// them takes a fraction of a second, and a snapshot is written seldom.
+    /// Log entries after which the log is compacted. With the default of 2,000, replay
+    /// takes a fraction of a second and snapshots are rare.
     pub compact: u64,
-    /// How long connections are still accepted after a drain began. Default
-    /// 1 s.
+    /// How long connections are still accepted after a drain has begun. Default 1 s.
     pub linger: Duration,
-    /// How usage is reported, where that is one of the instance's duties.
+    /// Usage reporting; `None` where it is not among the instance's duties.
     pub usage: Option<UsageSettings>,
-    /// How an instance without state comes to be; from the command line.
+    /// Set on the command line.
     pub start: Start,
-    /// Addresses of other instances, as they change while the instance runs;
-    /// `None` where they don't.
+    /// Addresses of other instances as they change at run time; `None` where they are
+    /// fixed.
     pub known: Option<watch::Receiver<Vec<SocketAddr>>>,
 }
 
 impl Settings {
-    /// Settings with defaults, on free ports of loopback.
+    /// Default settings, with listeners on free loopback ports.
     pub fn new(name: String, data: PathBuf) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
@@ -121,17 +114,17 @@
         }
     }
 
-    /// Addresses of other instances, as they change.
+    /// Addresses of other instances as they change at run time.
     pub(crate) fn known(&self) -> watch::Receiver<Vec<SocketAddr>> {
         let fixed = || watch::channel(crate::control::addresses(self)).1;
         self.known.clone().unwrap_or_else(fixed)
     }
 
-    /// Reads settings from JSON with comments.
+    /// Parses settings from JSON with comments.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// All faults of the text, not only the first.
     pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
         Text::read(file, source, read)
     }
@@ -165,7 +158,8 @@
     settings
 }
 
-/// The duties and how they are done. One that is not known is left to whoever knows it.
+/// Reads the duties and their settings. An unknown duty is logged and skipped, since
+/// another program may perform it.
 fn usage(s: &mut Section<'_, '_>) -> Option<UsageSettings> {
     let duties = s.texts("duties");
     for duty in duties.iter().filter(|duty| *duty != DUTY) {
@@ -191,8 +185,8 @@
     let within = s.duration("within", SECOND..=86_400 * SECOND, Some(2 * window));
     let lease = s.duration("lease", SECOND / 10..=3_600 * SECOND, Some(DEFAULT_LEASE));
     let slack = s.duration("slack", Duration::ZERO..=60 * SECOND, Some(DEFAULT_SLACK));
-    // Where fencing numbers are not checked, a call may be carried out for as long as
-    // somebody waits for its answer.
+    // A platform that does not check fencing tokens may still process a call until the
+    // caller stops waiting for its response.
     let checked = s.flag("fenced", false);
     let late = if checked {
         Duration::ZERO
@@ -213,7 +207,7 @@
 
 fn seeds(s: &mut Section<'_, '_>) -> Seeds {
     let mut addresses = s.addresses("seeds");
-    // 0: the seeds' own ports.
+    // 0 keeps the ports given in `seeds`.
     let port = s.count("seed_port", 0..=65_535, Some(0)) as u16;
     for address in addresses.iter_mut().filter(|_| port > 0) {
         address.set_port(port);
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -1,4 +1,4 @@
-//! Answering long polls.
+//! Long polls for document changes.
 
 use crate::presence::Presence;
 use crate::replica::Standing;
@@ -10,19 +10,19 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest poll that is taken.
+/// Upper bound on the wait that a caller can request.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// How long this instance may be out of contact before it sends its polls
-/// elsewhere; longer than an election usually takes.
+/// How long this instance may be out of contact before it fails waiting polls, so that
+/// callers try another instance; longer than a typical election.
 const CONTACT_LOSS: Duration = Duration::from_secs(2);
 
 /// Answers one poll.
 ///
 /// # Errors
 ///
-/// [`Unable::NoMajority`] where this instance can't confirm that it knows all
-/// that was accepted, or loses contact while the poll waits: the daemon then
-/// asks another one.
+/// [`Unable::NoMajority`] if this instance can't confirm that its state is current, or if
+/// it loses contact with the cluster while the poll waits. The caller then tries another
+/// instance.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
@@ -67,8 +67,8 @@
     }
 }
 
-/// What an agent needs of its service's document: everything but workspaces
-/// and the other endpoints.
+/// The part of the service's document that an agent needs: workspaces and the endpoints
+/// of other agents are left out.
 fn own_part(documents: &Documents, watch: &Watch) -> Vec<News> {
     let history = watch
         .service
@@ -88,7 +88,7 @@
     })]
 }
 
-/// Ends once contact has been lost for [`CONTACT_LOSS`] without a break.
+/// Completes once contact has been lost for [`CONTACT_LOSS`] without interruption.
 async fn lost_contact(mut standing: Receiver<Standing>) {
     loop {
         if standing
