--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -168,14 +168,14 @@
         self.attempts.with_label_values(&[result]).inc();
     }
 
-    fn admit(&self, attempt: &Attempt) -> Result<Slot, Reason> {
+    fn admit(&self, attempt: &Attempt) -> Result<Slot, RefusalReason> {
         let own = attempt.service == self.settings.service
             && attempt.endpoint == self.settings.endpoint;
         if !own {
-            return Err(Reason::Misdirected);
+            return Err(RefusalReason::Misdirected);
         }
         if attempt.remaining.is_zero() {
-            return Err(Reason::Late);
+            return Err(RefusalReason::Late);
         }
         self.entitled(attempt)?;
         let ask = Ask {
@@ -184,14 +184,14 @@
             due: attempt.due,
         };
         self.gate.admit(&ask).map_err(|refusal| match refusal {
-            Refusal::Full => Reason::Full,
-            Refusal::Leaving => Reason::Leaving,
-            Refusal::Repeated => Reason::Repeated,
+            Refusal::Full => RefusalReason::Full,
+            Refusal::Leaving => RefusalReason::Leaving,
+            Refusal::Repeated => RefusalReason::Repeated,
         })
     }
 
     /// Checks the lease.
-    fn entitled(&self, attempt: &Attempt) -> Result<(), Reason> {
+    fn entitled(&self, attempt: &Attempt) -> Result<(), RefusalReason> {
         self.holding.superseded(attempt.fence);
         match (
             self.holding.right(std::time::Instant::now()),
@@ -201,7 +201,7 @@
                 self.gate.set_fence(fence);
                 Ok(())
             }
-            _ => Err(Reason::Misdirected),
+            _ => Err(RefusalReason::Misdirected),
         }
     }
 
@@ -225,7 +225,7 @@
                 Ok(Relay::new(attempt, response, gate, slot, most, started))
             }
             Ok(Err(SendError::Unreachable | SendError::Invalid)) => {
-                Err(Body::Refused(Reason::Unreachable))
+                Err(Body::Refused(RefusalReason::Unreachable))
             }
             Ok(Err(lost @ SendError::Lost)) => {
                 self.gate.saw_end(false);
--- a/crates/agent/src/lease.rs
+++ b/crates/agent/src/lease.rs
@@ -16,8 +16,8 @@
 //! control instances do.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::ask::ControlSet;
-use dogwoodhill_wire::control::{Acquire, LEASE_PATH, Lease};
+use dogwoodhill_wire::control::{Acquire, LEASE_PATH, LeaseReply};
+use dogwoodhill_wire::control_client::ControlClient;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
@@ -85,14 +85,14 @@
     }
 
     /// Takes in an answer to a request that was sent at `sent`.
-    pub fn heed(&self, sent: Instant, lasting: Duration, lease: &Lease) {
+    pub fn heed(&self, sent: Instant, lasting: Duration, lease: &LeaseReply) {
         let mut state = self.lock();
         *state = match lease {
-            Lease::Held(fence) => State::Held {
+            LeaseReply::Held(fence) => State::Held {
                 fence: *fence,
                 until: sent + lasting,
             },
-            Lease::Other(_) => match *state {
+            LeaseReply::Other(_) => match *state {
                 State::Never => State::Never,
                 _ => State::Lost,
             },
@@ -118,17 +118,17 @@
 }
 
 /// Keeps asking for the lease and renewing it.
-pub async fn keep(holding: Holding, set: ControlSet, acquire: Acquire) {
-    let lasting = acquire.lasting;
+pub async fn keep(holding: Holding, set: ControlClient, acquire: Acquire) {
+    let lasting = acquire.duration;
     loop {
         let sent = Instant::now();
-        let asked = set.ask(LEASE_PATH, &acquire, lasting / RENEWALS).await;
+        let asked = set.call(LEASE_PATH, &acquire, lasting / RENEWALS).await;
         let pause = match &asked {
             Ok(lease) => {
                 holding.heed(sent, lasting, lease);
                 match lease {
-                    Lease::Held(_) => lasting / RENEWALS,
-                    Lease::Other(left) => (*left).clamp(MIN_PAUSE, HELD_PAUSE),
+                    LeaseReply::Held(_) => lasting / RENEWALS,
+                    LeaseReply::Other(left) => (*left).clamp(MIN_PAUSE, HELD_PAUSE),
                 }
             }
             Err(_) => MIN_PAUSE,
@@ -138,11 +138,11 @@
 }
 
 /// Gives the lease back, so that a replacement need not wait it out.
-pub async fn give_back(set: &ControlSet, acquire: &Acquire) {
+pub async fn give_back(set: &ControlClient, acquire: &Acquire) {
     const WITHIN: Duration = Duration::from_secs(2);
     let ended = Acquire {
-        lasting: Duration::ZERO,
+        duration: Duration::ZERO,
         ..acquire.clone()
     };
-    let _ = set.ask::<_, Lease>(LEASE_PATH, &ended, WITHIN).await;
+    let _ = set.call::<_, LeaseReply>(LEASE_PATH, &ended, WITHIN).await;
 }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
@@ -125,10 +125,10 @@
     };
     if settings.control.is_empty() {
         let remedy = "list the control instances' addresses";
-        s.fault("control", "is empty", remedy);
+        s.report("control", "is empty", remedy);
     }
     if settings.least_limit > settings.most_limit {
-        s.fault(
+        s.report(
             "least_limit",
             "is above most_limit",
             "lower it or raise most_limit",
--- a/crates/agent/src/watch.rs
+++ b/crates/agent/src/watch.rs
@@ -6,17 +6,17 @@
 use crate::leaving::Source;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::platform::PlatformList;
-use dogwoodhill_wire::ask::ControlSet;
-use dogwoodhill_wire::client::Caller;
+use dogwoodhill_wire::client::PeerClient;
 use dogwoodhill_wire::control::Acquire;
-use dogwoodhill_wire::follow::{Changes, Follower};
+use dogwoodhill_wire::control_client::ControlClient;
+use dogwoodhill_wire::document_watch::{AppliedChanges, DocumentWatcher};
 use rand::RngExt;
 use std::sync::Arc;
 use tokio::sync::watch;
 
 /// What the agent does with the control instances.
 pub(crate) struct Following {
-    set: ControlSet,
+    set: ControlClient,
     acquire: Acquire,
     tasks: [tokio::task::JoinHandle<()>; 2],
 }
@@ -28,30 +28,31 @@
         if settings.control.is_empty() {
             return None;
         }
-        let caller = Caller::new(settings.secret.clone());
-        let spread: u64 = rand::rng().random();
+        let client = PeerClient::new(settings.secret.clone());
+        let jitter_seed: u64 = rand::rng().random();
         let addresses = settings.control.clone();
-        let set = ControlSet::new(caller.clone(), addresses.clone(), spread as usize);
+        let set =
+            ControlClient::new(client.clone(), addresses.clone(), jitter_seed as usize);
         let acquire = Acquire {
             service: settings.service.clone(),
             endpoint: settings.endpoint.clone(),
             holder: rand::rng().random(),
-            lasting: settings.lease,
+            duration: settings.lease,
         };
-        let follower = Follower {
+        let follower = DocumentWatcher {
             daemon: settings.endpoint.clone(),
             entry: false,
             service: Some(settings.service.clone()),
             control: addresses,
-            caller,
-            spread,
-            heard: watch::Sender::new(0).subscribe(),
+            client,
+            jitter_seed,
+            newest: watch::Sender::new(0).subscribe(),
         };
         let heeding = Arc::clone(core);
         let tasks = [
             tokio::spawn(keep(core.holding.clone(), set.clone(), acquire.clone())),
             tokio::spawn(async move {
-                let heed = |changes: Changes| heed_changes(&heeding, &changes);
+                let heed = |changes: AppliedChanges| heed_changes(&heeding, &changes);
                 follower.run(heed, || {}).await;
             }),
         ];
@@ -73,7 +74,7 @@
 
 /// Heeds the document: an endpoint that is not listed, or listed as leaving,
 /// gets no new work.
-fn heed_changes(core: &Core, changes: &Changes) {
+fn heed_changes(core: &Core, changes: &AppliedChanges) {
     for accepted in &changes.documents {
         let listed = accepted.document.endpoint(&core.settings.endpoint);
         let leaving = listed.is_none_or(|endpoint| endpoint.leaving);
--- a/crates/agent/tests/lease.rs
+++ b/crates/agent/tests/lease.rs
@@ -3,7 +3,7 @@
 use dogwoodhill_agent::events::{EventFault, EventReader, MAX_EVENT};
 use dogwoodhill_agent::lease::{Holding, Right};
 use dogwoodhill_agent::leaving::{Source, Sources};
-use dogwoodhill_wire::control::Lease;
+use dogwoodhill_wire::control::LeaseReply;
 use std::time::{Duration, Instant};
 
 const LASTING: Duration = Duration::from_secs(20);
@@ -13,9 +13,9 @@
     let now = Instant::now();
     let holding = Holding::wanted();
     assert_eq!(holding.right(now), Right::Nothing);
-    holding.heed(now, LASTING, &Lease::Other(LASTING));
+    holding.heed(now, LASTING, &LeaseReply::Other(LASTING));
     assert_eq!(holding.right(now), Right::Nothing);
-    holding.heed(now, LASTING, &Lease::Held(4));
+    holding.heed(now, LASTING, &LeaseReply::Held(4));
     assert_eq!(holding.right(now), Right::All(4));
 }
 
@@ -23,10 +23,10 @@
 fn right_after_pause_idempotent_only_then_nothing() {
     let now = Instant::now();
     let holding = Holding::wanted();
-    holding.heed(now, LASTING, &Lease::Held(4));
+    holding.heed(now, LASTING, &LeaseReply::Held(4));
     // Back from a pause longer than the lease, before control was asked.
     assert_eq!(holding.right(now + LASTING), Right::Idempotent(4));
-    holding.heed(now + LASTING, LASTING, &Lease::Other(LASTING));
+    holding.heed(now + LASTING, LASTING, &LeaseReply::Other(LASTING));
     assert_eq!(
         holding.right(now + LASTING),
         Right::Nothing,
@@ -38,7 +38,7 @@
 fn right_superseded_by_entry_nothing() {
     let now = Instant::now();
     let holding = Holding::wanted();
-    holding.heed(now, LASTING, &Lease::Held(4));
+    holding.heed(now, LASTING, &LeaseReply::Held(4));
     holding.superseded(4);
     assert_eq!(holding.right(now), Right::All(4));
     holding.superseded(5);
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -3,8 +3,10 @@
 use crate::state::{FixUsage, GiveUp, Hold, Holds, Quarantined, UsageOwed};
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Acquire, Finish, Lease, Take, Taken};
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::control::{
+    Acquire, ClaimReply, FinishClaim, LeaseReply, TakeClaim,
+};
+use dogwoodhill_wire::routes::StoredRoutes;
 use serde::{Deserialize, Serialize};
 
 /// A command with the time at which the leader took it.
@@ -24,13 +26,13 @@
     /// Puts a document in force.
     Put(Put),
     /// Claims a request.
-    Take(Take),
+    Take(TakeClaim),
     /// Ends a claimed request.
-    Finish(Finish),
+    Finish(FinishClaim),
     /// Takes or prolongs a lease.
     Acquire(Acquire),
     /// Puts a route set in force, unless a newer one is.
-    Routes(HeldRoutes),
+    Routes(StoredRoutes),
     /// Keeps a request from being sent on.
     Quarantine(Quarantined),
     /// Takes or prolongs the lease of a duty.
@@ -58,11 +60,11 @@
     /// To [`Action::Put`].
     Put(Result<Acceptance, PutError>),
     /// To [`Action::Take`].
-    Taken(Taken),
+    Taken(ClaimReply),
     /// To [`Action::Finish`].
     Finished,
     /// To [`Action::Acquire`].
-    Lease(Lease),
+    Lease(LeaseReply),
     /// To [`Action::Routes`]: the version in force now.
     Routes(Version),
     /// To [`Action::Quarantine`].
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -23,8 +23,8 @@
 use dogwoodhill_daemon::health;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_store::{DiskFiles, Identity, Opened, Store, StoreError};
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::control::Answered;
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control::ControlReply;
 use error_stack::{Report, ResultExt};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -155,7 +155,7 @@
     settings: Settings,
     member: Member,
     cluster: u128,
-    caller: Caller,
+    caller: PeerClient,
     replica: Replica,
     driver: Driver,
     drain: Drain,
@@ -171,7 +171,7 @@
         settings: Settings,
         drain: Drain,
     ) -> Result<Self, Report<ControlError>> {
-        let caller = Caller::new(settings.secret.clone());
+        let caller = PeerClient::new(settings.secret.clone());
         // Until the folder is open there is nothing to answer: who calls
         // meanwhile is better refused than kept waiting.
         let opened = open(&settings, &caller).await?;
@@ -384,7 +384,7 @@
 
 async fn open(
     settings: &Settings,
-    caller: &Caller,
+    caller: &PeerClient,
 ) -> Result<Opened, Report<ControlError>> {
     let fault = ControlError::Store;
     let files = DiskFiles::open(&settings.data).change_context(fault)?;
@@ -413,7 +413,7 @@
 /// A new cluster beside an existing one would put older documents in force.
 async fn refuse_second_cluster(
     settings: &Settings,
-    caller: &Caller,
+    caller: &PeerClient,
 ) -> Result<(), Report<ControlError>> {
     for address in addresses(settings) {
         if cluster_of(caller, address).await.is_some() {
@@ -425,7 +425,7 @@
 
 async fn find_cluster(
     settings: &Settings,
-    caller: &Caller,
+    caller: &PeerClient,
 ) -> Result<u128, Report<ControlError>> {
     let end = Instant::now() + JOIN_PATIENCE;
     while Instant::now() < end {
@@ -440,7 +440,7 @@
     Err(Report::new(ControlError::Alone))
 }
 
-async fn cluster_of(caller: &Caller, address: SocketAddr) -> Option<u128> {
+async fn cluster_of(caller: &PeerClient, address: SocketAddr) -> Option<u128> {
     let call = caller.call::<(), u128>(address, CLUSTER_PATH, &());
     timeout(PEER_TIMEOUT, call).await.ok()?.ok()
 }
@@ -452,7 +452,7 @@
     replica: Replica,
     mut member: Member,
     known: watch::Receiver<Vec<SocketAddr>>,
-    caller: Caller,
+    caller: PeerClient,
     drain: Drain,
 ) {
     let mut contact = Instant::now();
@@ -489,13 +489,13 @@
 }
 
 /// Whether the instance at `address` confirms that `id` is no member.
-async fn removed(caller: &Caller, address: SocketAddr, id: NodeId) -> bool {
-    let call = caller.call::<_, Answered<bool>>(address, MEMBER_PATH, &id);
+async fn removed(caller: &PeerClient, address: SocketAddr, id: NodeId) -> bool {
+    let call = caller.call::<_, ControlReply<bool>>(address, MEMBER_PATH, &id);
     matches!(timeout(PEER_TIMEOUT, call).await, Ok(Ok(Ok(false))))
 }
 
-async fn ask_to_join(caller: &Caller, address: SocketAddr, member: &Member) -> bool {
-    let call = caller.call::<_, Answered<()>>(address, JOIN_PATH, member);
+async fn ask_to_join(caller: &PeerClient, address: SocketAddr, member: &Member) -> bool {
+    let call = caller.call::<_, ControlReply<()>>(address, JOIN_PATH, member);
     let answer = timeout(PEER_TIMEOUT, call).await;
     let joined = matches!(answer, Ok(Ok(Ok(()))));
     Event::new("join-asked")
@@ -506,7 +506,7 @@
 }
 
 /// Tells the other instances which entries poll here.
-async fn tell(replica: Replica, presence: Presence, caller: Caller) {
+async fn tell(replica: Replica, presence: Presence, caller: PeerClient) {
     loop {
         sleep(INTERVAL).await;
         let names = presence.refresh();
@@ -530,7 +530,7 @@
     replica: Replica,
     own: Announced,
     known: watch::Receiver<Vec<SocketAddr>>,
-    caller: Caller,
+    caller: PeerClient,
 ) {
     loop {
         let standing = replica.standing.borrow().clone();
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -8,7 +8,7 @@
 //! it: an entry without an answer goes by its own count.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::demand::{ServiceDemand, TellDemand, Totals};
+use dogwoodhill_wire::demand::{DemandReply, DemandReport, ServiceDemand};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
 
 impl Demand {
     /// Takes in what an entry tells; returns the sums.
-    pub fn tell(&self, now: Instant, mut tell: TellDemand) -> Totals {
+    pub fn tell(&self, now: Instant, mut tell: DemandReport) -> DemandReply {
         tell.services.truncate(MOST);
         let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
         told.retain(|told| now.duration_since(told.at) < KEPT);
@@ -52,12 +52,12 @@
     }
 }
 
-fn sum(told: &[Told]) -> Totals {
+fn sum(told: &[Told]) -> DemandReply {
     let mut services: Vec<ServiceDemand> = Vec::new();
     for one in told.iter().flat_map(|told| &told.services) {
         match services.binary_search_by(|sum| sum.service.cmp(&one.service)) {
             Ok(at) => {
-                services[at].fragile += one.fragile;
+                services[at].latency_sensitive += one.latency_sensitive;
                 services[at].other += one.other;
                 services[at].pauses += one.pauses;
                 services[at].streams += one.streams;
@@ -65,8 +65,8 @@
             Err(at) => services.insert(at, one.clone()),
         }
     }
-    Totals {
+    DemandReply {
         services,
-        ..Totals::default()
+        ..DemandReply::default()
     }
 }
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -20,9 +20,9 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::health;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::control::{Answered, Unable};
-use dogwoodhill_wire::routes::{FollowRoutes, ROUTES_PATH, RoutesNews};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
+use dogwoodhill_wire::routes::{ROUTES_PATH, RoutesStatus, WatchRoutes};
 use http::{HeaderValue, StatusCode, header};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -59,7 +59,7 @@
     seen: Arc<Mutex<Vec<(Announced, Instant)>>>,
     next: Arc<AtomicUsize>,
     heard: watch::Sender<()>,
-    caller: Caller,
+    caller: PeerClient,
     secret: Arc<String>,
 }
 
@@ -108,7 +108,7 @@
     }
 
     /// Passes a message on until an instance answers it.
-    async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
+    async fn pass_on<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
@@ -116,12 +116,12 @@
         for announced in self.all() {
             let call =
                 self.caller
-                    .call::<M, Answered<A>>(announced.internal, path, message);
+                    .call::<M, ControlReply<A>>(announced.internal, path, message);
             if let Ok(Ok(Ok(answer))) = timeout(PASS_ON, call).await {
                 return Ok(answer);
             }
         }
-        Err(Unable::NoMajority)
+        Err(ControlUnavailable::NoMajority)
     }
 }
 
@@ -147,7 +147,7 @@
         seen: Arc::default(),
         next: Arc::new(AtomicUsize::new(usize::from(settings.listen.port()))),
         heard: watch::Sender::new(()),
-        caller: Caller::new(settings.secret.clone()),
+        caller: PeerClient::new(settings.secret.clone()),
         secret: Arc::new(settings.secret),
     };
     let metrics = Metrics::default();
@@ -192,7 +192,7 @@
 
 /// Tells an entry where to ask.
 async fn routes(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |follow: FollowRoutes| async move {
+    internal::serve(bytes, |follow: WatchRoutes| async move {
         if follow.known.is_some() {
             sleep(follow.wait).await;
         } else {
@@ -201,9 +201,9 @@
         }
         let control: Vec<SocketAddr> = known.all().iter().map(|a| a.internal).collect();
         if control.is_empty() {
-            return Err(Unable::NoMajority);
+            return Err(ControlUnavailable::NoMajority);
         }
-        Ok(RoutesNews {
+        Ok(RoutesStatus {
             newest: None,
             control,
             entries: 0,
@@ -214,7 +214,7 @@
 
 async fn join(State(known): State<Known>, bytes: Bytes) -> Response {
     internal::serve(bytes, |member: Member| async move {
-        let answer: Answered<()> = known.pass_on(JOIN_PATH, &member).await;
+        let answer: ControlReply<()> = known.pass_on(JOIN_PATH, &member).await;
         answer
     })
     .await
@@ -222,7 +222,7 @@
 
 async fn member(State(known): State<Known>, bytes: Bytes) -> Response {
     internal::serve(bytes, |id: NodeId| async move {
-        let answer: Answered<bool> = known.pass_on(MEMBER_PATH, &id).await;
+        let answer: ControlReply<bool> = known.pass_on(MEMBER_PATH, &id).await;
         answer
     })
     .await
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -23,12 +23,12 @@
 use dogwoodhill_daemon::prelude::{Drain, uptime};
 use dogwoodhill_wire::codec::decode;
 use dogwoodhill_wire::control::{
-    Acquire, Answered, FINISH_PATH, Finish, LEASE_PATH, TAKE_PATH, Take, Unable,
-    WATCH_PATH, Watch,
+    Acquire, ControlReply, ControlUnavailable, FINISH_PATH, FinishClaim, LEASE_PATH,
+    TAKE_PATH, TakeClaim, WATCH_PATH, Watch,
 };
-use dogwoodhill_wire::demand::{DEMAND_PATH, TellDemand, Totals};
-use dogwoodhill_wire::routes::{FetchRoutes, FollowRoutes, PIECE_PATH, ROUTES_PATH};
-use dogwoodhill_wire::usage::{TellUsage, USAGE_PATH};
+use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, DemandReport};
+use dogwoodhill_wire::routes::{FetchRoutes, PIECE_PATH, ROUTES_PATH, WatchRoutes};
+use dogwoodhill_wire::usage::{EntryUsage, USAGE_PATH};
 use http::StatusCode;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -193,17 +193,17 @@
 }
 
 async fn take(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |take: Take| async move {
+    serve(bytes, |take: TakeClaim| async move {
         match inside.service.submit(&Action::Take(take)).await? {
             Reply::Taken(taken) => Ok(taken),
-            _ => Err(Unable::NoMajority),
+            _ => Err(ControlUnavailable::NoMajority),
         }
     })
     .await
 }
 
 async fn finish(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |finish: Finish| async move {
+    serve(bytes, |finish: FinishClaim| async move {
         let submitted = inside.service.submit(&Action::Finish(finish)).await;
         submitted.map(|_| ())
     })
@@ -214,7 +214,7 @@
     serve(bytes, |acquire: Acquire| async move {
         match inside.service.submit(&Action::Acquire(acquire)).await? {
             Reply::Lease(lease) => Ok(lease),
-            _ => Err(Unable::NoMajority),
+            _ => Err(ControlUnavailable::NoMajority),
         }
     })
     .await
@@ -246,7 +246,7 @@
 
 async fn add(State(inside): State<Inside>, bytes: Bytes) -> Response {
     serve(bytes, |member: Member| async move {
-        let added: Answered<()> = inside.service.replica().add(member).await;
+        let added: ControlReply<()> = inside.service.replica().add(member).await;
         added
     })
     .await
@@ -257,18 +257,18 @@
     serve(bytes, |id: NodeId| async move {
         inside.service.confirm().await?;
         let standing = inside.service.replica().standing.borrow().clone();
-        let answer: Answered<bool> = Ok(standing.members.get(id).is_some());
+        let answer: ControlReply<bool> = Ok(standing.members.get(id).is_some());
         answer
     })
     .await
 }
 
 async fn demand(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |tell: TellDemand| async move {
+    serve(bytes, |tell: DemandReport| async move {
         let now = uptime();
         let mut tell = tell;
         let list = inside.lists.dated(now, tell.echo, tell.list.take());
-        let news = inside.lists.tell(now, &tell.entry, tell.held, list);
+        let news = inside.lists.tell(now, &tell.entry, tell.list_mark, list);
         inside.lists.sighted(now, &tell);
         let heard = inside
             .lists
@@ -277,14 +277,14 @@
         let found = inside.quarantines.tell(now, under_way, &tell, &heard);
         quarantine::keep(&inside.service, found);
         let permits = inside.limits.tell(now, under_way, &tell);
-        Totals {
+        DemandReply {
             limits: inside.limits.news(now, tell.limits_mark),
             permits,
             reader: news.reader,
             list: news.newest,
             verdicts: inside.lists.verdicts(now),
             stamp: inside.lists.stamp(uptime()),
-            suspects: inside.quarantines.news(now, tell.suspects),
+            suspects: inside.quarantines.news(now, tell.suspects_mark),
             ..inside.demand.tell(Instant::now(), tell)
         }
     })
@@ -294,7 +294,7 @@
 async fn usage(State(inside): State<Inside>, bytes: Bytes) -> Response {
     serve(
         bytes,
-        |tell: TellUsage| async move { inside.usage.tell(tell) },
+        |tell: EntryUsage| async move { inside.usage.tell(tell) },
     )
     .await
 }
@@ -308,7 +308,7 @@
 }
 
 async fn follow_routes(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |follow: FollowRoutes| async move {
+    serve(bytes, |follow: WatchRoutes| async move {
         routes::answer(&inside.service, &inside.presence, follow).await
     })
     .await
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -7,7 +7,7 @@
 use dogwoodhill_policy::affinity::hash;
 use dogwoodhill_policy::permits;
 use dogwoodhill_policy::permits::{Choice, LimitNews};
-use dogwoodhill_wire::demand::TellDemand;
+use dogwoodhill_wire::demand::DemandReport;
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -27,11 +27,11 @@
         &self,
         now: Duration,
         under_way: Duration,
-        tell: &TellDemand,
+        tell: &DemandReport,
     ) -> Vec<EndpointPermits> {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = now.saturating_sub(under_way);
-        let choice = if tell.first_choice {
+        let choice = if tell.preferred {
             Choice::First
         } else {
             Choice::Second
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -12,8 +12,8 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
 use dogwoodhill_policy::sightings::{Kept, Place, Sight, Sightings};
-use dogwoodhill_wire::demand::{Echo, EndpointVerdict, Stamp, TellDemand};
-use dogwoodhill_wire::list::{Contents, ListRead, Listed, Mark};
+use dogwoodhill_wire::demand::{DemandReport, Echo, EndpointVerdict, Stamp};
+use dogwoodhill_wire::list::{EndpointRecord, ListHistory, ListRead, Mark};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Entries that are asked to read. One may be lost at any moment.
@@ -79,7 +79,7 @@
     /// When any entry told last.
     told: Duration,
     /// The newest list that was read, and earlier ones.
-    contents: Contents,
+    contents: ListHistory,
     /// When it was read, and how long that took.
     read: Option<(Duration, Duration)>,
     whole: Allowance,
@@ -173,16 +173,16 @@
 
     /// Takes in what an entry met at the endpoints of the list that it has, lately: what was
     /// told long ago, and lay before an instance that stood still, says nothing of now.
-    pub fn sighted(&self, now: Duration, tell: &TellDemand) {
+    pub fn sighted(&self, now: Duration, tell: &DemandReport) {
         if self.under_way(now, tell.echo) > LATE {
             return;
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.read.is_none() || state.contents.newest().mark != tell.held {
+        if state.read.is_none() || state.contents.newest().mark != tell.list_mark {
             // Its places are those of another list; it will tell again.
             return;
         }
-        let met = tell.sights.iter().map(|met| {
+        let met = tell.observations.iter().map(|met| {
             let sight = Sight {
                 replaced: met.replaced,
                 unreached: met.unreached,
@@ -190,13 +190,13 @@
                 answered: met.answered,
                 failed: met.failed,
             };
-            (met.place, sight)
+            (met.list_index, sight)
         });
         let heard = Sight {
             heard: true,
             ..Sight::default()
         };
-        let heard = bits(&tell.heard).map(|place| (place, heard));
+        let heard = bits(&tell.responding).map(|place| (place, heard));
         let entry = hash(tell.entry.as_bytes());
         state.sightings.tell(now, entry, met.chain(heard));
     }
@@ -206,7 +206,7 @@
     pub fn heard_of(
         &self,
         now: Duration,
-        tell: &TellDemand,
+        tell: &DemandReport,
         runs: &[Incarnation],
     ) -> Vec<Incarnation> {
         if runs.is_empty() || self.under_way(now, tell.echo) > LATE {
@@ -214,7 +214,7 @@
         }
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let newest = state.contents.newest();
-        if newest.mark != tell.held {
+        if newest.mark != tell.list_mark {
             return Vec::new();
         }
         let heard = |run: &&Incarnation| {
@@ -222,7 +222,7 @@
                 .endpoints
                 .binary_search_by(|known| known.run.cmp(run));
             found.is_ok_and(|place| {
-                let byte = tell.heard.get(place / 8);
+                let byte = tell.responding.get(place / 8);
                 byte.is_some_and(|byte| byte & (1 << (place % 8)) != 0)
             })
         };
@@ -240,8 +240,8 @@
         let verdicts = state.sightings.verdicts(now);
         let told = verdicts
             .into_iter()
-            .map(|(place, verdict)| EndpointVerdict {
-                place,
+            .map(|(list_index, verdict)| EndpointVerdict {
+                list_index,
                 verdict: verdict.into(),
             });
         let told: Vec<EndpointVerdict> = told.collect();
@@ -249,12 +249,12 @@
         let before = before.map_or_else(Vec::new, |(_, before)| before);
         let endpoints = &state.contents.newest().endpoints;
         for new in told.iter().filter(|new| !before.contains(new)) {
-            log_verdict(endpoints, new.place, &format!("{:?}", new.verdict));
+            log_verdict(endpoints, new.list_index, &format!("{:?}", new.verdict));
         }
-        let place = |verdict: &EndpointVerdict| verdict.place;
+        let place = |verdict: &EndpointVerdict| verdict.list_index;
         for old in before {
-            if told.binary_search_by_key(&old.place, place).is_err() {
-                log_verdict(endpoints, old.place, "sound");
+            if told.binary_search_by_key(&old.list_index, place).is_err() {
+                log_verdict(endpoints, old.list_index, "sound");
             }
         }
         told
@@ -262,7 +262,7 @@
 }
 
 /// Logs what entries together see of an endpoint, where that has changed.
-fn log_verdict(endpoints: &[Listed], place: Place, verdict: &str) {
+fn log_verdict(endpoints: &[EndpointRecord], place: Place, verdict: &str) {
     let Some(listed) = endpoints.get(place as usize) else {
         return;
     };
@@ -286,7 +286,7 @@
     /// wait for its turn.
     fn newest(&mut self, now: Duration, held: Mark) -> Option<ListRead> {
         let (read, took) = self.read?;
-        let news = self.contents.told(held, now.saturating_sub(read), took);
+        let news = self.contents.read_for(held, now.saturating_sub(read), took);
         let bytes = news.whole.as_ref().map_or(0, |whole| whole.size());
         (bytes == 0 || self.whole.take(now, bytes)).then_some(news)
     }
@@ -338,7 +338,7 @@
             self.read = read;
             return;
         }
-        let Some(content) = self.contents.heard(list) else {
+        let Some(content) = self.contents.resolve(list) else {
             return;
         };
         if content.endpoints.len() > MOST_ENDPOINTS {
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -171,7 +171,7 @@
     Key,
     Unknown(ServiceId),
     NoMajority,
-    Faults(Faults),
+    Faults(Diagnostics),
     Name { path: ServiceId, text: ServiceId },
     Put(PutError),
     Routes(RoutesError),
@@ -208,7 +208,7 @@
             Self::Routes(error) => (error.status(), error.to_string()),
         };
         let faults = match &self {
-            Self::Faults(faults) => faults.0.iter().map(Fault::to_string).collect(),
+            Self::Faults(faults) => faults.0.iter().map(Diagnostic::to_string).collect(),
             _ => Vec::new(),
         };
         let won = match self {
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -11,7 +11,7 @@
 use dogwoodhill_consensus::NodeId;
 use dogwoodhill_consensus::message::{Message, transfer};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::client::Caller;
+use dogwoodhill_wire::client::PeerClient;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
@@ -47,9 +47,9 @@
 #[derive(Debug)]
 pub struct Peers {
     cluster: u128,
-    caller: Caller,
+    caller: PeerClient,
     /// With connections of its own.
-    apart: Caller,
+    apart: PeerClient,
     peers: Vec<Peer>,
     report: mpsc::UnboundedSender<Delivery>,
     reports: Option<mpsc::UnboundedReceiver<Delivery>>,
@@ -66,11 +66,11 @@
 
 impl Peers {
     /// No peers yet.
-    pub fn new(cluster: u128, caller: Caller) -> Self {
+    pub fn new(cluster: u128, caller: PeerClient) -> Self {
         let (report, reports) = mpsc::unbounded_channel();
         Self {
             cluster,
-            apart: caller.apart(),
+            apart: caller.with_own_pool(),
             caller,
             peers: Vec::new(),
             report,
@@ -139,7 +139,7 @@
 /// One of the two ways to a peer.
 #[derive(Debug)]
 struct Lane {
-    caller: Caller,
+    caller: PeerClient,
     cluster: u128,
     address: SocketAddr,
 }
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -8,12 +8,12 @@
 use crate::command::Action;
 use crate::service::Service;
 use crate::state::Quarantined;
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
 use dogwoodhill_policy::quarantine::{Found, LostRequest, Quarantine, Told};
 use dogwoodhill_policy::sightings::LATELY;
-use dogwoodhill_wire::demand::{RequestStanding, Suspects, TellDemand};
+use dogwoodhill_wire::demand::{DemandReport, SuspectRequest, Suspects};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -61,7 +61,7 @@
         &self,
         now: Duration,
         under_way: Duration,
-        tell: &TellDemand,
+        tell: &DemandReport,
         heard: &[Incarnation],
     ) -> Vec<Found> {
         let mut state = self.state();
@@ -78,7 +78,7 @@
                 workspace: loss.workspace,
                 run: loss.run.clone(),
                 domain: loss.domain,
-                sent: at.saturating_sub(loss.lasted),
+                sent: at.saturating_sub(loss.duration),
                 at,
             };
             quarantine.lost(now, teller, &loss);
@@ -103,10 +103,10 @@
         if news == mark {
             return None;
         }
-        let requests = told.iter().map(|told| RequestStanding {
+        let requests = told.iter().map(|told| SuspectRequest {
             request: told.request,
             crashes: told.standing.crashes as u32,
-            left: told.standing.left,
+            remaining: told.standing.left,
         });
         Some(Suspects {
             mark: news,
@@ -171,6 +171,6 @@
         sleep(KEEP_PAUSE).await;
     }
     Event::new("quarantine-not-logged")
-        .field("content", shown(found.request))
+        .field("content", short_form(found.request))
         .warn();
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -22,7 +22,7 @@
 use dogwoodhill_consensus::{Index, Moment, ReadId, Term};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_store::{Batch, Opened, Store, StoreError};
-use dogwoodhill_wire::control::{Answered, Unable};
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::collections::VecDeque;
@@ -83,13 +83,13 @@
 struct Waiter {
     index: Index,
     term: Term,
-    reply: oneshot::Sender<Answered<Reply>>,
+    reply: oneshot::Sender<ControlReply<Reply>>,
 }
 
 #[derive(Debug)]
 struct Reading {
     id: ReadId,
-    reply: oneshot::Sender<Answered<Index>>,
+    reply: oneshot::Sender<ControlReply<Index>>,
 }
 
 /// Since when this instance leads, on both clocks.
@@ -249,14 +249,14 @@
         }
     }
 
-    fn propose(&mut self, action: Action, reply: oneshot::Sender<Answered<Reply>>) {
+    fn propose(&mut self, action: Action, reply: oneshot::Sender<ControlReply<Reply>>) {
         if self.node.members().voters().count() < self.copies {
             Event::new("change-refused")
                 .field("reason", "too-few-voters")
                 .field("voters", self.node.members().voters().count())
                 .field("needed", self.copies)
                 .warn();
-            let _ = reply.send(Err(Unable::NoMajority));
+            let _ = reply.send(Err(ControlUnavailable::NoMajority));
             return;
         }
         let command = Command {
@@ -276,7 +276,7 @@
         }
     }
 
-    fn confirm(&mut self, reply: oneshot::Sender<Answered<Index>>) {
+    fn confirm(&mut self, reply: oneshot::Sender<ControlReply<Index>>) {
         self.next_read += 1;
         let id = self.next_read;
         match self.node.read(id) {
@@ -301,12 +301,12 @@
         led.now + led.since.elapsed()
     }
 
-    fn unable(&self, refused: Refused) -> Unable {
+    fn unable(&self, refused: Refused) -> ControlUnavailable {
         match refused {
-            Refused::NotLeader | Refused::HandingOver => Unable::NotLeader {
+            Refused::NotLeader | Refused::HandingOver => ControlUnavailable::NotLeader {
                 leader: self.leader(),
             },
-            _ => Unable::NoMajority,
+            _ => ControlUnavailable::NoMajority,
         }
     }
 
@@ -452,7 +452,10 @@
                 return;
             };
             let own = waiter.index == entry.index && waiter.term == entry.term;
-            let answer = reply.take().filter(|_| own).ok_or(Unable::NoMajority);
+            let answer = reply
+                .take()
+                .filter(|_| own)
+                .ok_or(ControlUnavailable::NoMajority);
             let _ = waiter.reply.send(answer);
         }
     }
@@ -464,7 +467,7 @@
             .is_some_and(|waiter| waiter.index <= index)
         {
             if let Some(waiter) = self.waiters.pop_front() {
-                let _ = waiter.reply.send(Err(Unable::NoMajority));
+                let _ = waiter.reply.send(Err(ControlUnavailable::NoMajority));
             }
         }
     }
@@ -476,7 +479,9 @@
             if ready.reads.contains(&reading.id) {
                 let _ = reading.reply.send(Ok(index));
             } else if ready.refused.contains(&reading.id) {
-                let _ = reading.reply.send(Err(Unable::NotLeader { leader }));
+                let _ = reading
+                    .reply
+                    .send(Err(ControlUnavailable::NotLeader { leader }));
             } else {
                 self.reads.push(reading);
             }
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -8,7 +8,7 @@
 use dogwoodhill_consensus::message::Message;
 use dogwoodhill_consensus::{Index, NodeId, Term};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Answered, Unable};
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -23,16 +23,16 @@
         /// The command.
         action: Action,
         /// Its answer.
-        reply: oneshot::Sender<Answered<Reply>>,
+        reply: oneshot::Sender<ControlReply<Reply>>,
     },
     /// A confirmed read: the position up to which state must be applied.
-    Confirm(oneshot::Sender<Answered<Index>>),
+    Confirm(oneshot::Sender<ControlReply<Index>>),
     /// A new instance.
     Add {
         /// The instance.
         member: Member,
         /// Whether it is a member now.
-        reply: oneshot::Sender<Answered<()>>,
+        reply: oneshot::Sender<ControlReply<()>>,
     },
     /// This instance will stop.
     HandOver,
@@ -114,32 +114,32 @@
     ///
     /// # Errors
     ///
-    /// [`Unable`]; with [`Unable::NoMajority`] the command may be in force.
-    pub async fn propose(&self, action: Action) -> Answered<Reply> {
+    /// [`ControlUnavailable`]; with [`Unable::NoMajority`] the command may be in force.
+    pub async fn propose(&self, action: Action) -> ControlReply<Reply> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Propose { action, reply }).await;
-        answer.await.unwrap_or(Err(Unable::NoMajority))
+        answer.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 
     /// Confirms on this instance that it still leads.
     ///
     /// # Errors
     ///
-    /// [`Unable`].
-    pub async fn confirm(&self) -> Answered<Index> {
+    /// [`ControlUnavailable`].
+    pub async fn confirm(&self) -> ControlReply<Index> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Confirm(reply)).await;
-        answer.await.unwrap_or(Err(Unable::NoMajority))
+        answer.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 
     /// Adds an instance.
     ///
     /// # Errors
     ///
-    /// [`Unable`].
-    pub async fn add(&self, member: Member) -> Answered<()> {
+    /// [`ControlUnavailable`].
+    pub async fn add(&self, member: Member) -> ControlReply<()> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Add { member, reply }).await;
-        answer.await.unwrap_or(Err(Unable::NoMajority))
+        answer.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 }
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -11,11 +11,11 @@
 use crate::sets::Sets;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_route::check::Invalid;
+use dogwoodhill_route::check::InvalidRouteSet;
 use dogwoodhill_route::set::SetFormat;
-use dogwoodhill_wire::control::{Answered, Unable};
-use dogwoodhill_wire::pack::PackError;
-use dogwoodhill_wire::routes::{FollowRoutes, HeldRoutes, RoutesNews};
+use dogwoodhill_wire::compress::DecompressError;
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
+use dogwoodhill_wire::routes::{RoutesStatus, StoredRoutes, WatchRoutes};
 use http::StatusCode;
 use tokio::time::{Instant, timeout_at};
 
@@ -29,7 +29,7 @@
     #[display("{source}")]
     Invalid {
         /// Why.
-        source: Invalid,
+        source: InvalidRouteSet,
     },
     /// Whether the set is in force is not known.
     #[display("no majority confirmed in time; send the same set again")]
@@ -38,7 +38,7 @@
     #[display("{source}")]
     Unreadable {
         /// Why.
-        source: PackError,
+        source: DecompressError,
     },
     /// No set was accepted yet.
     #[display("no route set was accepted yet; send one")]
@@ -72,7 +72,7 @@
             Event::new("routes-refused").field("reason", &source).warn();
             RoutesError::Invalid { source }
         })?;
-        let held = HeldRoutes::new(set.version, source);
+        let held = StoredRoutes::new(set.version, source);
         let packed = held.source.len();
         let reply = self.submit(&Action::Routes(held)).await;
         let outcome = match reply {
@@ -113,13 +113,13 @@
 ///
 /// # Errors
 ///
-/// [`Unable::NoMajority`] where an entry without a set asks and this instance
+/// [`ControlUnavailable::NoMajority`] where an entry without a set asks and this instance
 /// can't confirm that the one it has is the newest.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
-    follow: FollowRoutes,
-) -> Answered<RoutesNews> {
+    follow: WatchRoutes,
+) -> ControlReply<RoutesStatus> {
     let _polling = presence.poll(&follow.entry);
     if follow.known.is_none() {
         service.confirm().await?;
@@ -136,14 +136,14 @@
 fn news(
     replica: &Replica,
     presence: &Presence,
-    follow: &FollowRoutes,
-) -> Answered<RoutesNews> {
+    follow: &WatchRoutes,
+) -> ControlReply<RoutesStatus> {
     let newest = replica.routes.borrow().version();
     let standing = replica.standing.borrow();
     if follow.known.is_none() && newest.is_none() {
-        return Err(Unable::NoMajority);
+        return Err(ControlUnavailable::NoMajority);
     }
-    Ok(RoutesNews {
+    Ok(RoutesStatus {
         newest,
         control: standing
             .members
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -4,8 +4,8 @@
 use crate::replica::Replica;
 use dogwoodhill_consensus::Index;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::control::{Answered, Unable};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::time::{Instant, sleep, timeout_at};
@@ -23,12 +23,12 @@
 #[derive(Clone, Debug)]
 pub struct Service {
     replica: Replica,
-    caller: Caller,
+    caller: PeerClient,
 }
 
 impl Service {
     /// Offers the cluster through `replica`.
-    pub fn new(replica: Replica, caller: Caller) -> Self {
+    pub fn new(replica: Replica, caller: PeerClient) -> Self {
         Self { replica, caller }
     }
 
@@ -42,12 +42,12 @@
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`PATIENCE`]; the command may be in force.
-    pub async fn submit(&self, action: &Action) -> Answered<Reply> {
+    /// [`ControlUnavailable::NoMajority`] after [`PATIENCE`]; the command may be in force.
+    pub async fn submit(&self, action: &Action) -> ControlReply<Reply> {
         let end = Instant::now() + PATIENCE;
         loop {
             match timeout_at(end, self.submit_once(action)).await {
-                Err(_) => return Err(Unable::NoMajority),
+                Err(_) => return Err(ControlUnavailable::NoMajority),
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(_)) => sleep(PAUSE).await,
             }
@@ -59,26 +59,26 @@
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`PATIENCE`].
-    pub async fn confirm(&self) -> Answered<Index> {
+    /// [`ControlUnavailable::NoMajority`] after [`PATIENCE`].
+    pub async fn confirm(&self) -> ControlReply<Index> {
         let end = Instant::now() + PATIENCE;
         loop {
             match timeout_at(end, self.confirm_once()).await {
-                Err(_) => return Err(Unable::NoMajority),
+                Err(_) => return Err(ControlUnavailable::NoMajority),
                 Ok(Ok(index)) => return Ok(index),
                 Ok(Err(_)) => sleep(PAUSE).await,
             }
         }
     }
 
-    async fn submit_once(&self, action: &Action) -> Answered<Reply> {
+    async fn submit_once(&self, action: &Action) -> ControlReply<Reply> {
         if self.replica.standing.borrow().leads {
             return self.replica.propose(action.clone()).await;
         }
         self.pass_on(SUBMIT_PATH, action).await
     }
 
-    async fn confirm_once(&self) -> Answered<Index> {
+    async fn confirm_once(&self) -> ControlReply<Index> {
         let leads = self.replica.standing.borrow().leads;
         let index = if leads {
             self.replica.confirm().await?
@@ -87,18 +87,22 @@
         };
         let mut applied = self.replica.applied.clone();
         let reached = applied.wait_for(|applied| *applied >= index).await;
-        reached.map(|_| index).map_err(|_| Unable::NoMajority)
+        reached
+            .map(|_| index)
+            .map_err(|_| ControlUnavailable::NoMajority)
     }
 
     /// Passes a message on to the leader.
-    pub(crate) async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
+    pub(crate) async fn pass_on<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
     {
         let leader = self.replica.standing.borrow().leader;
-        let address = leader.ok_or(Unable::NoMajority)?;
-        let call = self.caller.call::<M, Answered<A>>(address, path, message);
-        call.await.unwrap_or(Err(Unable::NoMajority))
+        let address = leader.ok_or(ControlUnavailable::NoMajority)?;
+        let call = self
+            .caller
+            .call::<M, ControlReply<A>>(address, path, message);
+        call.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 }
--- a/crates/control/src/sets.rs
+++ b/crates/control/src/sets.rs
@@ -4,7 +4,7 @@
 //! keeps some that newer ones have replaced.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::routes::StoredRoutes;
 use std::sync::Arc;
 
 /// Sets that are kept: changes that follow one another within some ten milliseconds
@@ -15,15 +15,15 @@
 
 /// The newest set and some before it, oldest first. Clones share the texts.
 #[derive(Clone, Debug, Default)]
-pub struct Sets(Vec<Arc<HeldRoutes>>);
+pub struct Sets(Vec<Arc<StoredRoutes>>);
 
 impl Sets {
     /// Takes a set in, if it is newer than all. Returns whether it is.
-    pub fn take(&mut self, held: Option<&Arc<HeldRoutes>>) -> bool {
+    pub fn take(&mut self, held: Option<&Arc<StoredRoutes>>) -> bool {
         let Some(held) = held.filter(|held| Some(held.version) > self.version()) else {
             return false;
         };
-        let replaced = |sets: &[Arc<HeldRoutes>]| -> usize {
+        let replaced = |sets: &[Arc<StoredRoutes>]| -> usize {
             sets.iter().map(|held| held.source.len()).sum()
         };
         while self.0.len() >= MOST || replaced(&self.0) > MOST_BYTES {
@@ -34,7 +34,7 @@
     }
 
     /// The newest one.
-    pub fn newest(&self) -> Option<&Arc<HeldRoutes>> {
+    pub fn newest(&self) -> Option<&Arc<StoredRoutes>> {
         self.0.last()
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// The one of this version.
-    pub fn find(&self, version: Version) -> Option<&Arc<HeldRoutes>> {
+    pub fn find(&self, version: Version) -> Option<&Arc<StoredRoutes>> {
         let found = self.0.binary_search_by_key(&version, |held| held.version);
         found.ok().map(|at| &self.0[at])
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
@@ -160,7 +160,7 @@
     }
     if settings.peers.contains(&settings.internal) {
         let remedy = "list only the other instances";
-        s.fault("peers", "name this instance itself", remedy);
+        s.report("peers", "name this instance itself", remedy);
     }
     settings
 }
@@ -177,7 +177,7 @@
     let settings = s.section("usage", usage_settings);
     let owed = duties.iter().any(|duty| duty == DUTY);
     if owed && settings.is_none() {
-        s.fault(
+        s.report(
             "usage",
             "is missing",
             "say how usage is reported, or drop the duty",
@@ -229,7 +229,7 @@
     let keys: Vec<KeyHash> = texts.iter().filter_map(|t| KeyHash::parse(t)).collect();
     if keys.len() != texts.len() || keys.is_empty() {
         let remedy = "list at least one as sha256: and 64 hexadecimal digits";
-        s.fault("keys", "are not hashed keys", remedy);
+        s.report("keys", "are not hashed keys", remedy);
     }
     Team {
         name: s.name("name"),
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -10,7 +10,7 @@
 use crate::command::{Action, Command, Reply};
 use claims::Claims;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::routes::StoredRoutes;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
     leases: leases::Leases,
     /// Route set in force.
     #[serde(default)]
-    pub routes: Option<Arc<HeldRoutes>>,
+    pub routes: Option<Arc<StoredRoutes>>,
     #[serde(default)]
     quarantined: quarantined::AllQuarantined,
     /// Duties of one holder.
@@ -75,7 +75,7 @@
 
     /// The highest version wins; one that is not higher changes nothing, be it
     /// an older change that arrives late or the same one sent again.
-    fn put_routes(&mut self, given: &HeldRoutes) -> Version {
+    fn put_routes(&mut self, given: &StoredRoutes) -> Version {
         let held = self.routes.as_ref().map(|routes| routes.version);
         if held.is_none_or(|held| given.version > held) {
             self.routes = Some(Arc::new(given.clone()));
--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -8,7 +8,7 @@
 //! insertion moves a few entries however many claims are kept.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{ClaimKey, Ended, Finish, Take, Taken};
+use dogwoodhill_wire::control::{ClaimEnd, ClaimKey, ClaimReply, FinishClaim, TakeClaim};
 use serde::{Deserialize, Serialize};
 
 /// Number of shards.
@@ -23,7 +23,7 @@
     until: Duration,
     /// Until when the claim is kept.
     kept: Duration,
-    ended: Option<Ended>,
+    ended: Option<ClaimEnd>,
 }
 
 /// All claims.
@@ -45,7 +45,7 @@
         self.shards.iter().map(Vec::len).sum()
     }
 
-    pub(super) fn take(&mut self, now: Duration, take: &Take) -> Taken {
+    pub(super) fn take(&mut self, now: Duration, take: &TakeClaim) -> ClaimReply {
         let shard = self.shard(&take.claim);
         shard.retain(|claim| claim.kept > now);
         match shard.binary_search_by(|claim| claim.key.cmp(&take.claim)) {
@@ -57,17 +57,17 @@
                         key: take.claim.clone(),
                         digest: take.digest,
                         holder: take.holder,
-                        until: now + take.lasting,
-                        kept: now + take.lasting + take.retention,
+                        until: now + take.duration,
+                        kept: now + take.duration + take.retention,
                         ended: None,
                     },
                 );
-                Taken::Granted
+                ClaimReply::Granted
             }
         }
     }
 
-    pub(super) fn finish(&mut self, finish: &Finish) {
+    pub(super) fn finish(&mut self, finish: &FinishClaim) {
         let shard = self.shard(&finish.claim);
         let found = shard.binary_search_by(|claim| claim.key.cmp(&finish.claim));
         let Ok(at) = found else { return };
@@ -76,7 +76,7 @@
             return;
         }
         match &finish.ended {
-            Ended::NotRun => {
+            ClaimEnd::NotRun => {
                 shard.remove(at);
             }
             ended => claim.ended = Some(ended.clone()),
@@ -93,17 +93,17 @@
 }
 
 /// Answers a key that is known.
-fn again(now: Duration, claim: &Claim, take: &Take) -> Taken {
+fn again(now: Duration, claim: &Claim, take: &TakeClaim) -> ClaimReply {
     if claim.digest != take.digest {
-        return Taken::Reused;
+        return ClaimReply::Reused;
     }
     if claim.holder == take.holder && claim.ended.is_none() && now < claim.until {
         // The same delivery asks again, because it lost the answer.
-        return Taken::Granted;
+        return ClaimReply::Granted;
     }
     match &claim.ended {
-        Some(ended) => Taken::Ended(ended.clone()),
-        None if now < claim.until => Taken::InProgress,
-        None => Taken::Ended(Ended::Unknown),
+        Some(ended) => ClaimReply::ClaimEnd(ended.clone()),
+        None if now < claim.until => ClaimReply::InProgress,
+        None => ClaimReply::ClaimEnd(ClaimEnd::Unknown),
     }
 }
--- a/crates/control/src/state/documents.rs
+++ b/crates/control/src/state/documents.rs
@@ -3,7 +3,7 @@
 use crate::command::{Acceptance, Put, PutError};
 use dogwoodhill_core::document::Delta;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Accepted, News};
+use dogwoodhill_wire::control::{AcceptedDocument, DocumentChange};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     pub entries: Vec<Entry>,
     /// The newest earlier documents, oldest first.
     #[serde(skip)]
-    earlier: Vec<Accepted>,
+    earlier: Vec<AcceptedDocument>,
 }
 
 /// All services, sorted by name.
@@ -59,7 +59,11 @@
     }
 
     /// What changed after `revision`, in one service or in all.
-    pub fn since(&self, revision: Revision, service: Option<&str>) -> Vec<News> {
+    pub fn since(
+        &self,
+        revision: Revision,
+        service: Option<&str>,
+    ) -> Vec<DocumentChange> {
         let wanted = |history: &&Arc<History>| {
             let name = history.document.service.as_str();
             service.is_none_or(|service| service == name) && history.revision() > revision
@@ -152,21 +156,21 @@
     }
 
     /// The document in force, for a daemon that has those up to `revision`.
-    fn news(&self, revision: Revision) -> News {
+    fn news(&self, revision: Revision) -> DocumentChange {
         let now = self.accepted();
         let mut earlier = self.earlier.iter().rev();
         match earlier.find(|accepted| accepted.revision <= revision) {
-            Some(base) => News::Patch {
+            Some(base) => DocumentChange::Patch {
                 base: base.revision,
                 revision: now.revision,
                 delta: Box::new(Delta::between(&base.document, &now.document)),
             },
-            None => News::Whole(now),
+            None => DocumentChange::Whole(now),
         }
     }
 
-    fn accepted(&self) -> Accepted {
-        Accepted {
+    fn accepted(&self) -> AcceptedDocument {
+        AcceptedDocument {
             revision: self.revision(),
             document: Arc::clone(&self.document),
         }
--- a/crates/control/src/state/leases.rs
+++ b/crates/control/src/state/leases.rs
@@ -1,7 +1,7 @@
 //! Leases of endpoints and their fencing numbers.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Acquire, Lease};
+use dogwoodhill_wire::control::{Acquire, LeaseReply};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -21,25 +21,25 @@
 }
 
 impl Leases {
-    pub(super) fn acquire(&mut self, now: Duration, acquire: &Acquire) -> Lease {
+    pub(super) fn acquire(&mut self, now: Duration, acquire: &Acquire) -> LeaseReply {
         let key = (acquire.service.as_str(), acquire.endpoint.as_str());
         let found = self
             .held
             .binary_search_by(|h| (h.service.as_str(), h.endpoint.as_str()).cmp(&key));
-        let until = now + acquire.lasting;
+        let until = now + acquire.duration;
         match found {
             Ok(at) => {
                 let held = &mut self.held[at];
                 let same = held.holder == acquire.holder;
                 if !same && now < held.until {
-                    return Lease::Other(held.until - now);
+                    return LeaseReply::Other(held.until - now);
                 }
                 held.fence += u64::from(!same);
                 held.holder = acquire.holder;
                 // A holder that gives its lease back asks for no time at all.
-                let ends = acquire.lasting.is_zero();
+                let ends = acquire.duration.is_zero();
                 held.until = if ends { now } else { held.until.max(until) };
-                Lease::Held(held.fence)
+                LeaseReply::Held(held.fence)
             }
             Err(at) => {
                 let held = Held {
@@ -50,7 +50,7 @@
                     until,
                 };
                 self.held.insert(at, held);
-                Lease::Held(1)
+                LeaseReply::Held(1)
             }
         }
     }
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -10,7 +10,7 @@
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::true_time::TrueClock;
 use dogwoodhill_policy::usage::{Closing, Tally, Told};
-use dogwoodhill_wire::usage::{TellUsage, UsageHeard};
+use dogwoodhill_wire::usage::{EntryUsage, UsageReply};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -67,7 +67,7 @@
     }
 
     /// Takes in what an entry told.
-    pub fn tell(&self, tell: TellUsage) -> UsageHeard {
+    pub fn tell(&self, tell: EntryUsage) -> UsageReply {
         let now = uptime();
         let view = self.replica.duties.borrow().clone();
         let mut state = self.state();
@@ -84,11 +84,11 @@
             },
         );
         let holder = view.held.iter().find(|held| held.duty == DUTY);
-        UsageHeard {
+        UsageReply {
             instance: self.instance,
-            settled: self.settled(),
+            has_quorum: self.settled(),
             next: view.next,
-            holder: holder.map(|held| held.holder.machine),
+            reporter: holder.map(|held| held.holder.machine),
             now: state.clock.now(now),
         }
     }
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -5,7 +5,9 @@
 use crate::service::Service;
 use crate::state::Documents;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Accepted, Answered, News, Unable, Update, Watch};
+use dogwoodhill_wire::control::{
+    AcceptedDocument, ControlReply, ControlUnavailable, DocumentChange, Update, Watch,
+};
 use std::sync::Arc;
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep_until};
@@ -20,14 +22,14 @@
 ///
 /// # Errors
 ///
-/// [`Unable::NoMajority`] where this instance can't confirm that it knows all
+/// [`ControlUnavailable::NoMajority`] where this instance can't confirm that it knows all
 /// that was accepted, or loses contact while the poll waits: the daemon then
 /// asks another one.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
     watch: Watch,
-) -> Answered<Update> {
+) -> ControlReply<Update> {
     let _polling = watch.entry.then(|| presence.poll(&watch.daemon));
     service.confirm().await?;
     let mut applied = service.replica().applied.clone();
@@ -40,36 +42,36 @@
         applied.mark_unchanged();
         let entries = *count.borrow_and_update();
         let changes = changes(service, &watch, entries);
-        let news = !changes.news.is_empty() || changes.revision < watch.revision;
+        let news = !changes.changes.is_empty() || changes.revision < watch.revision;
         let counted = watch.entry && entries != watch.entries;
         if news || counted || Instant::now() >= end {
             return Ok(changes);
         }
         tokio::select! {
-            changed = applied.changed() => changed.map_err(|_| Unable::NoMajority)?,
-            changed = count.changed() => changed.map_err(|_| Unable::NoMajority)?,
+            changed = applied.changed() => changed.map_err(|_| ControlUnavailable::NoMajority)?,
+            changed = count.changed() => changed.map_err(|_| ControlUnavailable::NoMajority)?,
             () = sleep_until(end) => {}
-            () = &mut lost => return Err(Unable::NoMajority),
+            () = &mut lost => return Err(ControlUnavailable::NoMajority),
         }
     }
 }
 
 fn changes(service: &Service, watch: &Watch, entries: u32) -> Update {
     let documents = service.replica().documents.load();
-    let news = match watch.entry {
+    let changes = match watch.entry {
         true => documents.since(watch.revision, watch.service.as_deref()),
         false => own_part(&documents, watch),
     };
     Update {
         revision: documents.revision,
-        news,
+        changes,
         entries,
     }
 }
 
 /// What an agent needs of its service's document: everything but workspaces
 /// and the other endpoints.
-fn own_part(documents: &Documents, watch: &Watch) -> Vec<News> {
+fn own_part(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
     let history = watch
         .service
         .as_ref()
@@ -82,7 +84,7 @@
     document
         .endpoints
         .retain(|endpoint| endpoint.name == watch.daemon);
-    vec![News::Whole(Accepted {
+    vec![DocumentChange::Whole(AcceptedDocument {
         revision: history.revision(),
         document: Arc::new(document),
     })]
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -6,11 +6,11 @@
 use dogwoodhill_control::{Extensions, Settings, run_until_drained};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::control::Answered;
-use dogwoodhill_wire::demand::{DEMAND_PATH, RequestLoss, TellDemand, Totals};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control::ControlReply;
+use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, DemandReport, RequestLoss};
 use dogwoodhill_wire::routes::{
-    FetchRoutes, FollowRoutes, PIECE_PATH, ROUTES_PATH, RoutesNews, RoutesPiece,
+    FetchRoutes, PIECE_PATH, ROUTES_PATH, RoutesPiece, RoutesStatus, WatchRoutes,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -72,32 +72,32 @@
     }
 
     /// Asks for the route set as an entry does that has none.
-    async fn routes(&self) -> Option<RoutesNews> {
-        let caller = Caller::new(SECRET.to_string());
-        let follow = FollowRoutes {
+    async fn routes(&self) -> Option<RoutesStatus> {
+        let caller = PeerClient::new(SECRET.to_string());
+        let follow = WatchRoutes {
             entry: "entry".to_string(),
             known: None,
             wait: Duration::from_millis(200),
         };
         let call = caller.call(self.settings.internal, ROUTES_PATH, &follow);
-        let answer: Answered<RoutesNews> =
+        let answer: ControlReply<RoutesStatus> =
             timeout(Duration::from_secs(4), call).await.ok()?.ok()?;
         answer.ok()
     }
 
     /// Tells it what an entry met, until it answers that a request is quarantined.
-    async fn held(&self, tell: &TellDemand) {
-        let caller = Caller::new(SECRET.to_string());
+    async fn held(&self, tell: &DemandReport) {
+        let caller = PeerClient::new(SECRET.to_string());
         let end = Instant::now() + LONG;
         while Instant::now() < end {
             let call = caller.call(self.settings.internal, DEMAND_PATH, tell);
-            let answer: Option<Totals> = timeout(Duration::from_secs(4), call)
+            let answer: Option<DemandReply> = timeout(Duration::from_secs(4), call)
                 .await
                 .ok()
                 .and_then(Result::ok);
             let suspects = answer.and_then(|totals| totals.suspects);
             let requests = suspects.map_or_else(Vec::new, |told| told.requests);
-            if requests.iter().any(|told| told.left.is_some()) {
+            if requests.iter().any(|told| told.remaining.is_some()) {
                 return;
             }
             sleep(PAUSE).await;
@@ -107,11 +107,11 @@
 
     /// Fetches the set of a version as an entry does, where it fits one piece.
     async fn piece(&self, version: Version) -> Option<RoutesPiece> {
-        let caller = Caller::new(SECRET.to_string());
+        let caller = PeerClient::new(SECRET.to_string());
         let fetch = FetchRoutes {
             version,
-            from: 0,
-            most: usize::MAX,
+            offset: 0,
+            max_bytes: usize::MAX,
         };
         let call = caller.call(self.settings.internal, PIECE_PATH, &fetch);
         timeout(Duration::from_secs(4), call).await.ok()?.ok()?
@@ -133,14 +133,14 @@
 /// Sends a change as any control instance would on behalf of an operator.
 async fn put(place: &Place, version: Version) -> bool {
     use dogwoodhill_control::command::{Action, Reply};
-    use dogwoodhill_wire::routes::HeldRoutes;
-    let caller = Caller::new(SECRET.to_string());
-    let action = Action::Routes(HeldRoutes {
+    use dogwoodhill_wire::routes::StoredRoutes;
+    let caller = PeerClient::new(SECRET.to_string());
+    let action = Action::Routes(StoredRoutes {
         version,
         source: source(version),
     });
     let call = caller.call(place.settings.internal, "/internal/submit", &action);
-    let answer: Option<Answered<Reply>> = timeout(Duration::from_secs(2), call)
+    let answer: Option<ControlReply<Reply>> = timeout(Duration::from_secs(2), call)
         .await
         .ok()
         .and_then(Result::ok);
@@ -257,16 +257,16 @@
         age: Duration::from_secs(1),
         ..RequestLoss::default()
     };
-    let lost = TellDemand {
+    let lost = DemandReport {
         entry: "entry".to_string(),
         losses: (0..3).map(loss).collect(),
-        ..TellDemand::default()
+        ..DemandReport::default()
     };
     places[0].held(&lost).await;
     // The others have it of the log alone.
-    let nothing = TellDemand {
+    let nothing = DemandReport {
         entry: "other".to_string(),
-        ..TellDemand::default()
+        ..DemandReport::default()
     };
     for place in &places {
         place.held(&nothing).await;
@@ -322,9 +322,9 @@
 
 /// An entry's poll at `place`, which waits for longer than any test.
 fn poll(place: &Place, known: Version) -> JoinHandle<()> {
-    let caller = Caller::new(SECRET.to_string());
+    let caller = PeerClient::new(SECRET.to_string());
     let address = place.settings.internal;
-    let follow = FollowRoutes {
+    let follow = WatchRoutes {
         entry: "entry".to_string(),
         known: Some(known),
         wait: LONG * 2,
@@ -332,7 +332,7 @@
     tokio::spawn(async move {
         // However it ends: with a word, or with the connection.
         let _ = caller
-            .call::<_, Answered<RoutesNews>>(address, ROUTES_PATH, &follow)
+            .call::<_, ControlReply<RoutesStatus>>(address, ROUTES_PATH, &follow)
             .await;
     })
 }
--- a/crates/control/tests/demand.rs
+++ b/crates/control/tests/demand.rs
@@ -1,21 +1,21 @@
 //! What entries tell a control instance of what comes at them.
 
 use dogwoodhill_control::demand::Demand;
-use dogwoodhill_wire::demand::{ServiceDemand, TellDemand};
+use dogwoodhill_wire::demand::{DemandReport, ServiceDemand};
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn tell(entry: &str, service: &str, fragile: f64, other: f64) -> TellDemand {
-    TellDemand {
+fn tell(entry: &str, service: &str, latency_sensitive: f64, other: f64) -> DemandReport {
+    DemandReport {
         entry: entry.to_string(),
         services: vec![ServiceDemand {
             service: service.to_string(),
-            fragile,
+            latency_sensitive,
             other,
             pauses: 0.4,
             streams: 2.0,
         }],
-        ..TellDemand::default()
+        ..DemandReport::default()
     }
 }
 
@@ -29,7 +29,7 @@
     let sums: Vec<(&str, f64, f64)> = totals
         .services
         .iter()
-        .map(|sum| (sum.service.as_str(), sum.fragile, sum.other))
+        .map(|sum| (sum.service.as_str(), sum.latency_sensitive, sum.other))
         .collect();
     assert_eq!(sums, [("chat", 8.0, 0.5), ("voice", 3.0, 7.0)]);
     let pauses: Vec<(f64, f64)> = totals
@@ -48,7 +48,7 @@
     demand.tell(now, tell("a", "voice", 1.0, 4.0));
     let totals = demand.tell(now, tell("a", "voice", 2.0, 1.0));
     let sum = &totals.services[0];
-    assert_eq!((sum.fragile, sum.other), (2.0, 1.0));
+    assert_eq!((sum.latency_sensitive, sum.other), (2.0, 1.0));
 }
 
 /// An entry was killed: two seconds later it counts no more.
@@ -59,5 +59,5 @@
     demand.tell(now, tell("a", "voice", 1.0, 4.0));
     let later = now + Duration::from_secs(2);
     let totals = demand.tell(later, tell("b", "voice", 2.0, 1.0));
-    assert_eq!(totals.services[0].fragile, 2.0);
+    assert_eq!(totals.services[0].latency_sensitive, 2.0);
 }
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_control::limits::Limits;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::demand::TellDemand;
+use dogwoodhill_wire::demand::DemandReport;
 use dogwoodhill_wire::limits::EndpointLimit;
 
 const NOW: Duration = Duration::from_secs(60);
@@ -12,17 +12,17 @@
     Incarnation::new("i-1", None)
 }
 
-fn tell(rate: Option<f64>, age: Duration, wanted: u32) -> TellDemand {
+fn tell(rate: Option<f64>, age: Duration, wanted: u32) -> DemandReport {
     let limit = EndpointLimit {
         run: run(),
         rate,
         age,
         wanted,
     };
-    TellDemand {
+    DemandReport {
         limits: vec![limit],
-        first_choice: true,
-        ..TellDemand::default()
+        preferred: true,
+        ..DemandReport::default()
     }
 }
 
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -4,10 +4,10 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::reads::{Reads, STALE};
 use dogwoodhill_wire::demand::{
-    Echo, EndpointSight, EndpointVerdict, Stamp, TellDemand, VerdictWord,
+    DemandReport, Echo, EndpointObservation, EndpointVerdict, Stamp, WireVerdict,
 };
 use dogwoodhill_wire::list::{
-    Content, ListChanges, ListRead, Listed, Mark, PackedList, mark,
+    CompressedList, EndpointRecord, ListChanges, ListRead, ListSnapshot, Mark, mark,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     Duration::from_millis(millis)
 }
 
-fn endpoints(count: usize) -> Vec<Listed> {
-    let one = |i: usize| Listed {
+fn endpoints(count: usize) -> Vec<EndpointRecord> {
+    let one = |i: usize| EndpointRecord {
         run: Incarnation::new(format!("i-{i}"), None),
         service: "voice".to_string(),
         address: ([127, 0, 0, 1], 1_000 + i as u16).into(),
@@ -39,7 +39,7 @@
         mark: named(count),
         age,
         took: ms(50),
-        whole: content.then(|| Arc::new(PackedList::of(&endpoints(count)))),
+        whole: content.then(|| Arc::new(CompressedList::of(&endpoints(count)))),
         changes: None,
     })
 }
@@ -235,22 +235,27 @@
     assert!(mean(44, 60) <= 2.0, "{counts:?}");
 }
 
-/// What entry `name` met, whose list has the mark `held`.
-fn met(name: &str, held: u64, sights: Vec<EndpointSight>, heard: Vec<u8>) -> TellDemand {
-    TellDemand {
+/// What entry `name` met, whose list has the mark `list_mark`.
+fn met(
+    name: &str,
+    list_mark: u64,
+    observations: Vec<EndpointObservation>,
+    responding: Vec<u8>,
+) -> DemandReport {
+    DemandReport {
         entry: name.to_string(),
-        held,
-        sights,
-        heard,
-        ..TellDemand::default()
+        list_mark,
+        observations,
+        responding,
+        ..DemandReport::default()
     }
 }
 
-fn lost(place: u32) -> Vec<EndpointSight> {
-    vec![EndpointSight {
-        place,
+fn lost(list_index: u32) -> Vec<EndpointObservation> {
+    vec![EndpointObservation {
+        list_index,
         unreached: true,
-        ..EndpointSight::default()
+        ..EndpointObservation::default()
     }]
 }
 
@@ -265,8 +270,8 @@
     assert_eq!(lists.verdicts(now), []);
     lists.sighted(now + ms(100), &met("b", held, lost(9), Vec::new()));
     let silent = EndpointVerdict {
-        place: 9,
-        verdict: VerdictWord::Silent,
+        list_index: 9,
+        verdict: WireVerdict::Silent,
     };
     assert_eq!(lists.verdicts(now + ms(200)), [silent]);
     let heard = vec![0, 0b10];
@@ -283,7 +288,7 @@
     let held = named(12);
     lists.tell(now, "a", held, read(12, ms(40), true));
     let stamp = lists.stamp(now);
-    let told = |name, since| TellDemand {
+    let told = |name, since| DemandReport {
         echo: Some(Echo { stamp, since }),
         ..met(name, held, lost(9), Vec::new())
     };
@@ -317,14 +322,14 @@
         lists.sighted(now + ms(100), &met(entry, held, lost(2), Vec::new()));
     }
     let mut longer = endpoints(3);
-    longer.push(Listed {
+    longer.push(EndpointRecord {
         run: Incarnation::new("a-first", None),
         ..endpoints(1).remove(0)
     });
     let changes = ListChanges::between(
         held,
         &endpoints(3),
-        &Content::new(longer.clone()).endpoints,
+        &ListSnapshot::new(longer.clone()).endpoints,
     );
     let longer = ListRead {
         mark: mark(&longer),
@@ -338,7 +343,7 @@
     let places: Vec<u32> = lists
         .verdicts(now + ms(700))
         .iter()
-        .map(|told| told.place)
+        .map(|told| told.list_index)
         .collect();
     assert_eq!(places, [3]);
 }
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -9,7 +9,7 @@
 use dogwoodhill_control::peers::{Envelope, LOG_PATH, Peers};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_wire::client::Caller;
+use dogwoodhill_wire::client::PeerClient;
 use dogwoodhill_wire::codec::decode;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -104,7 +104,7 @@
     let address = listener.address();
     tokio::spawn(listener.serve(routes, Drain::default(), Duration::ZERO));
 
-    let mut peers = Peers::new(1, Caller::new("secret".to_string()));
+    let mut peers = Peers::new(1, PeerClient::new("secret".to_string()));
     peers.send(address, append(LARGE));
     let begun = heard.recv();
     assert!(timeout(Duration::from_millis(500), begun).await.is_err());
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::quarantine::term;
 use dogwoodhill_wire::demand::{
-    RequestLoss, RequestServed, RequestStanding, Suspects, TellDemand,
+    DemandReport, RequestLoss, RequestServed, SuspectRequest, Suspects,
 };
 use tokio::sync::watch;
 
@@ -28,16 +28,16 @@
         workspace: 1,
         run: run(number),
         domain: number as u64,
-        lasted: ms(200),
+        duration: ms(200),
         age: ms(20),
     }
 }
 
-fn tell(entry: &str, losses: Vec<RequestLoss>) -> TellDemand {
-    TellDemand {
+fn tell(entry: &str, losses: Vec<RequestLoss>) -> DemandReport {
+    DemandReport {
         entry: entry.to_string(),
         losses,
-        ..TellDemand::default()
+        ..DemandReport::default()
     }
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-fn requests(news: Option<Suspects>) -> Vec<RequestStanding> {
+fn requests(news: Option<Suspects>) -> Vec<SuspectRequest> {
     news.expect("there are news").requests
 }
 
@@ -60,11 +60,11 @@
     assert_eq!(quarantines.news(NOW, 0), None);
     lost_by_three(&quarantines);
     let suspected = quarantines.news(NOW, 0);
-    assert_eq!(requests(suspected)[0].left, None, "one word each");
+    assert_eq!(requests(suspected)[0].remaining, None, "one word each");
     let found = quarantines.tell(LATER, Duration::ZERO, &tell("d", vec![]), &[]);
     assert_eq!(found[0].request, CULPRIT);
     let news = quarantines.news(LATER, 0).expect("held");
-    assert_eq!(news.requests[0].left, Some(term(1)));
+    assert_eq!(news.requests[0].remaining, Some(term(1)));
     assert_eq!(quarantines.news(LATER, news.mark), None, "known there");
 }
 
@@ -97,7 +97,7 @@
         request: CULPRIT,
         age: ms(100),
     };
-    let tell = TellDemand {
+    let tell = DemandReport {
         served: vec![served],
         ..tell("d", vec![])
     };
@@ -117,12 +117,12 @@
     let quarantines = Quarantines::following(logged);
     quarantines.tell(NOW, Duration::ZERO, &tell("a", vec![]), &[]);
     let told = requests(quarantines.news(NOW, 0));
-    assert_eq!(told[0].left, Some(ms(5_000)));
+    assert_eq!(told[0].remaining, Some(ms(5_000)));
     let other = Quarantined { request: 8, ..held };
     sender.send_replace(vec![(held, ms(4_000)), (other, ms(9_000))]);
     quarantines.tell(NOW + ms(1_000), Duration::ZERO, &tell("a", vec![]), &[]);
     let told = requests(quarantines.news(NOW + ms(1_000), 0));
-    let left: Vec<Option<Duration>> = told.iter().map(|told| told.left).collect();
+    let left: Vec<Option<Duration>> = told.iter().map(|told| told.remaining).collect();
     assert_eq!(left, [Some(ms(4_000)), Some(ms(9_000))]);
 }
 
@@ -135,7 +135,7 @@
         ..loss(CULPRIT, 1)
     };
     let long = RequestLoss {
-        lasted: Duration::MAX,
+        duration: Duration::MAX,
         ..loss(CULPRIT, 2)
     };
     let many = (0..50_000).map(|request| loss(request, 3));
--- a/crates/control/tests/reporter.rs
+++ b/crates/control/tests/reporter.rs
@@ -11,8 +11,8 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_policy::usage::{Counted, Ledger};
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::usage::{TellUsage, USAGE_PATH, UsageHeard};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::usage::{EntryUsage, USAGE_PATH, UsageReply};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -249,7 +249,7 @@
     counted: Arc<Mutex<Vec<WindowCounts>>>,
     since: Arc<AtomicU64>,
 ) {
-    let caller = Caller::new(SECRET.to_string());
+    let caller = PeerClient::new(SECRET.to_string());
     let windows = Windows::new(WINDOW);
     let mut ledger = Ledger::default();
     let mut holder = None;
@@ -270,7 +270,7 @@
         let order: Vec<SocketAddr> = holder.into_iter().chain(others).collect();
         for address in order {
             let known = last.filter(|known: &(SocketAddr, u64)| known.0 == address);
-            let told = TellUsage {
+            let told = EntryUsage {
                 entry: format!("entry-{run}"),
                 run,
                 wall: now,
@@ -281,14 +281,14 @@
             let call = caller.call(address, USAGE_PATH, &told);
             let heard = timeout(Duration::from_millis(500), call).await;
             let Ok(Ok(heard)) = heard else { continue };
-            let heard: UsageHeard = heard;
+            let heard: UsageReply = heard;
             let _ =
                 since.compare_exchange(0, window, Ordering::Relaxed, Ordering::Relaxed);
             last = Some((address, heard.instance));
             ledger.acknowledged(heard.instance, &told.windows);
             ledger.fixed(heard.next);
-            holder = heard.holder;
-            if heard.settled {
+            holder = heard.reporter;
+            if heard.has_quorum {
                 break;
             }
         }
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -5,7 +5,8 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::quarantine::term;
 use dogwoodhill_wire::control::{
-    Acquire, ClaimKey, Ended, Finish, Lease, Recorded, Take, Taken,
+    Acquire, ClaimEnd, ClaimKey, ClaimReply, FinishClaim, LeaseReply, RecordedResponse,
+    TakeClaim,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -47,12 +48,12 @@
         }))
     }
 
-    fn take(&mut self, key: &str, digest: u8, holder: u128) -> Taken {
-        let take = Take {
+    fn take(&mut self, key: &str, digest: u8, holder: u128) -> ClaimReply {
+        let take = TakeClaim {
             claim: claim(key),
             digest: [digest; 32],
             holder,
-            lasting: 10 * SECOND,
+            duration: 10 * SECOND,
             retention: 100 * SECOND,
         };
         match self.apply(Action::Take(take)) {
@@ -61,21 +62,21 @@
         }
     }
 
-    fn finish(&mut self, key: &str, holder: u128, ended: Ended) {
+    fn finish(&mut self, key: &str, holder: u128, ended: ClaimEnd) {
         let claim = claim(key);
-        self.apply(Action::Finish(Finish {
+        self.apply(Action::Finish(FinishClaim {
             claim,
             holder,
             ended,
         }));
     }
 
-    fn acquire(&mut self, holder: u128, lasting: Duration) -> Lease {
+    fn acquire(&mut self, holder: u128, duration: Duration) -> LeaseReply {
         let acquire = Acquire {
             service: "svc".to_string(),
             endpoint: "e".to_string(),
             holder,
-            lasting,
+            duration,
         };
         match self.apply(Action::Acquire(acquire)) {
             Reply::Lease(lease) => lease,
@@ -102,8 +103,8 @@
     )
 }
 
-fn recorded() -> Ended {
-    Ended::Ran(Recorded {
+fn recorded() -> ClaimEnd {
+    ClaimEnd::Ran(RecordedResponse {
         status: 200,
         headers: Vec::new(),
         body: None,
@@ -144,25 +145,25 @@
 #[test]
 fn take_second_holder_waits_then_gets_answer() {
     let mut cluster = Cluster::new();
-    assert_eq!(cluster.take("k", 1, 1), Taken::Granted);
-    assert_eq!(cluster.take("k", 1, 2), Taken::InProgress);
-    assert_eq!(cluster.take("k", 2, 2), Taken::Reused);
+    assert_eq!(cluster.take("k", 1, 1), ClaimReply::Granted);
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::InProgress);
+    assert_eq!(cluster.take("k", 2, 2), ClaimReply::Reused);
     assert_eq!(
         cluster.take("k", 1, 1),
-        Taken::Granted,
+        ClaimReply::Granted,
         "the same delivery again"
     );
     cluster.finish("k", 1, recorded());
-    assert_eq!(cluster.take("k", 1, 2), Taken::Ended(recorded()));
-    assert_eq!(cluster.take("k", 1, 1), Taken::Ended(recorded()));
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::ClaimEnd(recorded()));
+    assert_eq!(cluster.take("k", 1, 1), ClaimReply::ClaimEnd(recorded()));
 }
 
 #[test]
 fn take_after_not_run_granted_again() {
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
-    cluster.finish("k", 1, Ended::NotRun);
-    assert_eq!(cluster.take("k", 1, 2), Taken::Granted);
+    cluster.finish("k", 1, ClaimEnd::NotRun);
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::Granted);
 }
 
 #[test]
@@ -170,12 +171,18 @@
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
     cluster.now = 11 * SECOND;
-    assert_eq!(cluster.take("k", 1, 2), Taken::Ended(Ended::Unknown));
-    assert_eq!(cluster.take("k", 1, 1), Taken::Ended(Ended::Unknown));
+    assert_eq!(
+        cluster.take("k", 1, 2),
+        ClaimReply::ClaimEnd(ClaimEnd::Unknown)
+    );
+    assert_eq!(
+        cluster.take("k", 1, 1),
+        ClaimReply::ClaimEnd(ClaimEnd::Unknown)
+    );
     cluster.now = 111 * SECOND;
     assert_eq!(
         cluster.take("k", 1, 2),
-        Taken::Granted,
+        ClaimReply::Granted,
         "after its retention"
     );
 }
@@ -184,24 +191,34 @@
 fn finish_by_other_holder_ignored() {
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
-    cluster.finish("k", 9, Ended::NotRun);
-    assert_eq!(cluster.take("k", 1, 2), Taken::InProgress);
+    cluster.finish("k", 9, ClaimEnd::NotRun);
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::InProgress);
 }
 
 #[test]
 fn acquire_numbers_only_rise() {
     let mut cluster = Cluster::new();
-    assert_eq!(cluster.acquire(1, 20 * SECOND), Lease::Held(1));
+    assert_eq!(cluster.acquire(1, 20 * SECOND), LeaseReply::Held(1));
     cluster.now = 5 * SECOND;
-    assert_eq!(cluster.acquire(1, 20 * SECOND), Lease::Held(1), "prolonged");
-    assert_eq!(cluster.acquire(2, 20 * SECOND), Lease::Other(20 * SECOND));
+    assert_eq!(
+        cluster.acquire(1, 20 * SECOND),
+        LeaseReply::Held(1),
+        "prolonged"
+    );
+    assert_eq!(
+        cluster.acquire(2, 20 * SECOND),
+        LeaseReply::Other(20 * SECOND)
+    );
     cluster.now = 25 * SECOND;
-    assert_eq!(cluster.acquire(2, 20 * SECOND), Lease::Held(2));
-    assert_eq!(cluster.acquire(1, 20 * SECOND), Lease::Other(20 * SECOND));
+    assert_eq!(cluster.acquire(2, 20 * SECOND), LeaseReply::Held(2));
+    assert_eq!(
+        cluster.acquire(1, 20 * SECOND),
+        LeaseReply::Other(20 * SECOND)
+    );
     cluster.acquire(2, Duration::ZERO);
     assert_eq!(
         cluster.acquire(1, 20 * SECOND),
-        Lease::Held(3),
+        LeaseReply::Held(3),
         "given back"
     );
 }
@@ -212,7 +229,7 @@
     cluster.now = 50 * SECOND;
     cluster.acquire(1, 20 * SECOND);
     cluster.now = Duration::ZERO;
-    assert_eq!(cluster.acquire(2, SECOND), Lease::Other(20 * SECOND));
+    assert_eq!(cluster.acquire(2, SECOND), LeaseReply::Other(20 * SECOND));
     assert_eq!(cluster.state.now, 50 * SECOND);
 }
 
@@ -283,14 +300,14 @@
             let slot = &mut granted[usize::from(key)];
             match what {
                 0 => {
-                    cluster.finish(&name, holder, Ended::NotRun);
+                    cluster.finish(&name, holder, ClaimEnd::NotRun);
                     if *slot == Some(holder) && !finished(&mut cluster, &name) {
                         *slot = None;
                     }
                 }
                 1 => cluster.finish(&name, holder, recorded()),
                 _ => {
-                    if cluster.take(&name, 1, holder) == Taken::Granted {
+                    if cluster.take(&name, 1, holder) == ClaimReply::Granted {
                         prop_assert!(slot.is_none() || *slot == Some(holder));
                         *slot = Some(holder);
                     }
@@ -306,9 +323,9 @@
 fn finished(cluster: &mut Cluster, key: &str) -> bool {
     const STRANGER: u128 = 99;
     match cluster.take(key, 1, STRANGER) {
-        Taken::Ended(_) => true,
-        Taken::Granted => {
-            cluster.finish(key, STRANGER, Ended::NotRun);
+        ClaimReply::ClaimEnd(_) => true,
+        ClaimReply::Granted => {
+            cluster.finish(key, STRANGER, ClaimEnd::NotRun);
             false
         }
         _ => true,
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -38,19 +38,19 @@
 impl Counts {
     /// Requests that count for the objective: all but those whose caller
     /// went away.
-    pub fn judged(&self) -> u64 {
+    pub fn eligible(&self) -> u64 {
         self.attained + self.missed + self.shed + self.failed + self.unknown
     }
 
     /// Share of judged requests that met the target; `None` without any.
     pub fn attainment(&self) -> Option<f64> {
-        let judged = self.judged();
-        (judged > 0).then(|| self.attained as f64 / judged as f64)
+        let eligible = self.eligible();
+        (eligible > 0).then(|| self.attained as f64 / eligible as f64)
     }
 
     /// How fast the error budget burns: 1 is exactly as fast as the objective
     /// allows (the burn rate of the Site Reliability Workbook, chapter 5).
-    pub fn burn(&self, objective: f64) -> Option<f64> {
+    pub fn burn_rate(&self, objective: f64) -> Option<f64> {
         let allowed = 1.0 - objective;
         self.attainment().map(|share| (1.0 - share) / allowed)
     }
--- a/crates/core/src/fault.rs
+++ b/crates/core/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! Faults found in text that people write, each with its remedy.
+//! Diagnostics found in text that people write, each with its remedy.
 
 use derive_more::Display;
 use std::error::Error;
@@ -7,7 +7,7 @@
 /// One fault in a settings file or service document.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{file}:{line}: {key}: {problem}; {remedy}")]
-pub struct Fault {
+pub struct Diagnostic {
     /// Name of the file or document.
     pub file: String,
     /// Line, counted from 1.
@@ -22,18 +22,18 @@
 
 /// Every fault of one text, in order of line. Never empty when used as error.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct Diagnostics(pub Vec<Diagnostic>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, fault) in self.0.iter().enumerate() {
+        for (i, diagnostic) in self.0.iter().enumerate() {
             if i > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{fault}")?;
+            write!(f, "{diagnostic}")?;
         }
         Ok(())
     }
 }
 
-impl Error for Faults {}
+impl Error for Diagnostics {}
--- a/crates/core/src/document/check.rs
+++ b/crates/core/src/document/check.rs
@@ -29,10 +29,10 @@
     ];
     for (key, count, most) in lists {
         if count == 0 {
-            s.fault(key, "is empty", "list at least one");
+            s.report(key, "is empty", "list at least one");
         }
         if count > most {
-            s.fault(
+            s.report(
                 key,
                 &format!("has {count} items"),
                 &format!("list at most {most}"),
@@ -47,7 +47,7 @@
     for pair in sorted.windows(2) {
         if pair[0] == pair[1] {
             let problem = format!("names {:?} twice", pair[0]);
-            s.fault(key, &problem, "give each its own name");
+            s.report(key, &problem, "give each its own name");
         }
     }
 }
@@ -59,7 +59,7 @@
     let default = &doc.default_class;
     if !default.is_empty() && !doc.classes.iter().any(|c| c.name == *default) {
         let problem = format!("names {default:?}, which is no class");
-        s.fault("default_class", &problem, "name one of the classes");
+        s.report("default_class", &problem, "name one of the classes");
     }
 }
 
@@ -69,20 +69,20 @@
     let parts = [target.first_token, target.token_gap, target.finish];
     if parts.iter().all(Option::is_none) {
         let problem = format!("of class {name:?} has no target");
-        s.fault("classes", &problem, "set first_token, token_gap or finish");
+        s.report("classes", &problem, "set first_token, token_gap or finish");
     }
     if kind == Kind::Plain && target.token_gap.is_some() {
         let problem = format!("of class {name:?} has a token_gap in a plain service");
-        s.fault("classes", &problem, "use finish or first_token");
+        s.report("classes", &problem, "use finish or first_token");
     }
     let longest = target.first_token.max(target.finish);
     if longest > Some(class.timeout) {
         let problem = format!("of class {name:?} has a target beyond its timeout");
-        s.fault("classes", &problem, "raise timeout or lower the target");
+        s.report("classes", &problem, "raise timeout or lower the target");
     }
     if target.first_token > target.finish && target.finish.is_some() {
         let problem = format!("of class {name:?} has first_token after finish");
-        s.fault("classes", &problem, "lower first_token or raise finish");
+        s.report("classes", &problem, "lower first_token or raise finish");
     }
 }
 
@@ -92,10 +92,10 @@
     };
     if doc.state == State::Active {
         let remedy = "set state to retiring or remove successor";
-        s.fault("successor", "is set on an active service", remedy);
+        s.report("successor", "is set on an active service", remedy);
     }
     if *successor == doc.service {
-        s.fault(
+        s.report(
             "successor",
             "names the service itself",
             "name another service",
@@ -109,7 +109,7 @@
     for pair in addresses.windows(2) {
         if pair[0] == pair[1] {
             let problem = format!("use the agent {} twice", pair[0]);
-            s.fault("endpoints", &problem, "run one agent beside each endpoint");
+            s.report("endpoints", &problem, "run one agent beside each endpoint");
         }
     }
 }
@@ -120,24 +120,24 @@
     keys.sort();
     if keys.windows(2).any(|pair| pair[0] == pair[1]) {
         let remedy = "give each workspace its own keys";
-        s.fault("workspaces", "hold the same key twice", remedy);
+        s.report("workspaces", "hold the same key twice", remedy);
     }
 }
 
 pub(super) fn rule(s: &Section<'_, '_>, rule: &Rule) {
     if *rule == Rule::default() {
         let remedy = "set method, path or header with value";
-        s.fault("match", "matches every request", remedy);
+        s.report("match", "matches every request", remedy);
     }
     if rule.header.is_some() != rule.value.is_some() {
-        s.fault("header", "and value go together", "set both or neither");
+        s.report("header", "and value go together", "set both or neither");
     }
     if rule
         .path
         .as_ref()
         .is_some_and(|path| !path.starts_with('/'))
     {
-        s.fault(
+        s.report(
             "path",
             "does not start with a slash",
             "write it as \"/...\"",
--- a/crates/core/src/document/parse.rs
+++ b/crates/core/src/document/parse.rs
@@ -2,7 +2,7 @@
 
 use super::check;
 use super::*;
-use crate::fault::Faults;
+use crate::diagnostic::Diagnostics;
 use crate::text::{Section, Text};
 
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// Every fault of the text, each with line, key and remedy.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, document)
     }
 }
@@ -101,7 +101,7 @@
     let parsed: Option<Vec<_>> = parsed;
     if parsed.is_none() {
         let remedy = "write sha256: and the 64 hexadecimal digits of the key's hash";
-        s.fault("keys", "holds something else than a hashed key", remedy);
+        s.report("keys", "holds something else than a hashed key", remedy);
     }
     parsed.unwrap_or_default()
 }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -15,7 +15,7 @@
 
 /// What a fingerprint is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Content<'a> {
+pub struct RequestContent<'a> {
     /// Workspace of the caller, where callers have one.
     pub workspace: Option<&'a WorkspaceId>,
     /// Method.
@@ -46,7 +46,7 @@
     }
 
     /// The fingerprint of a request.
-    pub fn of(&self, content: &Content<'_>) -> Fingerprint {
+    pub fn of(&self, content: &RequestContent<'_>) -> Fingerprint {
         let mut hash = self.keyed.clone();
         hash.update([u8::from(content.workspace.is_some())]);
         let workspace = content.workspace.map_or("", String::as_str);
@@ -68,7 +68,7 @@
 }
 
 /// The beginning of a fingerprint, for logs.
-pub fn shown(fingerprint: Fingerprint) -> String {
+pub fn short_form(fingerprint: Fingerprint) -> String {
     let mut text = format!("{fingerprint:032x}");
     text.truncate(SHOWN_DIGITS);
     text
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -29,14 +29,14 @@
 /// Number of tiers a document may use (0 to `TIERS - 1`).
 pub const TIERS: usize = 6;
 /// The longest name of a service, class, workspace, endpoint or domain.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 
-/// Tells whether `name` may be used as a name: 1 to [`MAX_NAME`] characters
+/// Tells whether `name` may be used as a name: 1 to [`MAX_NAME_LEN`] characters
 /// out of `a-z A-Z 0-9 . _ -`, not starting with a dot or a dash.
-pub fn valid_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let ok = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     !name.is_empty()
-        && name.len() <= MAX_NAME
+        && name.len() <= MAX_NAME_LEN
         && name.chars().all(ok)
         && !name.starts_with(['.', '-'])
 }
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -16,7 +16,7 @@
 
 /// When an endpoint started, in milliseconds since the Unix epoch by its own
 /// clock.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// One run of an endpoint's process; ordered by name, then start.
 #[derive(
@@ -27,20 +27,20 @@
     pub id: EndpointId,
     /// Its start; `None` where nobody told it.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub start: Option<StartTime>,
 }
 
 impl Incarnation {
-    /// The run of `id` that started at `born`.
-    pub fn new(id: impl Into<EndpointId>, born: Option<Born>) -> Self {
+    /// The run of `id` that started at `start`.
+    pub fn new(id: impl Into<EndpointId>, start: Option<StartTime>) -> Self {
         let id = id.into();
-        Self { id, born }
+        Self { id, start }
     }
 
     /// How the start of this run compares with `other`'s, of the same name. A
     /// start that nobody told says nothing against the one that is known.
     pub fn cmp_start(&self, other: &Self) -> Ordering {
-        match (self.born, other.born) {
+        match (self.start, other.start) {
             (Some(own), Some(other)) => own.cmp(&other),
             _ => Ordering::Equal,
         }
@@ -49,8 +49,8 @@
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}@{born}", self.id),
+        match self.start {
+            Some(start) => write!(f, "{}@{start}", self.id),
             None => f.write_str(&self.id),
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,9 +12,9 @@
 //!   that no byte reached the endpoint.
 
 pub mod burn;
+pub mod diagnostic;
 pub mod document;
 pub mod event;
-pub mod fault;
 pub mod fingerprint;
 pub mod ids;
 pub mod incarnation;
@@ -26,14 +26,14 @@
 
 /// The names most modules need, for one import line.
 pub mod prelude {
+    pub use crate::diagnostic::{Diagnostic, Diagnostics};
     pub use crate::document::{
         Class, Endpoint, Kind, Repeat, ServiceDocument, State, Workspace,
     };
     pub use crate::event::Event;
-    pub use crate::fault::{Fault, Faults};
     pub use crate::fingerprint::Fingerprint;
     pub use crate::ids::*;
-    pub use crate::incarnation::{Born, Incarnation};
+    pub use crate::incarnation::{Incarnation, StartTime};
     pub use crate::outcome::Outcome;
     pub use crate::text::Section;
     pub use crate::usage::{TrueTime, Window, WindowCounts, Windows, WorkspaceCount};
--- a/crates/core/src/text.rs
+++ b/crates/core/src/text.rs
@@ -6,8 +6,8 @@
 //! still returns a value (a default), which must not be used: the caller asks
 //! `Text::finish` and gets either a value or all faults.
 
-use crate::fault::{Fault, Faults};
-use crate::ids::valid_name;
+use crate::diagnostic::{Diagnostic, Diagnostics};
+use crate::ids::is_valid_name;
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
@@ -23,7 +23,7 @@
 pub struct Text<'a> {
     file: &'a str,
     source: &'a str,
-    faults: RefCell<Vec<Fault>>,
+    diagnostics: RefCell<Vec<Diagnostic>>,
 }
 
 impl<'a> Text<'a> {
@@ -36,11 +36,11 @@
         file: &'a str,
         source: &'a str,
         read: impl FnOnce(&mut Section<'_, 'a>) -> T,
-    ) -> Result<T, Faults> {
+    ) -> Result<T, Diagnostics> {
         let text = Self {
             file,
             source,
-            faults: RefCell::default(),
+            diagnostics: RefCell::default(),
         };
         let parsed = parse_to_ast(source, &CollectOptions::default(), &options());
         let value = match parsed {
@@ -48,12 +48,12 @@
             Err(error) => {
                 let problem = error.kind().to_string();
                 let offset = error.range().start;
-                text.fault(offset, "(text)", &problem, "write valid JSON with comments");
+                text.report(offset, "(text)", &problem, "write valid JSON with comments");
                 return text.finish(None);
             }
         };
         let Some(Value::Object(object)) = value else {
-            text.fault(
+            text.report(
                 0,
                 "(text)",
                 "is not an object",
@@ -67,19 +67,19 @@
         text.finish(Some(out))
     }
 
-    fn finish<T>(self, value: Option<T>) -> Result<T, Faults> {
-        let mut faults = self.faults.into_inner();
-        faults.sort_by_key(|fault| fault.line);
+    fn finish<T>(self, value: Option<T>) -> Result<T, Diagnostics> {
+        let mut diagnostics = self.diagnostics.into_inner();
+        diagnostics.sort_by_key(|diagnostic| diagnostic.line);
         match value {
-            Some(value) if faults.is_empty() => Ok(value),
-            _ => Err(Faults(faults)),
+            Some(value) if diagnostics.is_empty() => Ok(value),
+            _ => Err(Diagnostics(diagnostics)),
         }
     }
 
-    fn fault(&self, offset: usize, key: &str, problem: &str, remedy: &str) {
+    fn report(&self, offset: usize, key: &str, problem: &str, remedy: &str) {
         let before = &self.source.as_bytes()[..offset.min(self.source.len())];
         let line = 1 + before.iter().filter(|b| **b == b'\n').count();
-        self.faults.borrow_mut().push(Fault {
+        self.diagnostics.borrow_mut().push(Diagnostic {
             file: self.file.to_string(),
             line,
             key: key.to_string(),
@@ -134,14 +134,14 @@
     }
 
     /// Records a fault of `key`.
-    pub fn fault(&self, key: &str, problem: &str, remedy: &str) {
-        let place = self
+    pub fn report(&self, key: &str, problem: &str, remedy: &str) {
+        let position = self
             .object
             .properties
             .iter()
             .find(|prop| prop.name.as_str() == key)
             .map_or(self.object.range.start, |prop| prop.range.start);
-        self.text.fault(place, &self.key(key), problem, remedy);
+        self.text.report(position, &self.key(key), problem, remedy);
     }
 
     fn value(&mut self, key: &str) -> Option<&'t Value<'a>> {
@@ -162,7 +162,7 @@
     }
 
     fn missing(&self, key: &str, what: &str) {
-        self.fault(key, "is missing", &format!("add {key} as {what}"));
+        self.report(key, "is missing", &format!("add {key} as {what}"));
     }
 
     /// Optional text.
@@ -171,7 +171,7 @@
             None => default.to_string(),
             Some(Value::StringLit(lit)) => lit.value.to_string(),
             Some(_) => {
-                self.fault(key, "is not text", "write it in double quotes");
+                self.report(key, "is not text", "write it in double quotes");
                 default.to_string()
             }
         }
@@ -186,7 +186,7 @@
         self.text_or(key, "")
     }
 
-    /// Required name; see [`valid_name`].
+    /// Required name; see [`is_valid_name`].
     pub fn name(&mut self, key: &str) -> String {
         if !self.has(key) {
             self.missing(key, "a name");
@@ -198,9 +198,9 @@
     /// Optional name.
     pub fn name_or(&mut self, key: &str, default: &str) -> String {
         let name = self.text_or(key, default);
-        if self.has(key) && !valid_name(&name) {
+        if self.has(key) && !is_valid_name(&name) {
             let remedy = "use 1 to 64 letters, digits, dots, dashes or underscores, not starting with a dot or dash";
-            self.fault(key, "is not a valid name", remedy);
+            self.report(key, "is not a valid name", remedy);
         }
         name
     }
@@ -218,7 +218,7 @@
             Some(index) => index,
             None => {
                 let remedy = format!("write one of {}", words.join(", "));
-                self.fault(key, &format!("is {text:?}"), &remedy);
+                self.report(key, &format!("is {text:?}"), &remedy);
                 default.unwrap_or(0)
             }
         }
@@ -267,12 +267,12 @@
                 Ok(number) if range.contains(&number) => number,
                 _ => {
                     let problem = format!("is {}", lit.value);
-                    self.fault(key, &problem, &format!("write {what}"));
+                    self.report(key, &problem, &format!("write {what}"));
                     fallback
                 }
             },
             Some(_) => {
-                self.fault(key, "is not a number", &format!("write {what}"));
+                self.report(key, "is not a number", &format!("write {what}"));
                 fallback
             }
         }
@@ -284,7 +284,7 @@
             None => default,
             Some(Value::BooleanLit(lit)) => lit.value,
             Some(_) => {
-                self.fault(key, "is not true or false", "write true or false");
+                self.report(key, "is not true or false", "write true or false");
                 default
             }
         }
@@ -312,7 +312,7 @@
         match humantime::parse_duration(&text) {
             Ok(duration) if range.contains(&duration) => duration,
             _ => {
-                self.fault(key, &format!("is {text:?}"), &format!("write {what}"));
+                self.report(key, &format!("is {text:?}"), &format!("write {what}"));
                 fallback
             }
         }
@@ -345,7 +345,7 @@
         let parsed = text.parse().ok();
         if parsed.is_none() {
             let remedy = "write an IP number and a port, such as \"127.0.0.1:8080\"";
-            self.fault(key, &format!("is {text:?}"), remedy);
+            self.report(key, &format!("is {text:?}"), remedy);
         }
         parsed
     }
@@ -356,14 +356,16 @@
             return Vec::new();
         };
         let Value::Array(array) = value else {
-            self.fault(key, "is not a list", "write a list in square brackets");
+            self.report(key, "is not a list", "write a list in square brackets");
             return Vec::new();
         };
         let mut out = Vec::new();
         for element in &array.elements {
             match element {
                 Value::StringLit(lit) => out.push(lit.value.to_string()),
-                _ => self.fault(key, "holds something else than text", "quote each item"),
+                _ => {
+                    self.report(key, "holds something else than text", "quote each item")
+                }
             }
         }
         out
@@ -386,7 +388,7 @@
     ) -> Option<T> {
         let value = self.value(key)?;
         let Value::Object(object) = value else {
-            self.fault(key, "is not an object", "write an object in braces");
+            self.report(key, "is not an object", "write an object in braces");
             return None;
         };
         let mut inner = Section::new(self.text, self.key(key), object);
@@ -405,7 +407,7 @@
             return Vec::new();
         };
         let Value::Array(array) = value else {
-            self.fault(key, "is not a list", "write a list in square brackets");
+            self.report(key, "is not a list", "write a list in square brackets");
             return Vec::new();
         };
         let mut out = Vec::new();
@@ -413,7 +415,7 @@
             let path = format!("{}[{i}]", self.key(key));
             let Value::Object(object) = element else {
                 let at = element.range().start;
-                self.text.fault(
+                self.text.report(
                     at,
                     &path,
                     "is not an object",
@@ -438,10 +440,10 @@
                 let known = self.known();
                 let remedy = format!("remove it or use one of {known}");
                 self.text
-                    .fault(at, &self.key(name), "is an unknown key", &remedy);
+                    .report(at, &self.key(name), "is an unknown key", &remedy);
             }
             if names.contains(&name) {
-                self.text.fault(
+                self.text.report(
                     at,
                     &self.key(name),
                     "is written twice",
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -1,8 +1,8 @@
 //! Which requests count as the same.
 
-use dogwoodhill_core::fingerprint::{Content, Fingerprinter, shown};
+use dogwoodhill_core::fingerprint::{Fingerprinter, RequestContent, short_form};
 
-const LETTER: Content<'_> = Content {
+const LETTER: RequestContent<'_> = RequestContent {
     workspace: None,
     method: "POST",
     host: "desk.example",
@@ -21,32 +21,32 @@
 fn of_each_part_counts() {
     let (desk, nobody) = ("desk".to_string(), String::new());
     let others = [
-        Content {
+        RequestContent {
             workspace: Some(&desk),
             ..LETTER
         },
-        Content {
+        RequestContent {
             workspace: Some(&nobody),
             ..LETTER
         },
-        Content {
+        RequestContent {
             method: "PUT",
             ..LETTER
         },
-        Content {
+        RequestContent {
             host: "desk2.example",
             ..LETTER
         },
-        Content {
+        RequestContent {
             target: "/letters/2f?a",
             ..LETTER
         },
-        Content {
+        RequestContent {
             body: b"weather ",
             ..LETTER
         },
         // The same bytes, split in another place.
-        Content {
+        RequestContent {
             target: "/letters/2fw",
             body: b"eather",
             ..LETTER
@@ -63,7 +63,7 @@
 #[test]
 fn shown_only_a_beginning() {
     let fingerprint = Fingerprinter::new("k").of(&LETTER);
-    assert!(format!("{fingerprint:032x}").starts_with(&shown(fingerprint)));
-    assert_eq!(shown(fingerprint).len(), 8);
-    assert_eq!(shown(7), "00000000");
+    assert!(format!("{fingerprint:032x}").starts_with(&short_form(fingerprint)));
+    assert_eq!(short_form(fingerprint).len(), 8);
+    assert_eq!(short_form(7), "00000000");
 }
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -20,7 +20,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, |s| {
             let key_file = s.has("key_file").then(|| PathBuf::from(s.text("key_file")));
             let settings = Self {
@@ -29,7 +29,7 @@
             };
             if settings.control.is_empty() {
                 let remedy = "list the operators' addresses of the control instances";
-                s.fault("control", "is empty", remedy);
+                s.report("control", "is empty", remedy);
             }
             settings
         })
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -3,8 +3,8 @@
 //! A daemon reads its settings anew on `SIGHUP`, and when the file changed
 //! without a signal. Settings that can't be read leave the ones in force.
 
+use dogwoodhill_core::diagnostic::Diagnostics;
 use dogwoodhill_core::event::Event;
-use dogwoodhill_core::fault::Faults;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -21,7 +21,7 @@
 /// Follows `path`, which `read` understands.
 pub fn follow<S: Send + Sync + 'static>(
     path: PathBuf,
-    read: fn(&str, &str) -> Result<S, Faults>,
+    read: fn(&str, &str) -> Result<S, Diagnostics>,
 ) -> Changed<S> {
     let (sender, changed) = watch::channel(None);
     tokio::spawn(async move {
@@ -61,7 +61,7 @@
 
 fn load<S>(
     path: &Path,
-    read: fn(&str, &str) -> Result<S, Faults>,
+    read: fn(&str, &str) -> Result<S, Diagnostics>,
     signalled: bool,
 ) -> Option<S> {
     let file = path.display().to_string();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -4,8 +4,8 @@
 use crate::log_queue::{self, LogQueue};
 use crate::reload::{self, Changed};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
+use dogwoodhill_core::diagnostic::Diagnostics;
 use dogwoodhill_core::event::Event;
-use dogwoodhill_core::fault::Faults;
 use std::fmt::Display;
 use std::io::Write;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// Every fault in the text.
-    fn settings(file: &str, text: &str) -> Result<Self::Settings, Faults>;
+    fn settings(file: &str, text: &str) -> Result<Self::Settings, Diagnostics>;
 
     /// Adds arguments of its own to the command line.
     fn arguments(command: Command) -> Command {
--- a/crates/direct/src/agree.rs
+++ b/crates/direct/src/agree.rs
@@ -13,7 +13,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_wire::client::CallError;
-use dogwoodhill_wire::demand::{DEMAND_PATH, Echo, Stamp, TellDemand, Totals};
+use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, DemandReport, Echo, Stamp};
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -116,24 +116,24 @@
     follower: &Follower,
     shared: &Shared,
     stamps: &mut Stamps,
-) -> Result<Totals, Unheard> {
-    let (held, list) = shared.lists.told();
-    let (sights, heard) = shared.lists.sights();
+) -> Result<DemandReply, Unheard> {
+    let (list_mark, list) = shared.lists.told();
+    let (observations, responding) = shared.lists.sights();
     let (limits, limits_mark) = shared.directory.limit_news();
-    let mut tell = TellDemand {
+    let mut tell = DemandReport {
         entry: follower.name.clone(),
         services: shared.directory.demanded(),
-        held,
+        list_mark,
         list,
-        sights,
-        heard,
+        observations,
+        responding,
         echo: None,
         losses: Vec::new(),
         served: Vec::new(),
-        suspects: 0,
+        suspects_mark: 0,
         limits,
         limits_mark,
-        first_choice: true,
+        preferred: true,
     };
     let told = follower.control().instances();
     let patience = if shared.lists.known() {
@@ -148,10 +148,10 @@
         let news = shared.suspects.news(run);
         tell.losses.clone_from(&news.losses);
         tell.served.clone_from(&news.served);
-        tell.suspects = news.mark;
+        tell.suspects_mark = news.mark;
         let asked = uptime();
         let call = follower.caller.call(address, DEMAND_PATH, &tell);
-        let answered: Result<Result<Totals, CallError>, _> =
+        let answered: Result<Result<DemandReply, CallError>, _> =
             timeout(patience, call).await;
         reason = match answered {
             Ok(Ok(mut totals)) => {
@@ -170,7 +170,7 @@
             Ok(Err(error)) => Unheard::Failed(error),
             Err(_) => Unheard::Silent(address),
         };
-        tell.first_choice = false;
+        tell.preferred = false;
     }
     Err(reason)
 }
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -8,7 +8,7 @@
 pub use dogwoodhill_policy::backoff::Retry;
 pub use dogwoodhill_policy::permits::Limit;
 use dogwoodhill_route::prelude::Rank;
-pub use dogwoodhill_wire::list::Listed;
+pub use dogwoodhill_wire::list::EndpointRecord;
 use http::{HeaderMap, StatusCode};
 use std::fmt::Debug;
 use std::pin::Pin;
@@ -181,7 +181,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListContent {
     /// Endpoints.
-    pub endpoints: Vec<Listed>,
+    pub endpoints: Vec<EndpointRecord>,
     /// Why entries were left out, and how many of them.
     pub flaws: Vec<(Flaw, usize)>,
     /// Names the page that follows; `None` on the last one.
@@ -193,7 +193,7 @@
 
 impl ListContent {
     /// Adds an entry, or what is wrong with it.
-    pub fn add(&mut self, entry: Result<Listed, Flaw>) {
+    pub fn add(&mut self, entry: Result<EndpointRecord, Flaw>) {
         match entry {
             Ok(listed) => self.endpoints.push(listed),
             Err(flaw) => self.left_out(flaw, 1),
@@ -217,8 +217,8 @@
     }
 }
 
-impl From<Vec<Listed>> for ListContent {
-    fn from(endpoints: Vec<Listed>) -> Self {
+impl From<Vec<EndpointRecord>> for ListContent {
+    fn from(endpoints: Vec<EndpointRecord>) -> Self {
         Self {
             endpoints,
             ..Self::default()
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -22,7 +22,7 @@
 use dogwoodhill_daemon::health;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_route::set::SetFormat;
-use dogwoodhill_wire::client::Caller;
+use dogwoodhill_wire::client::PeerClient;
 use error_stack::{Report, ResultExt};
 use http::StatusCode;
 use std::net::SocketAddr;
@@ -127,7 +127,7 @@
         };
         let follower = Arc::new(Follower {
             sink: Arc::new(sink),
-            caller: Caller::new(settings.secret.clone()),
+            caller: PeerClient::new(settings.secret.clone()),
             name: settings.name.clone(),
             control: Mutex::new(control),
             fetching: Fetching::new(&settings.name),
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -15,7 +15,7 @@
 pub use endpoint::{Endpoint, Sent};
 pub use standing::Standing;
 
-use crate::dialect::{Listed, Prompt};
+use crate::dialect::{EndpointRecord, Prompt};
 use arc_swap::ArcSwap;
 use demand::Demand;
 use dogwoodhill_core::prelude::*;
@@ -111,7 +111,7 @@
     /// started again is another endpoint. Of several entries with one name the one
     /// with the latest start counts, and among equal ones the one in use, or the
     /// first.
-    pub fn update(&self, listed: Vec<Listed>) {
+    pub fn update(&self, listed: Vec<EndpointRecord>) {
         let snapshot = self.snapshot.load();
         let old = &snapshot.all;
         let endpoints = self.arrange(old, listed);
@@ -135,7 +135,7 @@
     fn arrange(
         &self,
         old: &[Arc<Endpoint>],
-        mut listed: Vec<Listed>,
+        mut listed: Vec<EndpointRecord>,
     ) -> Vec<Arc<Endpoint>> {
         let now = self.start.elapsed();
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
@@ -145,13 +145,13 @@
             }
         }
         runs.forget(now);
-        let in_use = |listed: &Listed| {
+        let in_use = |listed: &EndpointRecord| {
             let known = find(old, &listed.run.id);
             known.is_some_and(|known| known.is_listed_as(listed))
         };
         listed.sort_by_cached_key(|listed| {
             let id = listed.run.id.clone();
-            (id, Reverse(listed.run.born), !in_use(listed))
+            (id, Reverse(listed.run.start), !in_use(listed))
         });
         listed.dedup_by(|a, b| a.run.id == b.run.id);
         let endpoints = listed.into_iter().filter_map(|listed| {
@@ -166,7 +166,7 @@
                 Some(known) => Arc::clone(known),
                 None => self.begin(old, run, listed),
             };
-            endpoint.learn_start(run.born);
+            endpoint.learn_start(run.start);
             endpoint.mark(leaving);
             Some(endpoint)
         });
@@ -178,7 +178,7 @@
         &self,
         old: &[Arc<Endpoint>],
         run: &Incarnation,
-        listed: Listed,
+        listed: EndpointRecord,
     ) -> Arc<Endpoint> {
         if !old.is_empty() {
             log_change("endpoint-listed", run, &listed.service);
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -7,7 +7,7 @@
 use dogwoodhill_policy::disturbance::Disturbance;
 use dogwoodhill_policy::lanes::Shares;
 use dogwoodhill_policy::rate::ReadRate;
-use dogwoodhill_wire::demand::{ServiceDemand, Totals};
+use dogwoodhill_wire::demand::{DemandReply, ServiceDemand};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Part of a second of an endpoint's time that one generated token takes: a
@@ -89,12 +89,12 @@
         let now = self.start.elapsed();
         let all = self.demand();
         let services = all.iter().map(|(service, demand)| {
-            let (fragile, other) = demand.shares.told(now);
+            let (latency_sensitive, other) = demand.shares.told(now);
             let (pause, streams) = demand.disturbance.told(now);
             let streams = streams as f64;
             ServiceDemand {
                 service: service.clone(),
-                fragile,
+                latency_sensitive,
                 other,
                 pauses: pause.as_secs_f64() * streams,
                 streams,
@@ -104,12 +104,14 @@
     }
 
     /// Takes in what came at all entries.
-    pub fn agree(&self, totals: &Totals) {
+    pub fn agree(&self, totals: &DemandReply) {
         let now = self.start.elapsed();
         let mut all = self.demand();
         for total in &totals.services {
             let demand = Demand::of(&mut all, &total.service);
-            demand.shares.agree(now, total.fragile, total.other);
+            demand
+                .shares
+                .agree(now, total.latency_sensitive, total.other);
             let pause = Duration::try_from_secs_f64(total.pauses / total.streams);
             let pause = pause.unwrap_or_default();
             demand.disturbance.agree(now, pause, total.streams as usize);
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -7,7 +7,7 @@
 use super::admission::Admission;
 use super::standing::Standing;
 use super::{Lane, Want, log_change};
-use crate::dialect::{Listed, Load, Prompt};
+use crate::dialect::{EndpointRecord, Load, Prompt};
 use crate::pool::{self, Pool, Unconnected};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
@@ -46,7 +46,7 @@
     /// Name; its start is in [`Endpoint::run`].
     pub id: EndpointId,
     /// When it started, once that was told.
-    born: OnceLock<Born>,
+    born: OnceLock<StartTime>,
     /// Service.
     pub service: ServiceId,
     /// Address.
@@ -120,7 +120,7 @@
 
 impl Endpoint {
     pub(super) fn new(
-        listed: Listed,
+        listed: EndpointRecord,
         start: Instant,
         rate: Arc<Mutex<ReadRate>>,
     ) -> Self {
@@ -128,7 +128,7 @@
             // By the name alone: beginnings find the same endpoint after it
             // started again, and at entries that were not told of its start.
             hash: affinity::hash(listed.run.id.as_bytes()),
-            born: listed.run.born.map_or_else(OnceLock::new, OnceLock::from),
+            born: listed.run.start.map_or_else(OnceLock::new, OnceLock::from),
             id: listed.run.id,
             service: listed.service,
             address: listed.address,
@@ -161,7 +161,7 @@
 
     /// Whether `run` is this one, as far as anybody told.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
-        let same = match (self.born.get(), run.born) {
+        let same = match (self.born.get(), run.start) {
             (Some(own), Some(other)) => *own == other,
             _ => true,
         };
@@ -169,14 +169,14 @@
     }
 
     /// Whether `listed` means this run of this endpoint.
-    pub(super) fn is_listed_as(&self, listed: &Listed) -> bool {
+    pub(super) fn is_listed_as(&self, listed: &EndpointRecord) -> bool {
         self.runs_as(&listed.run)
             && self.address == listed.address
             && self.service == listed.service
     }
 
     /// Takes in when it started.
-    pub(super) fn learn_start(&self, born: Option<Born>) {
+    pub(super) fn learn_start(&self, born: Option<StartTime>) {
         if let Some(born) = born {
             self.born.get_or_init(|| born);
         }
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -12,10 +12,10 @@
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::transfer::{Fetch, PIECE_PATIENCE, Piece, Text, Transfer};
-use dogwoodhill_wire::client::{CallError, Caller};
-use dogwoodhill_wire::control::Answered;
+use dogwoodhill_wire::client::{CallError, PeerClient};
+use dogwoodhill_wire::control::ControlReply;
 use dogwoodhill_wire::routes::{
-    FetchRoutes, FollowRoutes, PIECE_PATH, ROUTES_PATH, RoutesNews, RoutesPiece,
+    FetchRoutes, PIECE_PATH, ROUTES_PATH, RoutesPiece, RoutesStatus, WatchRoutes,
 };
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -58,7 +58,7 @@
     /// Where it goes.
     pub sink: Arc<dyn RouteSink>,
     /// Client for control instances.
-    pub caller: Caller,
+    pub caller: PeerClient,
     /// Name of this entry.
     pub name: String,
     /// Control instances as the settings and the last answer name them.
@@ -180,13 +180,13 @@
                 .known(address)
                 .max(self.sink.version());
             let wait = if known.is_none() { FIRST_POLL } else { POLL };
-            let follow = FollowRoutes {
+            let follow = WatchRoutes {
                 entry: self.name.clone(),
                 known,
                 wait,
             };
             let call = self.caller.call(address, ROUTES_PATH, &follow);
-            let answer: Option<Answered<RoutesNews>> =
+            let answer: Option<ControlReply<RoutesStatus>> =
                 timeout(wait + SLACK, call).await.ok().and_then(Result::ok);
             if lost != answer.is_none() {
                 lost = answer.is_none();
@@ -209,7 +209,7 @@
         address
     }
 
-    fn take(&self, address: SocketAddr, news: RoutesNews) {
+    fn take(&self, address: SocketAddr, news: RoutesStatus) {
         if !news.control.is_empty() {
             self.control().told = news.control;
         }
@@ -247,8 +247,8 @@
     async fn fetch_piece(&self, fetch: &Fetch) -> Result<Option<Text>, Missed> {
         let ask = FetchRoutes {
             version: fetch.version,
-            from: fetch.from,
-            most: fetch.most,
+            offset: fetch.from,
+            max_bytes: fetch.most,
         };
         let asked = Instant::now();
         let call = self.caller.call(fetch.source, PIECE_PATH, &ask);
@@ -259,7 +259,7 @@
         let piece = Piece {
             version: piece.version,
             total: piece.total,
-            from: piece.from,
+            from: piece.offset,
             bytes: &piece.bytes,
         };
         let mut transfer = self.fetching.transfer();
--- a/crates/direct/src/job.rs
+++ b/crates/direct/src/job.rs
@@ -19,7 +19,7 @@
 use crate::stream::{CHECK, PARTS, Pauses, Piece, Relay, Source};
 use crate::usage::Begun;
 use bytes::Bytes;
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_policy::quarantine::SUSPECTED;
@@ -117,7 +117,7 @@
         record.prompt = ask.prompt.tokens;
         record.output = ask.prompt.output;
         record.version = table.version();
-        record.content = shown(fingerprint);
+        record.content = short_form(fingerprint);
         shared.earn(&service);
         let (shortest, longest) = table.pauses(&service).unwrap_or_default();
         let mixed = shared.directory.apart(&service, shortest, longest);
@@ -271,7 +271,7 @@
     pub fn left_behind(&mut self, endpoint: &Endpoint, reason: impl Display) {
         Event::new("endpoint-left")
             .field("request", &self.ask.id)
-            .field("content", shown(self.fingerprint))
+            .field("content", short_form(self.fingerprint))
             .field("endpoint", endpoint.run())
             .field("reason", reason)
             .field("sends", self.sends)
@@ -448,7 +448,7 @@
         self.shared.lists.met.notify_one();
         Event::new("send-failed")
             .field("request", &self.ask.id)
-            .field("content", shown(self.fingerprint))
+            .field("content", short_form(self.fingerprint))
             .field("service", &self.service)
             .field("endpoint", endpoint.run())
             .field("result", result)
--- a/crates/direct/src/job/crash.rs
+++ b/crates/direct/src/job/crash.rs
@@ -8,7 +8,7 @@
 use crate::exchange::Loss;
 use crate::request::Shared;
 use crate::usage::Begun;
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::affinity::hash;
@@ -110,7 +110,7 @@
         let Self {
             shared, id, lost, ..
         } = self;
-        let content = shown(lost.request);
+        let content = short_form(lost.request);
         let crashes = shared.suspects.lost(&endpoint, lost);
         shared
             .stats
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/lists.rs
@@ -1,14 +1,14 @@
 //! The list of endpoints as an entry knows it, from its own reads and from those
 //! of other entries.
 
-use crate::dialect::Listed;
+use crate::dialect::EndpointRecord;
 use crate::directory::{Directory, Endpoint};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::reads::{CONNECT_TIMEOUT, Doubt, LEAVING_WITHIN, Reads, STALE};
 use dogwoodhill_policy::sightings::Verdict;
-use dogwoodhill_wire::demand::{EndpointSight, EndpointVerdict, Totals};
-use dogwoodhill_wire::list::{Content, Contents, ListRead, Mark};
+use dogwoodhill_wire::demand::{DemandReply, EndpointObservation, EndpointVerdict};
+use dogwoodhill_wire::list::{ListHistory, ListRead, ListSnapshot, Mark};
 use std::pin::pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -47,7 +47,7 @@
     reads: Reads,
     doubt: Doubt,
     /// The list in use, and earlier ones.
-    contents: Contents,
+    contents: ListHistory,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
     /// not used.
     places: Vec<Option<Arc<Endpoint>>>,
@@ -110,10 +110,10 @@
         directory: &Directory,
         asked: Duration,
         took: Duration,
-        endpoints: Vec<Listed>,
+        endpoints: Vec<EndpointRecord>,
     ) {
         let mut state = self.state();
-        let content = Content::new(endpoints);
+        let content = ListSnapshot::new(endpoints);
         let mark = content.mark;
         if state.reads.take(self.at(asked), took) {
             log_taken(
@@ -132,7 +132,12 @@
     }
 
     /// Control answered a question that was sent at `asked`.
-    pub fn heard(&self, directory: &Directory, asked: Duration, totals: &mut Totals) {
+    pub fn heard(
+        &self,
+        directory: &Directory,
+        asked: Duration,
+        totals: &mut DemandReply,
+    ) {
         let mut state = self.state();
         if totals.reader && !state.reads.reader() {
             self.appointed.notify_one();
@@ -154,7 +159,7 @@
             state.hear(&totals.verdicts);
             return;
         }
-        let Some(content) = state.contents.heard(&list) else {
+        let Some(content) = state.contents.resolve(&list) else {
             if !std::mem::replace(&mut state.lost, true) {
                 Event::new("list-changes-unusable")
                     .field("told", format!("{:016x}", list.mark))
@@ -181,7 +186,7 @@
 
     /// What this entry met at endpoints since it was asked last: news by place in the
     /// list that it has, and the places that it heard from lately, a bit each.
-    pub fn sights(&self) -> (Vec<EndpointSight>, Vec<u8>) {
+    pub fn sights(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
         let mut sights = Vec::new();
         let mut heard = vec![0; state.places.len().div_ceil(8)];
@@ -194,8 +199,8 @@
                 heard[place / 8] |= 1 << (place % 8);
             }
             if sight.replaced || sight.unreached || sight.answered > 0 {
-                sights.push(EndpointSight {
-                    place: place as u32,
+                sights.push(EndpointObservation {
+                    list_index: place as u32,
                     replaced: sight.replaced,
                     unreached: sight.unreached,
                     answered: sight.answered,
@@ -228,7 +233,7 @@
             };
             ListRead {
                 mark: own.mark,
-                ..contents.told(known, age, own.took)
+                ..contents.read_for(known, age, own.took)
             }
         });
         (if *lost { 0 } else { mark }, read)
@@ -317,7 +322,13 @@
 
 /// Logs a list that is put in use, where it is another one than before: what was
 /// believed when, and how old it was then.
-fn log_taken(state: &State, content: &Content, by: &str, age: Duration, took: Duration) {
+fn log_taken(
+    state: &State,
+    content: &ListSnapshot,
+    by: &str,
+    age: Duration,
+    took: Duration,
+) {
     let before = state.contents.newest().mark;
     if before != content.mark {
         Event::new("list-taken")
@@ -333,7 +344,7 @@
 
 impl State {
     /// Puts a list in use.
-    fn put(&mut self, directory: &Directory, content: Content) {
+    fn put(&mut self, directory: &Directory, content: ListSnapshot) {
         directory.update(Vec::clone(&content.endpoints));
         let listed = content.endpoints.iter();
         let places = listed.map(|listed| directory.running(&listed.run));
@@ -346,7 +357,7 @@
     fn hear(&self, verdicts: &[EndpointVerdict]) {
         let mut told = vec![None; self.places.len()];
         for verdict in verdicts {
-            if let Some(place) = told.get_mut(verdict.place as usize) {
+            if let Some(place) = told.get_mut(verdict.list_index as usize) {
                 *place = Some(Verdict::from(verdict.verdict));
             }
         }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -15,7 +15,7 @@
 use crate::usage::Usage;
 use arc_swap::ArcSwapOption;
 use bytes::Bytes;
-use dogwoodhill_core::fingerprint::{Content, Fingerprinter};
+use dogwoodhill_core::fingerprint::{Fingerprinter, RequestContent};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_policy::budget::{Allowance, Budget};
@@ -198,7 +198,7 @@
             .route
             .timeout
             .min(ask.patience.unwrap_or(Duration::MAX));
-        let fingerprint = self.fingerprints.of(&Content {
+        let fingerprint = self.fingerprints.of(&RequestContent {
             workspace: admitted.workspace.as_ref(),
             method: parts.method.as_str(),
             host: &host,
--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -6,7 +6,7 @@
 use dogwoodhill_policy::transfer::Text;
 use dogwoodhill_route::prelude::*;
 use dogwoodhill_route::set::SetFormat;
-use dogwoodhill_wire::pack::unpack;
+use dogwoodhill_wire::compress::decompress;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
@@ -21,7 +21,7 @@
 
 impl Routes {
     fn read(&self, text: &Text) -> Result<RouteTable, String> {
-        let source = unpack(&text.bytes).map_err(|error| error.to_string())?;
+        let source = decompress(&text.bytes).map_err(|error| error.to_string())?;
         let set = self.format.read(&source);
         set.map(RouteTable::new).map_err(|error| error.to_string())
     }
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
@@ -100,7 +100,7 @@
     if settings.list_every > longest {
         let problem = "is too long for leaving_within: news would travel longer";
         let longest = longest.as_millis();
-        s.fault(
+        s.report(
             "list_every",
             problem,
             &format!("set at most {longest}ms, or leave it out"),
@@ -108,7 +108,7 @@
     }
     if settings.control.is_empty() {
         let remedy = "list the control instances' internal addresses";
-        s.fault("control", "is empty", remedy);
+        s.report("control", "is empty", remedy);
     }
     settings
 }
@@ -120,7 +120,7 @@
     let window = s.duration_opt("usage_window", range);
     let owed = duties.iter().any(|duty| duty == USAGE_DUTY);
     if owed && window.is_none() {
-        s.fault("usage_window", "is missing", "say how long a window is");
+        s.report("usage_window", "is missing", "say how long a window is");
     }
     window.filter(|_| owed).map(Windows::new)
 }
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -12,7 +12,7 @@
 
 use crate::directory::Endpoint;
 use crate::stats::Stats;
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::affinity::hash;
@@ -181,7 +181,7 @@
                     workspace: own.loss.workspace,
                     run: own.loss.run.clone(),
                     domain: own.loss.domain,
-                    lasted: own.loss.at.saturating_sub(own.loss.sent),
+                    duration: own.loss.at.saturating_sub(own.loss.sent),
                     age: now.saturating_sub(own.loss.at),
                 });
             }
@@ -261,9 +261,9 @@
                 self.exonerate(request.request, at);
             }
             let held = self.quarantine.standing(now, request.request).left;
-            if let Some(left) = request.left.filter(|_| held.is_none()) {
+            if let Some(left) = request.remaining.filter(|_| held.is_none()) {
                 Event::new("quarantine-told")
-                    .field("content", shown(request.request))
+                    .field("content", short_form(request.request))
                     .field("crashes", request.crashes)
                     .field("left_s", left.as_secs())
                     .info();
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -10,7 +10,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::usage::{Counted, Ledger};
-use dogwoodhill_wire::usage::{TellUsage, USAGE_PATH, UsageHeard};
+use dogwoodhill_wire::usage::{EntryUsage, USAGE_PATH, UsageReply};
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -94,12 +94,12 @@
     }
 
     /// What is told to an instance of which a run was heard before.
-    fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> TellUsage {
+    fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> EntryUsage {
         // Before the counts are read: what comes between is told twice rather than left out.
         let through = self.now();
         let state = self.state();
         let last = state.last.filter(|last| last.0 == address);
-        TellUsage {
+        EntryUsage {
             entry: entry.to_string(),
             run: self.run,
             wall: wall(),
@@ -114,8 +114,8 @@
         &self,
         address: SocketAddr,
         asked: Duration,
-        told: &TellUsage,
-        heard: &UsageHeard,
+        told: &EntryUsage,
+        heard: &UsageReply,
     ) {
         let now = uptime();
         let way = now.saturating_sub(asked);
@@ -123,7 +123,7 @@
         state.last = Some((address, heard.instance));
         state.ledger.acknowledged(heard.instance, &told.windows);
         state.ledger.fixed(heard.next);
-        state.holder = heard.holder;
+        state.holder = heard.reporter;
         if let Some(time) = heard.now
             && (way <= QUICK || state.offset.is_none())
         {
@@ -142,11 +142,11 @@
             let told = self.news(&follower.name, address, ends);
             let asked = uptime();
             let call = follower.caller.call(address, USAGE_PATH, &told);
-            let heard: Option<UsageHeard> =
+            let heard: Option<UsageReply> =
                 timeout(PATIENCE, call).await.ok().and_then(Result::ok);
             if let Some(heard) = heard {
                 self.heard(address, asked, &told, &heard);
-                if heard.settled {
+                if heard.has_quorum {
                     return true;
                 }
             }
--- a/crates/direct/tests/all/ages.rs
+++ b/crates/direct/tests/all/ages.rs
@@ -5,7 +5,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_direct::dialect::{
-    EndpointList, Fetch, ListContent, Listed, PageToken, Prompt, Tell,
+    EndpointList, EndpointRecord, Fetch, ListContent, PageToken, Prompt, Tell,
 };
 use dogwoodhill_direct::directory::{Directory, Hold, Standing};
 use dogwoodhill_direct::exchange::{self, Asked, Ended, Outbound};
@@ -24,8 +24,8 @@
 /// second old is too old.
 const WITHIN: Duration = Duration::from_secs(1);
 
-fn listed(address: SocketAddr, leaving: bool) -> Listed {
-    Listed {
+fn listed(address: SocketAddr, leaving: bool) -> EndpointRecord {
+    EndpointRecord {
         run: Incarnation::new("i-1", None),
         service: "service".to_string(),
         address,
--- a/crates/direct/tests/all/backoff.rs
+++ b/crates/direct/tests/all/backoff.rs
@@ -101,11 +101,11 @@
     endpoint.says("retry-after: 60\r\n");
     let entry = Entry::before(&[]).await;
     let mut run = listed(&[&endpoint]);
-    run[0].run.born = Some(1);
+    run[0].run.start = Some(1);
     entry.shared.directory.update(run.clone());
     turned_away(&entry, &endpoint).await;
     assert_eq!(entry.call("GET /safe/", "", "").await.status, 503);
-    run[0].run.born = Some(2);
+    run[0].run.start = Some(2);
     entry.shared.directory.update(run);
     assert_eq!(entry.call("GET /safe/", "", "").await.status, 200);
 }
--- a/crates/direct/tests/all/control.rs
+++ b/crates/direct/tests/all/control.rs
@@ -16,8 +16,8 @@
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_store::memory::MemoryFiles;
 use dogwoodhill_store::{Identity, Store};
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::routes::StoredRoutes;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -49,7 +49,7 @@
             node: number as u64 + 1,
         };
         let opened = Store::create(Box::new(MemoryFiles::default()), identity.clone());
-        let caller = Caller::new("secret".to_string());
+        let caller = PeerClient::new("secret".to_string());
         let peers = Peers::new(identity.cluster, caller.clone());
         let limits = Limits {
             compact: 1_000,
@@ -89,7 +89,7 @@
     }
 
     /// Puts a set in force.
-    pub(crate) async fn put(&self, held: HeldRoutes) {
+    pub(crate) async fn put(&self, held: StoredRoutes) {
         let put = self.service.submit(&Action::Routes(held)).await;
         put.expect("a cluster of one accepts");
     }
--- a/crates/direct/tests/all/crashing.rs
+++ b/crates/direct/tests/all/crashing.rs
@@ -14,12 +14,12 @@
 use crate::control::Instance;
 use crate::endpoint::{Act, StandIn};
 use crate::entry::{Entry, LONG, set};
-use dogwoodhill_core::fingerprint::{Content, Fingerprinter};
+use dogwoodhill_core::fingerprint::{Fingerprinter, RequestContent};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_direct::dialect::{EndpointList, Fetch, Listed, PageToken};
+use dogwoodhill_direct::dialect::{EndpointList, EndpointRecord, Fetch, PageToken};
 use dogwoodhill_route::prelude::*;
-use dogwoodhill_wire::demand::{DEMAND_PATH, RequestStanding, Suspects, Totals};
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, SuspectRequest, Suspects};
+use dogwoodhill_wire::routes::StoredRoutes;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -49,7 +49,7 @@
 /// Endpoints that end when they begin [`CRASHES`], and come back under another name.
 #[derive(Clone, Debug, Default)]
 struct Fleet {
-    listed: Arc<Mutex<Vec<Listed>>>,
+    listed: Arc<Mutex<Vec<EndpointRecord>>>,
     ended: Arc<Mutex<usize>>,
     beside: Arc<Beside>,
 }
@@ -128,14 +128,17 @@
     /// An endpoint that listens and is listed.
     async fn add(&self, id: String) -> TcpListener {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        self.listed.lock().expect("not poisoned").push(Listed {
-            run: Incarnation::new(id, None),
-            service: "service".to_string(),
-            address: socket.local_addr().expect("is bound"),
-            domain: "here".to_string(),
-            slots: 8,
-            leaving: false,
-        });
+        self.listed
+            .lock()
+            .expect("not poisoned")
+            .push(EndpointRecord {
+                run: Incarnation::new(id, None),
+                service: "service".to_string(),
+                address: socket.local_addr().expect("is bound"),
+                domain: "here".to_string(),
+                slots: 8,
+                leaving: false,
+            });
         socket
     }
 
@@ -243,7 +246,7 @@
         let fleet = Fleet::start(endpoints).await;
         let control = Instance::start(0).await;
         control
-            .put(HeldRoutes {
+            .put(StoredRoutes {
                 version: 1,
                 source: serde_json::to_vec(&patient()).expect("sets encode"),
             })
@@ -415,7 +418,7 @@
     for at in 0..4 {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = socket.local_addr().expect("is bound");
-        let listed = |leaving| Listed {
+        let listed = |leaving| EndpointRecord {
             run: Incarnation::new(format!("i-{at}"), None),
             service: "service".to_string(),
             address,
@@ -442,14 +445,14 @@
 }
 
 /// A control instance that says of one request what a test wants.
-async fn saying(standing: Arc<Mutex<RequestStanding>>) -> SocketAddr {
+async fn saying(standing: Arc<Mutex<SuspectRequest>>) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = socket.local_addr().expect("is bound");
     let answer = move || {
         let requests = vec![*standing.lock().expect("not poisoned")];
-        let totals = Totals {
+        let totals = DemandReply {
             suspects: Some(Suspects { mark: 1, requests }),
-            ..Totals::default()
+            ..DemandReply::default()
         };
         async move { rmp_serde::to_vec(&totals).expect("messages encode") }
     };
@@ -461,10 +464,10 @@
 /// Two of five control instances are lost, those that entries ask first.
 #[tokio::test]
 async fn third_instance_asked_where_two_are_gone() {
-    let standing = RequestStanding {
+    let standing = SuspectRequest {
         request: fingerprint(),
         crashes: 3,
-        left: Some(Duration::from_secs(60)),
+        remaining: Some(Duration::from_secs(60)),
     };
     let control = saying(Arc::new(Mutex::new(standing))).await;
     let gone = [9, 10].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
@@ -481,7 +484,7 @@
 }
 
 fn fingerprint_at(target: &str) -> Fingerprint {
-    Fingerprinter::new("secret").of(&Content {
+    Fingerprinter::new("secret").of(&RequestContent {
         workspace: None,
         method: "POST",
         host: "test",
@@ -495,17 +498,17 @@
 #[tokio::test]
 async fn quarantined_request_withdrawn_from_its_queue() {
     let endpoint = StandIn::start(vec![Act::Hang]).await;
-    let standing = Arc::new(Mutex::new(RequestStanding::default()));
+    let standing = Arc::new(Mutex::new(SuspectRequest::default()));
     let control = saying(Arc::clone(&standing)).await;
     let entry = Entry::following(vec![control]).await;
     entry.shared.take_routes(RouteTable::new(set()));
     entry.list(&[&endpoint]);
     let found = async {
         until("the endpoint has it", async || !endpoint.seen().is_empty()).await;
-        *standing.lock().expect("not poisoned") = RequestStanding {
+        *standing.lock().expect("not poisoned") = SuspectRequest {
             request: fingerprint(),
             crashes: 3,
-            left: Some(Duration::from_secs(60)),
+            remaining: Some(Duration::from_secs(60)),
         };
         endpoint.left().await;
     };
@@ -520,10 +523,10 @@
 async fn suspected_request_looked_up_before_it_is_sent() {
     let endpoint = StandIn::start(Vec::new()).await;
     let request = fingerprint();
-    let standing = Arc::new(Mutex::new(RequestStanding {
+    let standing = Arc::new(Mutex::new(SuspectRequest {
         request,
         crashes: 2,
-        left: None,
+        remaining: None,
     }));
     let control = saying(Arc::clone(&standing)).await;
     let entry = Entry::following(vec![control]).await;
@@ -535,10 +538,10 @@
     .await;
     let got = entry.call("POST /once/", "", CRASHES).await;
     assert_eq!(got.status, 200, "suspected, it is served");
-    *standing.lock().expect("not poisoned") = RequestStanding {
+    *standing.lock().expect("not poisoned") = SuspectRequest {
         request,
         crashes: 3,
-        left: Some(Duration::from_secs(60)),
+        remaining: Some(Duration::from_secs(60)),
     };
     let got = entry.call("POST /once/", "", CRASHES).await;
     assert!(got.body.contains("quarantined"), "{got:?}");
@@ -552,7 +555,7 @@
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let entry = Entry::empty(&[]).await;
     entry.shared.take_routes(RouteTable::new(set()));
-    entry.shared.directory.update(vec![Listed {
+    entry.shared.directory.update(vec![EndpointRecord {
         run: Incarnation::new("i-0", None),
         service: "service".to_string(),
         address: socket.local_addr().expect("is bound"),
--- a/crates/direct/tests/all/dialect.rs
+++ b/crates/direct/tests/all/dialect.rs
@@ -2,8 +2,8 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::dialect::{
-    Ask, CallerDialect, EndpointDialect, EndpointList, Fetch, Limit, Listed, Malformed,
-    PageToken, Retry, Said, Tell,
+    Ask, CallerDialect, EndpointDialect, EndpointList, EndpointRecord, Fetch, Limit,
+    Malformed, PageToken, Retry, Said, Tell,
 };
 use http::{HeaderMap, HeaderValue, StatusCode};
 
@@ -60,7 +60,7 @@
 
 /// A list that never changes.
 #[derive(Debug)]
-pub(crate) struct Fixed(pub(crate) Vec<Listed>);
+pub(crate) struct Fixed(pub(crate) Vec<EndpointRecord>);
 
 impl EndpointList for Fixed {
     fn fetch(&self, _: Option<PageToken>) -> Fetch<'_> {
--- a/crates/direct/tests/all/entry.rs
+++ b/crates/direct/tests/all/entry.rs
@@ -4,7 +4,7 @@
 use crate::endpoint::StandIn;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_direct::dialect::{EndpointList, Listed};
+use dogwoodhill_direct::dialect::{EndpointList, EndpointRecord};
 use dogwoodhill_direct::direct::Dialects;
 use dogwoodhill_direct::request::Shared;
 use dogwoodhill_direct::{Direct, Settings};
@@ -235,15 +235,18 @@
 }
 
 /// Endpoints as a list has them.
-pub(crate) fn listed(endpoints: &[&StandIn]) -> Vec<Listed> {
-    let listed = endpoints.iter().enumerate().map(|(i, endpoint)| Listed {
-        run: Incarnation::new(format!("endpoint-{i}"), None),
-        service: "service".to_string(),
-        address: endpoint.address,
-        domain: "here".to_string(),
-        slots: 8,
-        leaving: false,
-    });
+pub(crate) fn listed(endpoints: &[&StandIn]) -> Vec<EndpointRecord> {
+    let listed = endpoints
+        .iter()
+        .enumerate()
+        .map(|(i, endpoint)| EndpointRecord {
+            run: Incarnation::new(format!("endpoint-{i}"), None),
+            service: "service".to_string(),
+            address: endpoint.address,
+            domain: "here".to_string(),
+            slots: 8,
+            leaving: false,
+        });
     listed.collect()
 }
 
--- a/crates/direct/tests/all/follow.rs
+++ b/crates/direct/tests/all/follow.rs
@@ -12,7 +12,7 @@
 use crate::entry::{Entry, LONG};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_route::prelude::*;
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::routes::StoredRoutes;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
 }
 
 /// A set of `bytes` or a little more, which says little twice.
-fn set(version: Version, bytes: usize) -> HeldRoutes {
+fn set(version: Version, bytes: usize) -> StoredRoutes {
     let mut random = SmallRng::seed_from_u64(version);
     let mut word = |length: usize| -> String {
         let letter = |_| char::from(random.random_range(b'a'..=b'z'));
@@ -122,7 +122,7 @@
         size += serde_json::to_vec(&route).expect("routes encode").len();
         set.routes.push(route);
     }
-    HeldRoutes {
+    StoredRoutes {
         version,
         source: serde_json::to_vec(&set).expect("sets encode"),
     }
@@ -154,7 +154,7 @@
         scene
     }
 
-    async fn put(&self, held: &HeldRoutes) {
+    async fn put(&self, held: &StoredRoutes) {
         for instance in &self.instances {
             instance.put(held.clone()).await;
         }
@@ -178,7 +178,7 @@
     }
 
     /// Bytes that the link passes until `held` is in force.
-    async fn cost(&self, held: &HeldRoutes) -> usize {
+    async fn cost(&self, held: &StoredRoutes) -> usize {
         let before = self.link.passed.load(Ordering::Relaxed);
         self.put(held).await;
         self.in_force(held.version).await;
--- a/crates/direct/tests/all/limited.rs
+++ b/crates/direct/tests/all/limited.rs
@@ -11,10 +11,10 @@
 use crate::entry::{Entry, LONG, listed, set};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_direct::dialect::Listed;
+use dogwoodhill_direct::dialect::EndpointRecord;
 use dogwoodhill_direct::directory::Directory;
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits};
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::routes::StoredRoutes;
 use std::time::Instant;
 use tokio::time::sleep;
 
@@ -47,7 +47,7 @@
         ];
         let control = Instance::start(0).await;
         control
-            .put(HeldRoutes {
+            .put(StoredRoutes {
                 version: 1,
                 source: serde_json::to_vec(&set()).expect("sets encode"),
             })
@@ -197,7 +197,7 @@
     };
     directory.hear_limits(uptime(), &[], Some(&limits), &[]);
     assert_eq!(directory.limit_news().1, 0, "as if nothing had been told");
-    directory.update(vec![Listed {
+    directory.update(vec![EndpointRecord {
         run,
         service: "service".to_string(),
         address: ([127, 0, 0, 1], 9).into(),
--- a/crates/direct/tests/all/limits.rs
+++ b/crates/direct/tests/all/limits.rs
@@ -1,14 +1,14 @@
 //! Which endpoint is chosen, without sockets.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_direct::dialect::{Listed, Prompt};
+use dogwoodhill_direct::dialect::{EndpointRecord, Prompt};
 use dogwoodhill_direct::directory::{Directory, Lane, Want};
-use dogwoodhill_wire::demand::{ServiceDemand, Totals};
+use dogwoodhill_wire::demand::{DemandReply, ServiceDemand};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-fn listed(count: usize) -> Vec<Listed> {
-    let one = |i: usize| Listed {
+fn listed(count: usize) -> Vec<EndpointRecord> {
+    let one = |i: usize| EndpointRecord {
         run: Incarnation::new(format!("endpoint-{i}"), None),
         service: "voice".to_string(),
         address: ([127, 0, 0, 1], 1_000 + i as u16).into(),
@@ -101,13 +101,13 @@
     let told = [cues.demanded(), chapters.demanded()].concat();
     let total = ServiceDemand {
         service: "voice".to_string(),
-        fragile: told.iter().map(|one| one.fragile).sum(),
+        latency_sensitive: told.iter().map(|one| one.latency_sensitive).sum(),
         other: told.iter().map(|one| one.other).sum(),
         ..ServiceDemand::default()
     };
-    let totals = Totals {
+    let totals = DemandReply {
         services: vec![total],
-        ..Totals::default()
+        ..DemandReply::default()
     };
     // The sums are used for more than a second; whatever held this test up for
     // longer is tried again.
--- a/crates/direct/tests/all/lists.rs
+++ b/crates/direct/tests/all/lists.rs
@@ -2,17 +2,17 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_direct::dialect::{Listed, Prompt};
+use dogwoodhill_direct::dialect::{EndpointRecord, Prompt};
 use dogwoodhill_direct::directory::{Directory, Lane, Standing, Want};
 use dogwoodhill_direct::lists::Lists;
 use dogwoodhill_policy::trust::Trust;
-use dogwoodhill_wire::demand::{EndpointVerdict, Totals, VerdictWord};
-use dogwoodhill_wire::list::{Content, ListChanges, ListRead, Mark, PackedList};
+use dogwoodhill_wire::demand::{DemandReply, EndpointVerdict, WireVerdict};
+use dogwoodhill_wire::list::{CompressedList, ListChanges, ListRead, ListSnapshot, Mark};
 use proptest::prelude::*;
 use std::sync::Arc;
 
-fn listed(id: usize, leaving: bool) -> Listed {
-    Listed {
+fn listed(id: usize, leaving: bool) -> EndpointRecord {
+    EndpointRecord {
         run: Incarnation::new(format!("i-{id}"), None),
         service: "voice".to_string(),
         address: ([127, 0, 0, 1], 1_000 + id as u16).into(),
@@ -23,17 +23,22 @@
 }
 
 /// What control tells of a list: its content, or that it is the one of `mark`.
-fn news(mark: Mark, age: Duration, endpoints: Option<Vec<Listed>>) -> Totals {
-    let content = endpoints.map(Content::new);
-    Totals {
+fn news(
+    mark: Mark,
+    age: Duration,
+    endpoints: Option<Vec<EndpointRecord>>,
+) -> DemandReply {
+    let content = endpoints.map(ListSnapshot::new);
+    DemandReply {
         list: Some(ListRead {
             mark: content.as_ref().map_or(mark, |content| content.mark),
             age,
             took: Duration::ZERO,
-            whole: content.map(|content| Arc::new(PackedList::of(&content.endpoints))),
+            whole: content
+                .map(|content| Arc::new(CompressedList::of(&content.endpoints))),
             changes: None,
         }),
-        ..Totals::default()
+        ..DemandReply::default()
     }
 }
 
@@ -83,12 +88,12 @@
 #[test]
 fn heard_changes_of_the_list_in_use() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
-    let first = Content::new((1..=4).map(|id| listed(id, false)).collect());
-    let all: Vec<Listed> = [1, 2, 4, 5].map(|id| listed(id, id == 2)).to_vec();
-    let second = Content::new(all);
+    let first = ListSnapshot::new((1..=4).map(|id| listed(id, false)).collect());
+    let all: Vec<EndpointRecord> = [1, 2, 4, 5].map(|id| listed(id, id == 2)).to_vec();
+    let second = ListSnapshot::new(all);
     let changes = |from| {
         let changes = ListChanges::between(from, &first.endpoints, &second.endpoints);
-        Totals {
+        DemandReply {
             list: Some(ListRead {
                 mark: second.mark,
                 age: Duration::ZERO,
@@ -96,7 +101,7 @@
                 whole: None,
                 changes: Some(Arc::new(changes)),
             }),
-            ..Totals::default()
+            ..DemandReply::default()
         }
     };
     let mut totals = news(0, Duration::ZERO, Some(Vec::clone(&first.endpoints)));
@@ -114,7 +119,7 @@
 #[test]
 fn heard_list_cut_short_changes_nothing() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
-    let list: Vec<Listed> = (1..=8).map(|id| listed(id, false)).collect();
+    let list: Vec<EndpointRecord> = (1..=8).map(|id| listed(id, false)).collect();
     lists.read(&directory, uptime(), Duration::ZERO, list.clone());
     let mut spoiled = news(0, Duration::ZERO, Some(list[..7].to_vec()));
     spoiled.list.as_mut().expect("told").mark += 1;
@@ -126,9 +131,9 @@
     }
 }
 
-fn started(id: usize, born: Option<Born>) -> Listed {
+fn started(id: usize, born: Option<StartTime>) -> EndpointRecord {
     let run = Incarnation::new(format!("i-{id}"), born);
-    Listed {
+    EndpointRecord {
         run,
         ..listed(id, false)
     }
@@ -201,7 +206,7 @@
 fn update_restarted_after_leaving_is_used() {
     let directory = Directory::new("here".to_string());
     let prompt = Prompt::default();
-    let leaving = Listed {
+    let leaving = EndpointRecord {
         leaving: true,
         ..started(1, Some(50))
     };
@@ -245,7 +250,7 @@
     assert_eq!(directory.all().len(), 1);
     assert_eq!(directory.all()[0].run().to_string(), "i-1@60");
     let address = directory.all()[0].address;
-    let elsewhere = Listed {
+    let elsewhere = EndpointRecord {
         address: ([127, 0, 0, 1], 9_999).into(),
         ..started(1, Some(60))
     };
@@ -276,12 +281,15 @@
     let list = vec![listed(3, false), listed(1, false), listed(2, false)];
     lists.read(&directory, uptime(), Duration::ZERO, list);
     let (held, _) = lists.told();
-    let verdict = |place, verdict| EndpointVerdict { place, verdict };
+    let verdict = |list_index, verdict| EndpointVerdict {
+        list_index,
+        verdict,
+    };
     let mut totals = news(held, Duration::ZERO, None);
     totals.verdicts = vec![
-        verdict(0, VerdictWord::Replaced),
-        verdict(1, VerdictWord::Silent),
-        verdict(7, VerdictWord::Silent),
+        verdict(0, WireVerdict::Replaced),
+        verdict(1, WireVerdict::Silent),
+        verdict(7, WireVerdict::Silent),
     ];
     lists.heard(&directory, uptime(), &mut totals);
     assert_eq!(
@@ -312,7 +320,7 @@
     let (sights, heard) = lists.sights();
     let met: Vec<_> = sights
         .iter()
-        .map(|met| (met.place, met.unreached, met.replaced))
+        .map(|met| (met.list_index, met.unreached, met.replaced))
         .collect();
     assert_eq!(met, [(2, true, false), (4, false, true)]);
     assert_eq!(heard, [0, 1]);
@@ -340,7 +348,7 @@
                     left[*id] |= leaving;
                 }
             }
-            let list = list.into_iter().map(|(id, born, leaving)| Listed {
+            let list = list.into_iter().map(|(id, born, leaving)| EndpointRecord {
                 leaving,
                 ..started(id, Some(born))
             });
@@ -350,7 +358,7 @@
             while let Some(placed) = directory.place(&want(&prompt, &tried)) {
                 let run = placed.endpoint.run();
                 let id: usize = run.id[2..].parse().unwrap();
-                prop_assert_eq!(run.born, Some(newest[id]));
+                prop_assert_eq!(run.start, Some(newest[id]));
                 prop_assert!(!left[id]);
                 tried.push(run);
             }
--- a/crates/direct/tests/all/withdrawn.rs
+++ b/crates/direct/tests/all/withdrawn.rs
@@ -14,7 +14,7 @@
 
 use crate::entry::{Entry, set};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_direct::dialect::Listed;
+use dogwoodhill_direct::dialect::EndpointRecord;
 use dogwoodhill_route::prelude::*;
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
         route.timeout = Duration::from_millis(300);
     }
     let entry = Entry::empty(&[]).await;
-    entry.shared.directory.update(vec![Listed {
+    entry.shared.directory.update(vec![EndpointRecord {
         run: Incarnation::new("endpoint-0", None),
         service: "service".to_string(),
         address: endpoint,
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::client::{CallError, Caller};
+use dogwoodhill_wire::client::{CallError, PeerClient};
 use dogwoodhill_wire::prelude::*;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -50,7 +50,7 @@
     #[display("{flaw}")]
     Flawed {
         /// What is wrong.
-        flaw: Flaw,
+        flaw: AnswerError,
     },
     /// The bytes are no frames.
     #[display("the agent's answer is unreadable")]
@@ -72,7 +72,7 @@
     /// Nothing reached the endpoint.
     Refused {
         /// Why.
-        reason: Reason,
+        reason: RefusalReason,
         /// The agent's load, where it answered.
         load: Option<Load>,
     },
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// [`Broken`] where the answer can't become whole.
-    pub async fn next(&mut self) -> Result<Piece, Broken> {
+    pub async fn next(&mut self) -> Result<AnswerPart, Broken> {
         loop {
             if let Some(frame) = self.frames.pop() {
                 self.load = frame.load.or(self.load);
@@ -157,7 +157,7 @@
 
 /// Sends one try to the agent at `address` and reads up to the answer's head.
 pub async fn send(
-    caller: &Caller,
+    caller: &PeerClient,
     address: SocketAddr,
     attempt: &Attempt,
     deadline: Instant,
@@ -181,24 +181,28 @@
         deadline,
     };
     match answer.next().await {
-        Ok(Piece::Head { status, headers }) => Tried::Open {
+        Ok(AnswerPart::Head { status, headers }) => Tried::Open {
             status,
             headers,
             answer,
         },
-        Ok(Piece::Refused(Reason::Repeated)) => Tried::Lost(Broken::Connection),
-        Ok(Piece::Refused(reason)) => Tried::Refused {
+        Ok(AnswerPart::Refused(RefusalReason::Repeated)) => {
+            Tried::Lost(Broken::Connection)
+        }
+        Ok(AnswerPart::Refused(reason)) => Tried::Refused {
             reason,
             load: answer.load,
         },
-        Ok(_) => Tried::Lost(Broken::Flawed { flaw: Flaw::Order }),
+        Ok(_) => Tried::Lost(Broken::Flawed {
+            flaw: AnswerError::Order,
+        }),
         Err(broken) => Tried::Lost(broken),
     }
 }
 
 fn unsent() -> Tried {
     Tried::Refused {
-        reason: Reason::Unreachable,
+        reason: RefusalReason::Unreachable,
         load: None,
     }
 }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -13,7 +13,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::budget::Budget;
 use dogwoodhill_policy::queue::Item;
-use dogwoodhill_wire::client::Caller;
+use dogwoodhill_wire::client::PeerClient;
 use dogwoodhill_wire::prelude::*;
 use rand::RngExt;
 use std::sync::{Arc, Mutex};
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Runner {
     /// Client to agents.
-    pub caller: Caller,
+    pub caller: PeerClient,
     /// Maker of attempt ids.
     pub ids: Arc<AttemptIds>,
     /// Newest revision that an agent's answer showed.
@@ -161,7 +161,10 @@
                 }
                 Tried::Refused { reason, load } => {
                     load.iter().for_each(|load| self.hear(load));
-                    if matches!(reason, Reason::Unreachable | Reason::Misdirected) {
+                    if matches!(
+                        reason,
+                        RefusalReason::Unreachable | RefusalReason::Misdirected
+                    ) {
                         place.unreachable();
                     }
                     load
@@ -188,7 +191,7 @@
         let Some(endpoint) = document.endpoint(place.endpoint()) else {
             // The endpoint joined with a later document than the call's own.
             return Tried::Refused {
-                reason: Reason::Misdirected,
+                reason: RefusalReason::Misdirected,
                 load: None,
             };
         };
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -7,8 +7,10 @@
 
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::ask::ControlSet;
-use dogwoodhill_wire::control::{Ended, FINISH_PATH, Finish, TAKE_PATH, Take, Taken};
+use dogwoodhill_wire::control::{
+    ClaimEnd, ClaimReply, FINISH_PATH, FinishClaim, TAKE_PATH, TakeClaim,
+};
+use dogwoodhill_wire::control_client::ControlClient;
 use std::fmt::Debug;
 use std::pin::Pin;
 
@@ -30,10 +32,10 @@
 /// Keeper of claims.
 pub trait Claims: Send + Sync + Debug {
     /// Claims a request.
-    fn take<'a>(&'a self, take: &'a Take) -> Claiming<'a, Taken>;
+    fn take<'a>(&'a self, take: &'a TakeClaim) -> Claiming<'a, ClaimReply>;
 
     /// Reports how it ended.
-    fn finish<'a>(&'a self, finish: &'a Finish) -> Claiming<'a, ()>;
+    fn finish<'a>(&'a self, finish: &'a FinishClaim) -> Claiming<'a, ()>;
 }
 
 /// A deployment without control instances: nothing can be claimed.
@@ -41,11 +43,11 @@
 pub struct NoClaims;
 
 impl Claims for NoClaims {
-    fn take<'a>(&'a self, _take: &'a Take) -> Claiming<'a, Taken> {
+    fn take<'a>(&'a self, _take: &'a TakeClaim) -> Claiming<'a, ClaimReply> {
         Box::pin(async { Err(Unconfirmed) })
     }
 
-    fn finish<'a>(&'a self, _finish: &'a Finish) -> Claiming<'a, ()> {
+    fn finish<'a>(&'a self, _finish: &'a FinishClaim) -> Claiming<'a, ()> {
         Box::pin(async { Err(Unconfirmed) })
     }
 }
@@ -53,35 +55,35 @@
 /// Claims kept by the control instances.
 #[derive(Debug)]
 pub struct ControlClaims {
-    set: ControlSet,
+    set: ControlClient,
 }
 
 impl ControlClaims {
     /// Claims at the instances of `set`.
-    pub fn new(set: ControlSet) -> Self {
+    pub fn new(set: ControlClient) -> Self {
         Self { set }
     }
 
     /// Gives back a claim that may have been granted without this entry
     /// hearing of it, so that the caller's next try is not told that the
     /// request is in progress.
-    fn give_back(&self, take: &Take) {
+    fn give_back(&self, take: &TakeClaim) {
         let set = self.set.clone();
-        let finish = Finish {
+        let finish = FinishClaim {
             claim: take.claim.clone(),
             holder: take.holder,
-            ended: Ended::NotRun,
+            ended: ClaimEnd::NotRun,
         };
         tokio::spawn(async move {
-            let _ = set.ask::<_, ()>(FINISH_PATH, &finish, FINISH_WITHIN).await;
+            let _ = set.call::<_, ()>(FINISH_PATH, &finish, FINISH_WITHIN).await;
         });
     }
 }
 
 impl Claims for ControlClaims {
-    fn take<'a>(&'a self, take: &'a Take) -> Claiming<'a, Taken> {
+    fn take<'a>(&'a self, take: &'a TakeClaim) -> Claiming<'a, ClaimReply> {
         Box::pin(async move {
-            let asked = self.set.ask(TAKE_PATH, take, TAKE_WITHIN).await;
+            let asked = self.set.call(TAKE_PATH, take, TAKE_WITHIN).await;
             asked.map_err(|_| {
                 self.give_back(take);
                 Unconfirmed
@@ -89,9 +91,9 @@
         })
     }
 
-    fn finish<'a>(&'a self, finish: &'a Finish) -> Claiming<'a, ()> {
+    fn finish<'a>(&'a self, finish: &'a FinishClaim) -> Claiming<'a, ()> {
         Box::pin(async move {
-            let asked = self.set.ask(FINISH_PATH, finish, FINISH_WITHIN).await;
+            let asked = self.set.call(FINISH_PATH, finish, FINISH_WITHIN).await;
             asked.map_err(|_| Unconfirmed)
         })
     }
--- a/crates/entry/src/deliver.rs
+++ b/crates/entry/src/deliver.rs
@@ -82,11 +82,11 @@
         let mut first = None;
         loop {
             match answer.next().await? {
-                Piece::Chunk(bytes) => {
+                AnswerPart::Chunk(bytes) => {
                     first.get_or_insert_with(Instant::now);
                     body.extend_from_slice(&bytes);
                 }
-                Piece::End { tokens } => {
+                AnswerPart::End { tokens } => {
                     if events {
                         body.extend_from_slice(DONE);
                     }
@@ -99,8 +99,10 @@
                         content: Content::Whole { body, tokens },
                     });
                 }
-                Piece::Refused(_) | Piece::Head { .. } => {
-                    return Err(Broken::Flawed { flaw: Flaw::Order });
+                AnswerPart::Refused(_) | AnswerPart::Head { .. } => {
+                    return Err(Broken::Flawed {
+                        flaw: AnswerError::Order,
+                    });
                 }
             }
             if !whole && (events || body.len() > held) {
@@ -162,11 +164,11 @@
             return Some(Ok(first));
         }
         match self.flow.answer.next().await {
-            Ok(Piece::Chunk(bytes)) => {
+            Ok(AnswerPart::Chunk(bytes)) => {
                 self.flow.chunks += 1;
                 Some(Ok(bytes))
             }
-            Ok(Piece::End { tokens }) => {
+            Ok(AnswerPart::End { tokens }) => {
                 self.flow.tokens = tokens;
                 if let Some(place) = self.flow.place.take() {
                     place.finish(self.flow.answer.load());
@@ -174,7 +176,9 @@
                 self.finish(true);
                 self.flow.events.then(|| Ok(Bytes::from_static(DONE)))
             }
-            Ok(_) => self.broken(&Broken::Flawed { flaw: Flaw::Order }),
+            Ok(_) => self.broken(&Broken::Flawed {
+                flaw: AnswerError::Order,
+            }),
             Err(broken) => self.broken(&broken),
         }
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -14,9 +14,9 @@
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_policy::dispatch::Listed;
 use dogwoodhill_policy::subset;
-use dogwoodhill_wire::ask::ControlSet;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::follow::{Changes, Follower};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control_client::ControlClient;
+use dogwoodhill_wire::document_watch::{AppliedChanges, DocumentWatcher};
 use error_stack::Report;
 use prometheus::IntGauge;
 use rand::RngExt;
@@ -72,9 +72,9 @@
         let claims: Arc<dyn Claims> = match settings.control.is_empty() {
             true => Arc::new(NoClaims),
             false => {
-                let caller = Caller::new(settings.secret.clone());
+                let caller = PeerClient::new(settings.secret.clone());
                 let spread = rand::rng().random_range(0..settings.control.len());
-                let set = ControlSet::new(caller, settings.control.clone(), spread);
+                let set = ControlClient::new(caller, settings.control.clone(), spread);
                 Arc::new(ControlClaims::new(set))
             }
         };
@@ -138,7 +138,7 @@
             quotas: Quotas::default(),
             entries: AtomicU32::new(settings.entries),
             runner: Runner {
-                caller: Caller::new(settings.secret.clone()),
+                caller: PeerClient::new(settings.secret.clone()),
                 ids: Arc::new(AttemptIds::new(run)),
                 heard: watch::Sender::new(0),
             },
@@ -263,16 +263,16 @@
     if core.settings.control.is_empty() {
         return;
     }
-    let follower = Follower {
+    let follower = DocumentWatcher {
         daemon: core.settings.name.clone(),
         entry: true,
         service: None,
         control: core.settings.control.clone(),
-        caller: core.runner.caller.clone(),
-        spread: rand::rng().random(),
-        heard: core.runner.heard.subscribe(),
+        client: core.runner.caller.clone(),
+        jitter_seed: rand::rng().random(),
+        newest: core.runner.heard.subscribe(),
     };
-    let heed = |changes: Changes| {
+    let heed = |changes: AppliedChanges| {
         core.share(changes.entries);
         core.cut_off.set(0);
         let documents = changes.documents.into_iter();
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -11,7 +11,9 @@
 use axum::response::Response;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_wire::control::{ClaimKey, Ended, Finish, Recorded, Take, Taken};
+use dogwoodhill_wire::control::{
+    ClaimEnd, ClaimKey, ClaimReply, FinishClaim, RecordedResponse, TakeClaim,
+};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -39,11 +41,11 @@
     }
     let done = attempt(core, &call, arrived).await;
     let ended = match &done {
-        Ok(done) => Ended::Ran(recorded(&done.ran)),
-        Err(refusal) if refusal.outcome == Outcome::NotRun => Ended::NotRun,
-        Err(_) => Ended::Unknown,
+        Ok(done) => ClaimEnd::Ran(recorded(&done.ran)),
+        Err(refusal) if refusal.outcome == Outcome::NotRun => ClaimEnd::NotRun,
+        Err(_) => ClaimEnd::Unknown,
     };
-    let report = Finish {
+    let report = FinishClaim {
         claim: take.claim,
         holder: take.holder,
         ended,
@@ -59,7 +61,7 @@
 /// Reports how a claimed request ended, while its caller is answered already.
 /// Should this entry stop before, the claim becomes unknown, which is safe:
 /// the key is never granted again.
-async fn report_end(core: Arc<Core>, report: Finish, request: RequestId) {
+async fn report_end(core: Arc<Core>, report: FinishClaim, request: RequestId) {
     let _busy = core.drain.enter();
     if core.claims.finish(&report).await.is_err() {
         Event::new("claim-end-unreported")
@@ -68,14 +70,14 @@
     }
 }
 
-fn take_of(core: &Arc<Core>, call: &Call) -> Option<Take> {
+fn take_of(core: &Arc<Core>, call: &Call) -> Option<TakeClaim> {
     let key = call.key.clone()?;
     let mut digest = Sha256::new();
     for part in [call.method.as_bytes(), call.path.as_bytes(), &call.body] {
         digest.update((part.len() as u64).to_be_bytes());
         digest.update(part);
     }
-    Some(Take {
+    Some(TakeClaim {
         claim: ClaimKey {
             service: call.service.document.service.clone(),
             workspace: call.workspace.name.clone(),
@@ -83,13 +85,13 @@
         },
         digest: digest.finalize().into(),
         holder: core.runner.ids.make(),
-        lasting: call.timeout + CLAIM_GRACE,
+        duration: call.timeout + CLAIM_GRACE,
         retention: call.service.document.retention,
     })
 }
 
 /// Claims a request; a response where it ended before.
-async fn claim(core: &Arc<Core>, take: &Take) -> Result<Option<Response>, Refusal> {
+async fn claim(core: &Arc<Core>, take: &TakeClaim) -> Result<Option<Response>, Refusal> {
     let taken = core.claims.take(take).await.map_err(|unconfirmed| {
         Refusal::not_run(
             Cause::Unavailable,
@@ -99,20 +101,20 @@
         .come_back(CONTROL_RETRY)
     })?;
     match taken {
-        Taken::Granted => Ok(None),
-        Taken::InProgress => Err(Refusal::unknown(
+        ClaimReply::Granted => Ok(None),
+        ClaimReply::InProgress => Err(Refusal::unknown(
             Cause::KeyInProgress,
             "a request with this Idempotency-Key is in progress",
             "ask again later with the same key and body",
         )
         .come_back(CONTROL_RETRY)),
-        Taken::Reused => Err(Refusal::not_run(
+        ClaimReply::Reused => Err(Refusal::not_run(
             Cause::KeyReused,
             "the Idempotency-Key was used with another request",
             "use a new key for a new request",
         )),
-        Taken::Ended(Ended::Ran(recorded)) => replay(recorded).map(Some),
-        Taken::Ended(_) => Err(Refusal::unknown(
+        ClaimReply::ClaimEnd(ClaimEnd::Ran(recorded)) => replay(recorded).map(Some),
+        ClaimReply::ClaimEnd(_) => Err(Refusal::unknown(
             Cause::BrokenAnswer,
             "the request with this Idempotency-Key may have run; its answer was lost",
             "find out from the service whether it ran; it will not be run again",
@@ -120,12 +122,12 @@
     }
 }
 
-fn recorded(ran: &Ran) -> Recorded {
+fn recorded(ran: &Ran) -> RecordedResponse {
     let body = match &ran.opened.content {
         Content::Whole { body, .. } if body.len() <= MAX_RECORDED => Some(body.clone()),
         _ => None,
     };
-    Recorded {
+    RecordedResponse {
         status: ran.opened.status,
         headers: ran.opened.headers.clone(),
         body,
@@ -133,7 +135,7 @@
 }
 
 /// The recorded answer, as it was.
-fn replay(recorded: Recorded) -> Result<Response, Refusal> {
+fn replay(recorded: RecordedResponse) -> Result<Response, Refusal> {
     let Some(body) = recorded.body else {
         return Err(Refusal {
             outcome: Outcome::Ran,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
@@ -107,7 +107,7 @@
     };
     if settings.control.is_empty() {
         let remedy = "list the control instances' addresses";
-        s.fault("control", "is empty", remedy);
+        s.report("control", "is empty", remedy);
     }
     settings
 }
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, suite)
     }
 
--- a/crates/load/src/slopes/claims.rs
+++ b/crates/load/src/slopes/claims.rs
@@ -5,7 +5,7 @@
 use dogwoodhill_control::command::Action;
 use dogwoodhill_control::service::Service;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{ClaimKey, Ended, Finish, Take};
+use dogwoodhill_wire::control::{ClaimEnd, ClaimKey, FinishClaim, TakeClaim};
 use hdrhistogram::Histogram;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -57,11 +57,11 @@
             key: format!("{caller}-{number}"),
         };
         let holder = (AttemptId::from(caller) << 64) | AttemptId::from(number);
-        let take = Take {
+        let take = TakeClaim {
             claim: claim.clone(),
             digest: [0; 32],
             holder,
-            lasting: Duration::from_secs(60),
+            duration: Duration::from_secs(60),
             retention: Duration::from_secs(3_600),
         };
         let start = Instant::now();
@@ -69,10 +69,10 @@
             continue;
         }
         let _ = times.record(start.elapsed().as_micros() as u64);
-        let finish = Finish {
+        let finish = FinishClaim {
             claim,
             holder,
-            ended: Ended::Unknown,
+            ended: ClaimEnd::Unknown,
         };
         let _ = service.submit(&Action::Finish(finish)).await;
     }
--- a/crates/load/src/slopes/placement.rs
+++ b/crates/load/src/slopes/placement.rs
@@ -3,7 +3,7 @@
 
 use super::Table;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_direct::dialect::{Listed, Prompt};
+use dogwoodhill_direct::dialect::{EndpointRecord, Prompt};
 use dogwoodhill_direct::directory::{Directory, Lane, Standing, Want};
 use hdrhistogram::Histogram;
 use std::time::Instant;
@@ -73,8 +73,8 @@
     histogram
 }
 
-fn listed(number: usize) -> Listed {
-    Listed {
+fn listed(number: usize) -> EndpointRecord {
+    EndpointRecord {
         run: Incarnation::new(format!("endpoint-{number}"), None),
         service: "voice".to_string(),
         address: ([127, 0, 0, 1], number as u16 + 1).into(),
--- a/crates/load/src/slopes/routes.rs
+++ b/crates/load/src/slopes/routes.rs
@@ -8,8 +8,8 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::follow::{Control, Fetching, Follower, RouteSink};
 use dogwoodhill_policy::transfer::Text;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::routes::StoredRoutes;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::fmt::Write;
@@ -105,7 +105,7 @@
                 bytes: Arc::clone(&bytes),
                 told: told.clone(),
             }),
-            caller: Caller::new(alone.secret.clone()),
+            caller: PeerClient::new(alone.secret.clone()),
             fetching: Fetching::new(&name),
             name,
             control: Mutex::new(Control {
@@ -151,8 +151,8 @@
 async fn put(alone: &Alone, version: Version, packed: bool) -> Result<(), String> {
     let text = text(version);
     let held = match packed {
-        true => HeldRoutes::new(version, &text),
-        false => HeldRoutes {
+        true => StoredRoutes::new(version, &text),
+        false => StoredRoutes {
             version,
             source: text,
         },
--- a/crates/load/src/slopes/watchers.rs
+++ b/crates/load/src/slopes/watchers.rs
@@ -6,8 +6,8 @@
 use crate::latency::{cpu_time, resident};
 use crate::slopes::recovery::{Alone, put};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::follow::{Changes, Follower};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::document_watch::{AppliedChanges, DocumentWatcher};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
@@ -53,17 +53,17 @@
     let mut bytes = 0;
     let mut tasks = JoinSet::new();
     for number in 0..size {
-        let follower = Follower {
+        let follower = DocumentWatcher {
             daemon: format!("daemon-{number}"),
             entry: true,
             service: None,
             control: vec![alone.internal],
-            caller: Caller::new(alone.secret.clone()),
-            spread: u64::from(number) + 1,
-            heard: watch::Sender::new(0).subscribe(),
+            client: PeerClient::new(alone.secret.clone()),
+            jitter_seed: u64::from(number) + 1,
+            newest: watch::Sender::new(0).subscribe(),
         };
         let told = told.clone();
-        let heed = move |changes: Changes| {
+        let heed = move |changes: AppliedChanges| {
             if !changes.documents.is_empty() {
                 let _ = told.send(());
             }
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -78,7 +78,7 @@
                 Age::Newer
             }
             Ordering::Equal => {
-                known.run.born = known.run.born.or(run.born);
+                known.run.start = known.run.start.or(run.start);
                 known.leaving |= leaving;
                 known.seen = now;
                 Age::Current
@@ -96,7 +96,7 @@
     /// endpoints that are not on it.
     pub fn forget(&mut self, now: Duration) {
         self.known.retain(|known| {
-            let kept = known.run.born.map_or(Duration::ZERO, |_| KEPT);
+            let kept = known.run.start.map_or(Duration::ZERO, |_| KEPT);
             now.saturating_sub(known.seen) <= kept
         });
         let excess = self.known.len().saturating_sub(MOST);
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -27,7 +27,7 @@
 mod suspect;
 
 use crash::{Candidate, Crash, contains};
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use std::cmp::Reverse;
 use suspect::Suspect;
@@ -119,7 +119,7 @@
     /// The line that tells operators.
     pub fn event(&self) -> Event {
         Event::new("request-quarantined")
-            .field("content", shown(self.request))
+            .field("content", short_form(self.request))
             .field("crashes", self.crashes)
             .field("times", self.times)
             .field("for_s", term(self.times).as_secs())
--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -8,13 +8,13 @@
     Duration::from_millis(millis)
 }
 
-fn run(id: usize, born: Option<Born>) -> Incarnation {
+fn run(id: usize, born: Option<StartTime>) -> Incarnation {
     Incarnation::new(format!("i-{id}"), born)
 }
 
-fn newest(runs: &Incarnations, id: usize) -> (Option<Born>, bool) {
+fn newest(runs: &Incarnations, id: usize) -> (Option<StartTime>, bool) {
     let (run, leaving) = runs.newest(&format!("i-{id}")).expect("it was told");
-    (run.born, leaving)
+    (run.start, leaving)
 }
 
 /// An endpoint starts again under its name: it is another one, whatever was known of
@@ -100,7 +100,7 @@
         ),
     ) {
         let mut runs = Incarnations::default();
-        let mut starts: [Option<Option<Born>>; 3] = [None; 3];
+        let mut starts: [Option<Option<StartTime>>; 3] = [None; 3];
         let mut left = [false; 3];
         for (at, (id, born, leaving)) in news.into_iter().enumerate() {
             let age = runs.told(ms(at as u64), &run(id, born), leaving);
--- a/crates/report/src/burn.rs
+++ b/crates/report/src/burn.rs
@@ -83,7 +83,7 @@
     let window = |counts: Counts| Window {
         counts,
         attainment: counts.attainment(),
-        burn: counts.burn(ring.objective),
+        burn: counts.burn_rate(ring.objective),
     };
     let minute = |bucket: &dogwoodhill_core::burn::Bucket| {
         let share = bucket.counts.attainment()?;
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -64,7 +64,7 @@
     let _ = writeln!(
         out,
         "<td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>",
-        counts.judged(),
+        counts.eligible(),
         counts.shed,
         counts.unknown,
         counts.tokens,
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -50,9 +50,9 @@
     let row = &burn.rows[1];
     assert_eq!(row.class, "interactive");
     assert_eq!(row.short.counts, counts(99, 1));
-    assert_eq!(row.long.counts.judged(), 300);
+    assert_eq!(row.long.counts.eligible(), 300);
     assert_eq!(row.long.counts.missed, 21);
-    assert_eq!(row.total.counts.judged(), 310);
+    assert_eq!(row.total.counts.eligible(), 310);
     // 21 of 300 missed where 15 are allowed.
     assert!((row.long.burn.unwrap() - 1.4).abs() < 1e-9);
 }
--- a/crates/route/src/check.rs
+++ b/crates/route/src/check.rs
@@ -6,7 +6,7 @@
 
 /// Why a set is refused as a whole.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum Invalid {
+pub enum InvalidRouteSet {
     /// The text can't be read.
     #[display("the text can't be read: {problem}; send the whole set as one JSON object")]
     Unreadable {
@@ -25,7 +25,7 @@
     },
     /// Two routes share host and prefix.
     #[display("routes {first} and {second} share host and prefix; change one of them")]
-    SamePlace {
+    DuplicateRoute {
         /// One route.
         first: String,
         /// The other.
@@ -61,7 +61,7 @@
     },
 }
 
-impl Invalid {
+impl InvalidRouteSet {
     /// A text that can't be read.
     pub fn unreadable(problem: impl std::fmt::Display) -> Self {
         let problem = problem.to_string();
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// The first thing that makes it unusable.
-    pub fn check(&self) -> Result<(), Invalid> {
+    pub fn check(&self) -> Result<(), InvalidRouteSet> {
         for route in &self.routes {
             self.check_route(route)?;
         }
@@ -83,24 +83,24 @@
         self.check_keys()
     }
 
-    fn check_route(&self, route: &Route) -> Result<(), Invalid> {
+    fn check_route(&self, route: &Route) -> Result<(), InvalidRouteSet> {
         let name = || route.name.clone();
         if let Some(target) = route.targets.iter().find(|t| !self.lists(&t.service)) {
             let service = target.service.clone();
-            return Err(Invalid::UnknownService {
+            return Err(InvalidRouteSet::UnknownService {
                 route: name(),
                 service,
             });
         }
         if route.targets.iter().all(|target| target.weight == 0) {
-            return Err(Invalid::NoWeight { route: name() });
+            return Err(InvalidRouteSet::NoWeight { route: name() });
         }
         if route.timeout.is_zero() {
-            return Err(Invalid::NoTimeout { route: name() });
+            return Err(InvalidRouteSet::NoTimeout { route: name() });
         }
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
             let prefix = route.prefix.clone();
-            return Err(Invalid::Prefix {
+            return Err(InvalidRouteSet::Prefix {
                 route: name(),
                 prefix,
             });
@@ -112,7 +112,7 @@
         self.services.iter().any(|listed| listed == service)
     }
 
-    fn check_places(&self) -> Result<(), Invalid> {
+    fn check_places(&self) -> Result<(), InvalidRouteSet> {
         let mut places: Vec<(&str, &str, &str)> = self
             .routes
             .iter()
@@ -124,14 +124,14 @@
         };
         match places.windows(2).find(same) {
             None => Ok(()),
-            Some(pair) => Err(Invalid::SamePlace {
+            Some(pair) => Err(InvalidRouteSet::DuplicateRoute {
                 first: pair[0].2.to_string(),
                 second: pair[1].2.to_string(),
             }),
         }
     }
 
-    fn check_keys(&self) -> Result<(), Invalid> {
+    fn check_keys(&self) -> Result<(), InvalidRouteSet> {
         let workspaces = self.workspaces.iter().flatten();
         let mut keys: Vec<(&str, &str)> = workspaces
             .flat_map(|space| space.keys.iter().map(|key| (&**key, &*space.name)))
@@ -141,7 +141,7 @@
             |pair: &&[(&str, &str)]| pair[0].0 == pair[1].0 && pair[0].1 != pair[1].1;
         match keys.windows(2).find(shared) {
             None => Ok(()),
-            Some(pair) => Err(Invalid::SharedKey {
+            Some(pair) => Err(InvalidRouteSet::SharedKey {
                 first: pair[0].1.to_string(),
                 second: pair[1].1.to_string(),
             }),
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,7 +16,7 @@
 
 /// The names most modules need, for one import line.
 pub mod prelude {
-    pub use crate::check::Invalid;
+    pub use crate::check::InvalidRouteSet;
     pub use crate::set::{Events, Limits, Route, RouteSet, RouteWorkspace, Target};
     pub use crate::table::{Admitted, Denied, RouteTable};
     pub use dogwoodhill_policy::urgency::Rank;
--- a/crates/route/src/set.rs
+++ b/crates/route/src/set.rs
@@ -1,6 +1,6 @@
 //! A route set as a value.
 
-use crate::check::Invalid;
+use crate::check::InvalidRouteSet;
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// [`Invalid`], which says what makes the set unusable.
-    fn read(&self, source: &[u8]) -> Result<RouteSet, Invalid>;
+    /// [`InvalidRouteSet`], which says what makes the set unusable.
+    fn read(&self, source: &[u8]) -> Result<RouteSet, InvalidRouteSet>;
 }
 
 /// The router's own form: JSON with the names of [`RouteSet`].
@@ -128,9 +128,9 @@
 pub struct JsonFormat;
 
 impl SetFormat for JsonFormat {
-    fn read(&self, source: &[u8]) -> Result<RouteSet, Invalid> {
+    fn read(&self, source: &[u8]) -> Result<RouteSet, InvalidRouteSet> {
         let set: RouteSet =
-            serde_json::from_slice(source).map_err(Invalid::unreadable)?;
+            serde_json::from_slice(source).map_err(InvalidRouteSet::unreadable)?;
         set.check()?;
         Ok(set)
     }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -72,7 +72,10 @@
         workspace("x", &["k"], None),
         workspace("y", &["k"], None),
     ]);
-    assert!(matches!(shared.check(), Err(Invalid::SharedKey { .. })));
+    assert!(matches!(
+        shared.check(),
+        Err(InvalidRouteSet::SharedKey { .. })
+    ));
 }
 
 #[test]
