--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,16 +1,16 @@
 //! What makes an answer whole and one's own.
 
 use crate::attempt::Header;
-use crate::frame::{Body, Frame, Reason};
+use crate::frame::{Body, Frame, RefusalReason};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 
 /// A part of the answer that may be passed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum AnswerPart {
     /// The attempt was not run.
-    Refused(Reason),
+    Refused(RefusalReason),
     /// Status and headers.
     Head {
         /// HTTP status.
@@ -29,16 +29,16 @@
 
 /// Why an answer can't be completed. The request may have run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum Flaw {
+pub enum AnswerError {
     /// A frame of another attempt.
     #[display("a frame of another attempt arrived")]
-    Crossed,
+    ForeignFrame,
     /// A frame is missing or came twice.
     #[display("a frame is missing or came twice")]
     Sequence,
     /// The end mark does not agree with what arrived.
     #[display("the end mark does not agree with the bytes received")]
-    Short,
+    Truncated,
     /// Frames in an order that no answer has.
     #[display("frames came in an impossible order")]
     Order,
@@ -59,7 +59,7 @@
 
 /// Checks the frames of one attempt as they arrive.
 ///
-/// After a [`Flaw`] or the end nothing more is accepted, so that a late frame
+/// After a [`AnswerError`] or the end nothing more is accepted, so that a late frame
 /// can't lengthen a finished answer.
 #[derive(Debug)]
 pub struct Answer {
@@ -89,8 +89,8 @@
     ///
     /// # Errors
     ///
-    /// [`Flaw`] where the answer can no longer become whole.
-    pub fn accept(&mut self, frame: Frame) -> Result<Piece, Flaw> {
+    /// [`AnswerError`] where the answer can no longer become whole.
+    pub fn accept(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
         let piece = self.check(frame);
         if piece.is_err() {
             self.stage = Stage::Done;
@@ -98,36 +98,36 @@
         piece
     }
 
-    fn check(&mut self, frame: Frame) -> Result<Piece, Flaw> {
+    fn check(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
         if frame.attempt != self.attempt {
-            return Err(Flaw::Crossed);
+            return Err(AnswerError::ForeignFrame);
         }
         if frame.seq != self.seq {
-            return Err(Flaw::Sequence);
+            return Err(AnswerError::Sequence);
         }
         self.seq += 1;
         match (self.stage, frame.body) {
             (Stage::Start, Body::Refused(reason)) => {
                 self.stage = Stage::Done;
-                Ok(Piece::Refused(reason))
+                Ok(AnswerPart::Refused(reason))
             }
             (Stage::Start, Body::Head { status, headers }) => {
                 self.stage = Stage::Body;
-                Ok(Piece::Head { status, headers })
+                Ok(AnswerPart::Head { status, headers })
             }
             (Stage::Body, Body::Chunk(bytes)) => {
                 self.bytes += bytes.len() as u64;
-                Ok(Piece::Chunk(bytes))
+                Ok(AnswerPart::Chunk(bytes))
             }
             (Stage::Body, Body::End { bytes, tokens }) if bytes == self.bytes => {
                 self.stage = Stage::Done;
-                Ok(Piece::End { tokens })
+                Ok(AnswerPart::End { tokens })
             }
-            (Stage::Body, Body::End { .. }) => Err(Flaw::Short),
+            (Stage::Body, Body::End { .. }) => Err(AnswerError::Truncated),
             (Stage::Start | Stage::Body, Body::Broken(cause)) => {
-                Err(Flaw::Broken { cause })
+                Err(AnswerError::Broken { cause })
             }
-            _ => Err(Flaw::Order),
+            _ => Err(AnswerError::Order),
         }
     }
 }
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -84,12 +84,12 @@
 
 /// Client with a pool of connections.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct PeerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     secret: String,
 }
 
-impl Caller {
+impl PeerClient {
     /// Makes a client; `secret` is the cluster key sent with every call.
     pub fn new(secret: String) -> Self {
         let mut connector = HttpConnector::new();
@@ -111,7 +111,7 @@
     /// A client with connections of its own, so that what is sent over it never waits
     /// behind what is sent over this one.
     #[must_use]
-    pub fn apart(&self) -> Self {
+    pub fn with_own_pool(&self) -> Self {
         Self::new(self.secret.clone())
     }
 
--- a/crates/wire/src/pack.rs
+++ b/crates/wire/src/compress.rs
@@ -18,7 +18,7 @@
 
 /// Why a text can't be unpacked.
 #[derive(Debug, Display, Error)]
-pub enum PackError {
+pub enum DecompressError {
     /// The bytes are damaged.
     #[display("the packed text is damaged; send it again")]
     Damaged,
@@ -32,26 +32,26 @@
 /// # Panics
 ///
 /// Never: writing to memory can't fail.
-pub fn pack(text: &[u8]) -> Vec<u8> {
-    let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
-    packer.write_all(text).expect("memory takes all");
-    packer.finish().expect("memory takes all")
+pub fn compress(text: &[u8]) -> Vec<u8> {
+    let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(text).expect("memory takes all");
+    encoder.finish().expect("memory takes all")
 }
 
 /// Unpacks a text; one that is not packed is returned as it is.
 ///
 /// # Errors
 ///
-/// [`PackError`].
-pub fn unpack(bytes: &[u8]) -> Result<Vec<u8>, PackError> {
+/// [`DecompressError`].
+pub fn decompress(bytes: &[u8]) -> Result<Vec<u8>, DecompressError> {
     if !bytes.starts_with(&MARK) {
         return Ok(bytes.to_vec());
     }
     let mut text = Vec::new();
     let read = GzDecoder::new(bytes).take(MOST + 1).read_to_end(&mut text);
-    read.map_err(|_| PackError::Damaged)?;
+    read.map_err(|_| DecompressError::Damaged)?;
     if text.len() as u64 > MOST {
-        return Err(PackError::TooLarge);
+        return Err(DecompressError::TooLarge);
     }
     Ok(text)
 }
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -11,9 +11,9 @@
 
 /// Path of [`Watch`].
 pub const WATCH_PATH: &str = "/internal/watch";
-/// Path of [`Take`].
+/// Path of [`TakeClaim`].
 pub const TAKE_PATH: &str = "/internal/claims/take";
-/// Path of [`Finish`].
+/// Path of [`FinishClaim`].
 pub const FINISH_PATH: &str = "/internal/claims/finish";
 /// Path of [`Acquire`].
 pub const LEASE_PATH: &str = "/internal/lease";
@@ -39,7 +39,7 @@
 
 /// One accepted document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedDocument {
     /// Revision at which it was accepted.
     pub revision: Revision,
     /// The document.
@@ -48,9 +48,9 @@
 
 /// What changed in one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum DocumentChange {
     /// The whole document.
-    Whole(Accepted),
+    Whole(AcceptedDocument),
     /// Only what differs from the document the daemon has.
     Patch {
         /// Revision of the document it has.
@@ -70,7 +70,7 @@
     /// when the watch arrived.
     pub revision: Revision,
     /// Changes.
-    pub news: Vec<News>,
+    pub changes: Vec<DocumentChange>,
     /// Entries that watch now; 0 where not known.
     pub entries: u32,
 }
@@ -88,34 +88,34 @@
 
 /// Claims the right to run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Take {
+pub struct TakeClaim {
     /// The request.
     pub claim: ClaimKey,
     /// SHA-256 of method, path and body.
     pub digest: [u8; 32],
-    /// Unique to this delivery of the request to this entry; lets a `Take`
+    /// Unique to this delivery of the request to this entry; lets a `TakeClaim`
     /// whose answer was lost be sent again.
     pub holder: AttemptId,
     /// Longest time the request may be in progress.
-    pub lasting: Duration,
+    pub duration: Duration,
     /// How long the claim is kept.
     pub retention: Duration,
 }
 
 /// How a claimed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ended {
+pub enum ClaimEnd {
     /// It was not run; the key may be used again.
     NotRun,
     /// It may have run.
     Unknown,
     /// It ran.
-    Ran(Recorded),
+    Ran(RecordedResponse),
 }
 
 /// A recorded answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Recorded {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// End-to-end headers.
@@ -126,24 +126,24 @@
 
 /// Reports how a claimed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Finish {
+pub struct FinishClaim {
     /// The request.
     pub claim: ClaimKey,
     /// Holder of the claim.
     pub holder: AttemptId,
     /// How it ended.
-    pub ended: Ended,
+    pub ended: ClaimEnd,
 }
 
-/// Answer to [`Take`].
+/// Answer to [`TakeClaim`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
+pub enum ClaimReply {
     /// The sender may run the request, and nobody else may.
     Granted,
     /// Another delivery of the request is in progress.
     InProgress,
     /// The request ended before.
-    Ended(Ended),
+    ClaimEnd(ClaimEnd),
     /// The key was used with another request.
     Reused,
 }
@@ -158,12 +158,12 @@
     /// Random id of the agent's run.
     pub holder: AttemptId,
     /// How long the lease is wanted for.
-    pub lasting: Duration,
+    pub duration: Duration,
 }
 
 /// Answer to [`Acquire`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Lease {
+pub enum LeaseReply {
     /// The lease is held under this number.
     Held(Fence),
     /// Another run of an agent holds it for at most this long.
@@ -172,7 +172,7 @@
 
 /// Why a control instance can't answer.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unable {
+pub enum ControlUnavailable {
     /// Another instance leads; ask it if known.
     #[display("this instance does not lead")]
     NotLeader {
@@ -186,4 +186,4 @@
 }
 
 /// Answer of a control instance.
-pub type Answered<T> = Result<T, Unable>;
+pub type ControlReply<T> = Result<T, ControlUnavailable>;
--- a/crates/wire/src/ask.rs
+++ b/crates/wire/src/control_client.rs
@@ -1,7 +1,7 @@
 //! Asking whichever control instance can answer.
 
-use crate::client::Caller;
-use crate::control::Answered;
+use crate::client::PeerClient;
+use crate::control::ControlReply;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 use serde::Serialize;
@@ -24,18 +24,18 @@
 /// The control instances a daemon knows. Clones share the choice of the one
 /// that answered last.
 #[derive(Clone, Debug)]
-pub struct ControlSet {
-    caller: Caller,
+pub struct ControlClient {
+    client: PeerClient,
     addresses: Vec<SocketAddr>,
     preferred: Arc<AtomicUsize>,
 }
 
-impl ControlSet {
+impl ControlClient {
     /// Instances at `addresses`; `spread` picks the one to start with, so
     /// that daemons are spread over them.
-    pub fn new(caller: Caller, addresses: Vec<SocketAddr>, spread: usize) -> Self {
+    pub fn new(client: PeerClient, addresses: Vec<SocketAddr>, spread: usize) -> Self {
         Self {
-            caller,
+            client,
             addresses,
             preferred: Arc::new(AtomicUsize::new(spread)),
         }
@@ -51,7 +51,7 @@
     }
 
     /// Moves on to the next instance.
-    pub fn move_on(&self) {
+    pub fn advance(&self) {
         self.preferred.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// [`NoAnswer`]; the message may have been acted on all the same.
-    pub async fn ask<M, A>(
+    pub async fn call<M, A>(
         &self,
         path: &str,
         message: &M,
@@ -76,10 +76,12 @@
             for _ in 0..self.addresses.len() {
                 let address = self.instance().ok_or(NoAnswer)?;
                 let until = end.min(Instant::now() + PER_INSTANCE);
-                let call = self.caller.call::<M, Answered<A>>(address, path, message);
+                let call = self
+                    .client
+                    .call::<M, ControlReply<A>>(address, path, message);
                 match timeout_at(until, call).await {
                     Ok(Ok(Ok(answer))) => return Ok(answer),
-                    _ => self.move_on(),
+                    _ => self.advance(),
                 }
             }
             sleep(PAUSE).await;
--- a/crates/wire/src/demand.rs
+++ b/crates/wire/src/demand.rs
@@ -7,7 +7,7 @@
 use dogwoodhill_policy::sightings::Verdict;
 use serde::{Deserialize, Serialize};
 
-/// Path of [`TellDemand`].
+/// Path of [`DemandReport`].
 pub const DEMAND_PATH: &str = "/internal/demand";
 
 /// When a control instance answered, by its own clock: the time since it started.
@@ -32,26 +32,26 @@
     pub since: Duration,
 }
 
-/// Tells what came lately at one entry. Answered with [`Totals`].
+/// Tells what came lately at one entry. Answered with [`DemandReply`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct TellDemand {
+pub struct DemandReport {
     /// Name of the entry.
     pub entry: String,
     /// Its services; sorted.
     pub services: Vec<ServiceDemand>,
     /// Mark of the list that it has; 0 for none.
     #[serde(default)]
-    pub held: u64,
+    pub list_mark: u64,
     /// Its own newest read of the list.
     #[serde(default)]
     pub list: Option<ListRead>,
     /// What it met at endpoints since it told last, by place in the list that it has.
     #[serde(default)]
-    pub sights: Vec<EndpointSight>,
+    pub observations: Vec<EndpointObservation>,
     /// Places in that list of the endpoints that it heard from lately, a bit each: the
     /// lowest bit of the first byte is the first place.
     #[serde(default, with = "serde_bytes")]
-    pub heard: Vec<u8>,
+    pub responding: Vec<u8>,
     /// The last stamp that it got of this instance.
     #[serde(default)]
     pub echo: Option<Echo>,
@@ -63,7 +63,7 @@
     pub served: Vec<RequestServed>,
     /// Mark of the suspected requests that it knows; 0 for none.
     #[serde(default)]
-    pub suspects: u64,
+    pub suspects_mark: u64,
     /// Limits that it heard of, or for which it could use permits.
     #[serde(default)]
     pub limits: Vec<EndpointLimit>,
@@ -72,14 +72,14 @@
     pub limits_mark: u64,
     /// Whether it asks this instance before all others.
     #[serde(default)]
-    pub first_choice: bool,
+    pub preferred: bool,
 }
 
 /// What an entry met at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointSight {
+pub struct EndpointObservation {
     /// Place of the endpoint in the list, sorted by name and start.
-    pub place: u32,
+    pub list_index: u32,
     /// Whether another run answered at its address.
     pub replaced: bool,
     /// Whether it could not be reached, or said nothing for too long.
@@ -94,14 +94,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointVerdict {
     /// Place of the endpoint in the list, sorted by name and start.
-    pub place: u32,
+    pub list_index: u32,
     /// What holds of it.
-    pub verdict: VerdictWord,
+    pub verdict: WireVerdict,
 }
 
 /// What holds of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum VerdictWord {
+pub enum WireVerdict {
     /// It fails more of its requests than others.
     Failing,
     /// Nothing comes from it or reaches it.
@@ -110,7 +110,7 @@
     Replaced,
 }
 
-impl From<Verdict> for VerdictWord {
+impl From<Verdict> for WireVerdict {
     fn from(verdict: Verdict) -> Self {
         match verdict {
             Verdict::Failing => Self::Failing,
@@ -120,12 +120,12 @@
     }
 }
 
-impl From<VerdictWord> for Verdict {
-    fn from(word: VerdictWord) -> Self {
-        match word {
-            VerdictWord::Failing => Self::Failing,
-            VerdictWord::Silent => Self::Silent,
-            VerdictWord::Replaced => Self::Replaced,
+impl From<WireVerdict> for Verdict {
+    fn from(verdict: WireVerdict) -> Self {
+        match verdict {
+            WireVerdict::Failing => Self::Failing,
+            WireVerdict::Silent => Self::Silent,
+            WireVerdict::Replaced => Self::Replaced,
         }
     }
 }
@@ -137,7 +137,7 @@
     /// The service.
     pub service: ServiceId,
     /// Of streams with short pauses.
-    pub fragile: f64,
+    pub latency_sensitive: f64,
     /// Of other requests.
     pub other: f64,
     /// Longest pauses of streams that ran beside long prompts, in seconds, times
@@ -151,7 +151,7 @@
 
 /// Sums over all entries that told lately, and the newest read of the list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Totals {
+pub struct DemandReply {
     /// The sums; sorted by service.
     pub services: Vec<ServiceDemand>,
     /// Whether the entry reads the list for the others.
@@ -189,7 +189,7 @@
     /// Hash of the endpoint's failure domain.
     pub domain: u64,
     /// How long it was under way there.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// How long ago its connection broke.
     pub age: Duration,
 }
@@ -209,16 +209,16 @@
     /// Differs where the requests do; 0 for none.
     pub mark: u64,
     /// The requests, sorted.
-    pub requests: Vec<RequestStanding>,
+    pub requests: Vec<SuspectRequest>,
 }
 
 /// What is known of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestStanding {
+pub struct SuspectRequest {
     /// The request.
     pub request: Fingerprint,
     /// Endpoints that crashed under it.
     pub crashes: u32,
     /// How much longer it is not sent on; `None` where it may be.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/document_watch.rs
@@ -5,9 +5,11 @@
 //! in is never older than what it could have been told. A daemon that no
 //! instance answers keeps what it has.
 
-use crate::ask::ControlSet;
-use crate::client::Caller;
-use crate::control::{Accepted, Answered, News, Update, WATCH_PATH, Watch};
+use crate::client::PeerClient;
+use crate::control::{
+    AcceptedDocument, ControlReply, DocumentChange, Update, WATCH_PATH, Watch,
+};
+use crate::control_client::ControlClient;
 use dogwoodhill_core::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +18,7 @@
 
 /// Longest poll. Short enough that a frozen instance, which closes nothing,
 /// is given up in time; the HTTP/2 pings of the client notice it earlier.
-pub const POLL: Duration = Duration::from_secs(20);
+pub const POLL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time beyond the poll until an answer counts as lost.
 const SLACK: Duration = Duration::from_secs(4);
 /// First pause after a failed poll.
@@ -26,30 +28,30 @@
 
 /// Documents that changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Changes {
+pub struct AppliedChanges {
     /// Revision up to which everything is known.
     pub revision: Revision,
     /// The new documents, whole.
-    pub documents: Vec<Accepted>,
+    pub documents: Vec<AcceptedDocument>,
     /// Entries that watch now; 0 where not known.
     pub entries: u32,
 }
 
 /// The documents a daemon has, sorted by service, to apply differences to.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
-    documents: Vec<Accepted>,
+pub struct DocumentCache {
+    documents: Vec<AcceptedDocument>,
 }
 
-impl Known {
+impl DocumentCache {
     /// Takes an update in; `None` where a difference is to a document that
     /// this daemon does not have, and everything has to be asked for anew.
-    pub fn take(&mut self, update: Update) -> Option<Changes> {
+    pub fn take(&mut self, update: Update) -> Option<AppliedChanges> {
         let mut changed = Vec::new();
-        for news in update.news {
-            let accepted = match news {
-                News::Whole(accepted) => accepted,
-                News::Patch {
+        for change in update.changes {
+            let accepted = match change {
+                DocumentChange::Whole(accepted) => accepted,
+                DocumentChange::Patch {
                     base,
                     revision,
                     delta,
@@ -60,20 +62,20 @@
                         return None;
                     }
                     let document = Arc::new(delta.apply(&old.document));
-                    Accepted { revision, document }
+                    AcceptedDocument { revision, document }
                 }
             };
             self.put(accepted.clone());
             changed.push(accepted);
         }
-        Some(Changes {
+        Some(AppliedChanges {
             revision: update.revision,
             documents: changed,
             entries: update.entries,
         })
     }
 
-    fn put(&mut self, accepted: Accepted) {
+    fn put(&mut self, accepted: AcceptedDocument) {
         match self.find(&accepted.document.service) {
             Ok(at) => self.documents[at] = accepted,
             Err(at) => self.documents.insert(at, accepted),
@@ -88,7 +90,7 @@
 
 /// Who follows.
 #[derive(Clone, Debug)]
-pub struct Follower {
+pub struct DocumentWatcher {
     /// Name of the daemon.
     pub daemon: String,
     /// Whether it is an entry.
@@ -98,62 +100,62 @@
     /// Control instances.
     pub control: Vec<SocketAddr>,
     /// Client.
-    pub caller: Caller,
+    pub client: PeerClient,
     /// Random number that spreads daemons over instances and pauses.
-    pub spread: u64,
+    pub jitter_seed: u64,
     /// Newest revision the daemon heard of elsewhere. When it is newer than
     /// what the present poll gave, the instance polled may be cut off: the
     /// next one is asked at once.
-    pub heard: watch::Receiver<Revision>,
+    pub newest: watch::Receiver<Revision>,
 }
 
-impl Follower {
+impl DocumentWatcher {
     /// Follows for ever and hands every change to `heed`; `failed` is told of
     /// polls that no instance answered.
     pub async fn run(
         self,
-        mut heed: impl FnMut(Changes) + Send,
+        mut heed: impl FnMut(AppliedChanges) + Send,
         mut failed: impl FnMut() + Send,
     ) {
-        let set = ControlSet::new(
-            self.caller.clone(),
+        let control = ControlClient::new(
+            self.client.clone(),
             self.control.clone(),
-            self.spread as usize,
+            self.jitter_seed as usize,
         );
-        let mut asking = Watch {
+        let mut request = Watch {
             daemon: self.daemon.clone(),
             entry: self.entry,
             revision: 0,
             service: self.service.clone(),
             entries: 0,
-            wait: POLL,
+            wait: POLL_TIMEOUT,
         };
-        let mut heard = self.heard.clone();
-        let mut known = Known::default();
+        let mut newest = self.newest.clone();
+        let mut known = DocumentCache::default();
         let mut pause = MIN_PAUSE;
-        let mut jitter = self.spread;
+        let mut jitter = self.jitter_seed;
         loop {
             let polled = tokio::select! {
-                polled = self.poll(&set, &asking) => polled,
-                () = newer(&mut heard, asking.revision) => None,
+                polled = self.poll(&control, &request) => polled,
+                () = newer(&mut newest, request.revision) => None,
             };
             match polled {
-                Some(update) if update.revision >= asking.revision => {
+                Some(update) if update.revision >= request.revision => {
                     pause = MIN_PAUSE;
                     match known.take(update) {
                         Some(changes) => {
-                            asking.revision = changes.revision;
-                            asking.entries = changes.entries;
+                            request.revision = changes.revision;
+                            request.entries = changes.entries;
                             heed(changes);
                         }
                         // Whole documents come next time; none of them can
                         // be older than what this daemon has.
-                        None => asking.revision = 0,
+                        None => request.revision = 0,
                     }
                 }
                 _ => {
                     failed();
-                    set.move_on();
+                    control.advance();
                     jitter = next(jitter);
                     sleep(pause.mul_f64(0.5 + (jitter % 1024) as f64 / 1024.0)).await;
                     pause = (pause * 2).min(MAX_PAUSE);
@@ -162,23 +164,23 @@
         }
     }
 
-    async fn poll(&self, set: &ControlSet, watch: &Watch) -> Option<Update> {
-        let address = set.instance()?;
+    async fn poll(&self, control: &ControlClient, watch: &Watch) -> Option<Update> {
+        let address = control.instance()?;
         let call = self
-            .caller
-            .call::<_, Answered<Update>>(address, WATCH_PATH, watch);
-        let answered = timeout(POLL + SLACK, call).await.ok()?.ok()?;
+            .client
+            .call::<_, ControlReply<Update>>(address, WATCH_PATH, watch);
+        let answered = timeout(POLL_TIMEOUT + SLACK, call).await.ok()?.ok()?;
         answered.ok()
     }
 }
 
 /// Ends when a newer revision than `revision` is heard of for the first time.
-async fn newer(heard: &mut watch::Receiver<Revision>, revision: Revision) {
+async fn newer(newest: &mut watch::Receiver<Revision>, revision: Revision) {
     loop {
-        if heard.changed().await.is_err() {
+        if newest.changed().await.is_err() {
             return std::future::pending().await;
         }
-        if *heard.borrow() > revision {
+        if *newest.borrow() > revision {
             return;
         }
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -7,10 +7,10 @@
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Why an agent refused an attempt. All but [`Reason::Repeated`] say that no
+/// Why an agent refused an attempt. All but [`RefusalReason::Repeated`] say that no
 /// byte reached the endpoint.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum RefusalReason {
     /// No free slot for this tier.
     #[display("full")]
     Full,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// The attempt was not run and never will be.
-    Refused(Reason),
+    Refused(RefusalReason),
     /// The endpoint's status and headers.
     Head {
         /// HTTP status.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,24 +13,24 @@
 //! * no message is longer than [`codec::MAX_FRAME`].
 
 pub mod answer;
-pub mod ask;
 pub mod attempt;
 pub mod client;
 pub mod codec;
+pub mod compress;
 pub mod control;
+pub mod control_client;
 pub mod demand;
-pub mod follow;
+pub mod document_watch;
 pub mod frame;
 pub mod limits;
 pub mod list;
-pub mod pack;
 pub mod routes;
 pub mod usage;
 
 /// The names most modules need, for one import line.
 pub mod prelude {
-    pub use crate::answer::{Answer, Flaw, Piece};
+    pub use crate::answer::{Answer, AnswerError, AnswerPart};
     pub use crate::attempt::{Attempt, Header};
     pub use crate::codec::{FrameReader, encode};
-    pub use crate::frame::{Body, Frame, Load, Reason};
+    pub use crate::frame::{Body, Frame, Load, RefusalReason};
 }
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -9,7 +9,7 @@
 //! nothing is taken whose mark is not the one that was told; so a change that was lost,
 //! doubled or damaged leads to the whole list, never to a wrong one.
 
-use crate::pack::{pack, unpack};
+use crate::compress::{compress, decompress};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{hash, mix};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
 
 /// One endpoint, as the list has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct EndpointRecord {
     /// Its name and start.
     pub run: Incarnation,
     /// Service.
@@ -46,14 +46,14 @@
 const EMPTY: Mark = 1;
 
 /// The mark of a list.
-pub fn mark(endpoints: &[Listed]) -> Mark {
+pub fn mark(endpoints: &[EndpointRecord]) -> Mark {
     EMPTY.wrapping_add(sum(endpoints.iter()))
 }
 
 /// What some endpoints add to the mark of their list.
-fn sum<'a>(endpoints: impl Iterator<Item = &'a Listed>) -> Mark {
-    let one = |listed: &Listed| {
-        let Listed {
+fn sum<'a>(endpoints: impl Iterator<Item = &'a EndpointRecord>) -> Mark {
+    let one = |listed: &EndpointRecord| {
+        let EndpointRecord {
             run,
             service,
             address,
@@ -78,7 +78,7 @@
     #[serde(default)]
     pub took: Duration,
     /// The whole list; left out where the receiver has this content.
-    pub whole: Option<Arc<PackedList>>,
+    pub whole: Option<Arc<CompressedList>>,
     /// What changed since a list that the receiver has, in place of the whole.
     #[serde(default)]
     pub changes: Option<Arc<ListChanges>>,
@@ -87,16 +87,18 @@
 /// A whole list, packed: 3,000 endpoints are 270 KB as they are, and hundreds of entries
 /// ask for them at once after all were killed, of one instance on 100 Mbit/s.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedList(#[serde(with = "serde_bytes")] Vec<u8>);
+pub struct CompressedList(#[serde(with = "serde_bytes")] Vec<u8>);
 
-impl PackedList {
+impl CompressedList {
     /// Packs a list.
     ///
     /// # Panics
     ///
     /// Never: a list holds nothing that can't be encoded.
-    pub fn of(endpoints: &[Listed]) -> Self {
-        Self(pack(&rmp_serde::to_vec(endpoints).expect("lists encode")))
+    pub fn of(endpoints: &[EndpointRecord]) -> Self {
+        Self(compress(
+            &rmp_serde::to_vec(endpoints).expect("lists encode"),
+        ))
     }
 
     /// Bytes that it takes on its way.
@@ -105,8 +107,8 @@
     }
 
     /// The list, if it can be read.
-    pub fn read(&self) -> Option<Vec<Listed>> {
-        rmp_serde::from_slice(&unpack(&self.0).ok()?).ok()
+    pub fn read(&self) -> Option<Vec<EndpointRecord>> {
+        rmp_serde::from_slice(&decompress(&self.0).ok()?).ok()
     }
 }
 
@@ -116,14 +118,14 @@
     /// The list that it is worked out from.
     pub from: Mark,
     /// Places there of endpoints that are gone or changed; they rise.
-    pub gone: Vec<u32>,
+    pub removed: Vec<u32>,
     /// Endpoints that are new or changed; sorted by name and start.
-    pub told: Vec<Listed>,
+    pub updated: Vec<EndpointRecord>,
 }
 
 impl ListChanges {
     /// What makes `old`, whose mark is `from`, into `new`; both sorted by name and start.
-    pub fn between(from: Mark, old: &[Listed], new: &[Listed]) -> Self {
+    pub fn between(from: Mark, old: &[EndpointRecord], new: &[EndpointRecord]) -> Self {
         let mut changes = Self {
             from,
             ..Self::default()
@@ -138,13 +140,13 @@
             let same = order == Ordering::Equal && old[at] == rest[0];
             if order != Ordering::Greater {
                 if !same {
-                    changes.gone.push(at as u32);
+                    changes.removed.push(at as u32);
                 }
                 at += 1;
             }
             if order != Ordering::Less {
                 if !same {
-                    changes.told.push(rest[0].clone());
+                    changes.updated.push(rest[0].clone());
                 }
                 rest = &rest[1..];
             }
@@ -153,23 +155,28 @@
     }
 
     /// The list that it makes `old` into. Only what changed is hashed anew.
-    pub fn apply(&self, old: &Content) -> Content {
-        let stays = |place: &(u32, &Listed)| self.gone.binary_search(&place.0).is_err();
+    pub fn apply(&self, old: &ListSnapshot) -> ListSnapshot {
+        let stays = |place: &(u32, &EndpointRecord)| {
+            self.removed.binary_search(&place.0).is_err()
+        };
         let old_list = old.endpoints.as_slice();
         let kept = (0..).zip(old_list).filter(stays).map(|(_, listed)| listed);
-        let mut list: Vec<Listed> = kept.chain(&self.told).cloned().collect();
+        let mut list: Vec<EndpointRecord> = kept.chain(&self.updated).cloned().collect();
         list.sort_by(|a, b| a.run.cmp(&b.run));
-        let gone = self.gone.iter().filter_map(|at| old_list.get(*at as usize));
+        let gone = self
+            .removed
+            .iter()
+            .filter_map(|at| old_list.get(*at as usize));
         let mark = old.mark.wrapping_sub(sum(gone));
-        Content {
-            mark: mark.wrapping_add(sum(self.told.iter())),
+        ListSnapshot {
+            mark: mark.wrapping_add(sum(self.updated.iter())),
             endpoints: Arc::new(list),
         }
     }
 
     /// Endpoints that it names, as its size goes.
     pub fn len(&self) -> usize {
-        self.gone.len() + self.told.len()
+        self.removed.len() + self.updated.len()
     }
 
     /// Whether nothing changed.
@@ -180,16 +187,16 @@
 
 /// A list and its mark.
 #[derive(Clone, Debug, Default)]
-pub struct Content {
+pub struct ListSnapshot {
     /// Its mark; 0 for none.
     pub mark: Mark,
     /// Its endpoints, sorted by name and start.
-    pub endpoints: Arc<Vec<Listed>>,
+    pub endpoints: Arc<Vec<EndpointRecord>>,
 }
 
-impl Content {
+impl ListSnapshot {
     /// A list in any order.
-    pub fn new(mut endpoints: Vec<Listed>) -> Self {
+    pub fn new(mut endpoints: Vec<EndpointRecord>) -> Self {
         endpoints.sort_by(|a, b| a.run.cmp(&b.run));
         let mark = mark(&endpoints);
         let endpoints = Arc::new(endpoints);
@@ -200,27 +207,27 @@
 /// An earlier list, and what has changed since, once anybody asked.
 #[derive(Clone, Debug)]
 struct Earlier {
-    content: Content,
+    content: ListSnapshot,
     changes: Option<Arc<ListChanges>>,
 }
 
 /// The newest list, and what changed since some earlier ones.
 #[derive(Clone, Debug, Default)]
-pub struct Contents {
-    newest: Content,
+pub struct ListHistory {
+    newest: ListSnapshot,
     /// The newest list packed, once anybody asked for it.
-    whole: Option<Arc<PackedList>>,
+    whole: Option<Arc<CompressedList>>,
     earlier: VecDeque<Earlier>,
 }
 
-impl Contents {
+impl ListHistory {
     /// The newest list.
-    pub fn newest(&self) -> &Content {
+    pub fn newest(&self) -> &ListSnapshot {
         &self.newest
     }
 
     /// Puts a list in place of the newest one.
-    pub fn put(&mut self, newest: Content) {
+    pub fn put(&mut self, newest: ListSnapshot) {
         let content = std::mem::replace(&mut self.newest, newest);
         self.whole = None;
         self.earlier
@@ -239,8 +246,8 @@
 
     /// The newest list, read `age` ago within `took`, for a receiver that has the list of
     /// `held`. What changed is worked out once for all that have the same list.
-    pub fn told(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
-        let Content { mark, endpoints } = self.newest.clone();
+    pub fn read_for(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
+        let ListSnapshot { mark, endpoints } = self.newest.clone();
         let mut read = ListRead {
             mark,
             age,
@@ -261,8 +268,8 @@
         match changes.filter(|changes| changes.len() * 2 < endpoints.len()) {
             Some(changes) => read.changes = Some(changes),
             None => {
-                let pack = || Arc::new(PackedList::of(&endpoints));
-                read.whole = Some(Arc::clone(self.whole.get_or_insert_with(pack)));
+                let compressed = || Arc::new(CompressedList::of(&endpoints));
+                read.whole = Some(Arc::clone(self.whole.get_or_insert_with(compressed)));
             }
         }
         read
@@ -271,9 +278,9 @@
     /// The list that `read` tells to a receiver that has these. `None` where it tells no
     /// content, changes of a list that is not the newest here, or a content whose mark is
     /// another one.
-    pub fn heard(&self, read: &ListRead) -> Option<Content> {
+    pub fn resolve(&self, read: &ListRead) -> Option<ListSnapshot> {
         let content = match (&read.whole, &read.changes) {
-            (Some(whole), _) => Content::new(whole.read()?),
+            (Some(whole), _) => ListSnapshot::new(whole.read()?),
             (None, Some(changes))
                 if changes.from == self.newest.mark && changes.from != 0 =>
             {
--- a/crates/wire/src/routes.rs
+++ b/crates/wire/src/routes.rs
@@ -4,22 +4,22 @@
 //! piece at a time, so that no answer is longer than a small link carries in some
 //! ten milliseconds, and nothing is sent that was not asked for.
 
-use crate::pack::{PackError, pack, unpack};
+use crate::compress::{DecompressError, compress, decompress};
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Path of [`FollowRoutes`].
+/// Path of [`WatchRoutes`].
 pub const ROUTES_PATH: &str = "/internal/routes";
 /// Path of [`FetchRoutes`].
 pub const PIECE_PATH: &str = "/internal/routes/piece";
 /// Most bytes that one piece has, whatever is asked for.
-pub const MOST_PIECE: usize = 256 * 1024;
+pub const MAX_PIECE: usize = 256 * 1024;
 
 /// Asks which route set is the newest. Answered once it is newer than `known`, or
 /// when `wait` has passed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FollowRoutes {
+pub struct WatchRoutes {
     /// Name of the entry that asks.
     pub entry: String,
     /// Newest version that the entry knows of by this instance. An entry that knows
@@ -30,9 +30,9 @@
     pub wait: Duration,
 }
 
-/// Answer to [`FollowRoutes`].
+/// Answer to [`WatchRoutes`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoutesNews {
+pub struct RoutesStatus {
     /// Version of the newest set.
     pub newest: Option<Version>,
     /// Internal addresses of the control instances.
@@ -48,9 +48,9 @@
     /// Which set.
     pub version: Version,
     /// From which byte on.
-    pub from: usize,
+    pub offset: usize,
     /// How many bytes at most.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 /// A part of a set's text.
@@ -61,7 +61,7 @@
     /// Length of the whole text, in bytes.
     pub total: u64,
     /// Position of the first byte.
-    pub from: usize,
+    pub offset: usize,
     /// The bytes.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
@@ -69,20 +69,20 @@
 
 /// A route set as it was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRoutes {
+pub struct StoredRoutes {
     /// Version.
     pub version: Version,
-    /// Text, as the operator sent it, [packed](crate::pack).
+    /// Text, as the operator sent it, [packed](crate::compress).
     #[serde(with = "serde_bytes")]
     pub source: Vec<u8>,
 }
 
-impl HeldRoutes {
+impl StoredRoutes {
     /// Packs what an operator sent.
     pub fn new(version: Version, text: &[u8]) -> Self {
         Self {
             version,
-            source: pack(text),
+            source: compress(text),
         }
     }
 
@@ -90,21 +90,21 @@
     ///
     /// # Errors
     ///
-    /// [`PackError`].
-    pub fn text(&self) -> Result<Vec<u8>, PackError> {
-        unpack(&self.source)
+    /// [`DecompressError`].
+    pub fn text(&self) -> Result<Vec<u8>, DecompressError> {
+        decompress(&self.source)
     }
 
     /// The part of the packed text that `asked` names.
     pub fn piece(&self, asked: &FetchRoutes) -> RoutesPiece {
-        let from = asked.from.min(self.source.len());
-        let most = asked.most.min(MOST_PIECE);
-        let end = (from + most).min(self.source.len());
+        let offset = asked.offset.min(self.source.len());
+        let max_bytes = asked.max_bytes.min(MAX_PIECE);
+        let end = (offset + max_bytes).min(self.source.len());
         RoutesPiece {
             version: self.version,
             total: self.source.len() as u64,
-            from,
-            bytes: self.source[from..end].to_vec(),
+            offset,
+            bytes: self.source[offset..end].to_vec(),
         }
     }
 }
--- a/crates/wire/src/usage.rs
+++ b/crates/wire/src/usage.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Path of [`TellUsage`].
+/// Path of [`EntryUsage`].
 pub const USAGE_PATH: &str = "/internal/usage";
 
-/// Tells what endpoints began for one entry. Answered with [`UsageHeard`].
+/// Tells what endpoints began for one entry. Answered with [`UsageReply`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct TellUsage {
+pub struct EntryUsage {
     /// Name of the entry.
     pub entry: String,
     /// Names the entry's run.
@@ -26,16 +26,16 @@
 
 /// What a control instance answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct UsageHeard {
+pub struct UsageReply {
     /// Names the instance's run.
     pub instance: u64,
     /// Whether it is in contact with a majority and goes on. Where not, another one has to
     /// be told.
-    pub settled: bool,
+    pub has_quorum: bool,
     /// Windows before this one are fixed; 0 where none is.
     pub next: Window,
     /// Internal address of the instance that reports, where one does.
-    pub holder: Option<SocketAddr>,
+    pub reporter: Option<SocketAddr>,
     /// True time, as far as it is known.
     pub now: Option<TrueTime>,
 }
--- a/crates/wire/tests/answer.rs
+++ b/crates/wire/tests/answer.rs
@@ -53,8 +53,8 @@
     };
     for frame in sequence {
         match answer.accept(frame) {
-            Ok(Piece::Chunk(bytes)) => given.bytes.extend_from_slice(&bytes),
-            Ok(Piece::End { .. }) => given.complete = true,
+            Ok(AnswerPart::Chunk(bytes)) => given.bytes.extend_from_slice(&bytes),
+            Ok(AnswerPart::End { .. }) => given.complete = true,
             Ok(_) => {}
             Err(_) => return given,
         }
@@ -140,7 +140,10 @@
         bytes: 5,
         tokens: 0,
     };
-    assert_eq!(answer.accept(frame(OWN, 1, end)), Err(Flaw::Short));
+    assert_eq!(
+        answer.accept(frame(OWN, 1, end)),
+        Err(AnswerError::Truncated)
+    );
     assert!(answer.ended());
 }
 
--- a/crates/wire/tests/follow.rs
+++ b/crates/wire/tests/document_watch.rs
@@ -2,8 +2,8 @@
 
 use dogwoodhill_core::document::Delta;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Accepted, News, Update};
-use dogwoodhill_wire::follow::Known;
+use dogwoodhill_wire::control::{AcceptedDocument, DocumentChange, Update};
+use dogwoodhill_wire::document_watch::DocumentCache;
 use std::sync::Arc;
 
 fn document(version: u64, domain: &str) -> ServiceDocument {
@@ -17,23 +17,23 @@
     ServiceDocument::parse("test", &text).unwrap()
 }
 
-fn update(news: News) -> Update {
+fn update(news: DocumentChange) -> Update {
     Update {
         revision: 9,
-        news: vec![news],
+        changes: vec![news],
         entries: 1,
     }
 }
 
-fn whole(revision: u64, document: ServiceDocument) -> News {
-    News::Whole(Accepted {
+fn whole(revision: u64, document: ServiceDocument) -> DocumentChange {
+    DocumentChange::Whole(AcceptedDocument {
         revision,
         document: Arc::new(document),
     })
 }
 
-fn patch(base: u64, revision: u64) -> News {
-    News::Patch {
+fn patch(base: u64, revision: u64) -> DocumentChange {
+    DocumentChange::Patch {
         base,
         revision,
         delta: Box::new(Delta::between(&document(1, "a"), &document(2, "b"))),
@@ -42,7 +42,7 @@
 
 #[test]
 fn take_patch_to_own_document() {
-    let mut known = Known::default();
+    let mut known = DocumentCache::default();
     known.take(update(whole(3, document(1, "a")))).unwrap();
     let changes = known.take(update(patch(3, 5))).unwrap();
     assert_eq!(*changes.documents[0].document, document(2, "b"));
@@ -51,7 +51,7 @@
 
 #[test]
 fn take_patch_to_other_document_refused() {
-    let mut known = Known::default();
+    let mut known = DocumentCache::default();
     assert_eq!(
         known.take(update(patch(3, 5))),
         None,
--- a/crates/wire/tests/limits.rs
+++ b/crates/wire/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::permits::{LimitNews, Observation, Rate};
-use dogwoodhill_wire::demand::{TellDemand, Totals};
+use dogwoodhill_wire::demand::{DemandReply, DemandReport};
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use serde::Serialize;
 
@@ -26,12 +26,12 @@
 /// What the exchange twice a second costs, for docs/CAPACITY.md.
 #[test]
 fn limits_encode_small() {
-    let tell = |limits: usize| TellDemand {
+    let tell = |limits: usize| DemandReport {
         limits: vec![limit(); limits],
         limits_mark: u64::from(limits > 0) * u64::MAX,
-        ..TellDemand::default()
+        ..DemandReport::default()
     };
-    let totals = |limits: usize, permits: usize| Totals {
+    let totals = |limits: usize, permits: usize| DemandReply {
         limits: (limits > 0).then(|| EndpointLimits {
             mark: u64::MAX,
             limits: vec![limit(); limits],
@@ -43,7 +43,7 @@
             };
             permits
         ],
-        ..Totals::default()
+        ..DemandReply::default()
     };
     let nothing = rmp_serde::to_vec(&tell(0)).expect("messages encode").len();
     println!(
--- a/crates/wire/tests/list.rs
+++ b/crates/wire/tests/list.rs
@@ -2,13 +2,14 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::list::{
-    Content, Contents, ListChanges, ListRead, Listed, PackedList, mark,
+    CompressedList, EndpointRecord, ListChanges, ListHistory, ListRead, ListSnapshot,
+    mark,
 };
 use proptest::prelude::*;
 use std::sync::Arc;
 
-fn listed(id: u16, leaving: bool) -> Listed {
-    Listed {
+fn listed(id: u16, leaving: bool) -> EndpointRecord {
+    EndpointRecord {
         run: Incarnation::new(format!("i-{id:05}"), None),
         service: "voice".to_string(),
         address: ([127, 0, 0, 1], 1_000 + id).into(),
@@ -18,20 +19,20 @@
     }
 }
 
-fn list(ids: impl IntoIterator<Item = u16>) -> Content {
-    Content::new(ids.into_iter().map(|id| listed(id, false)).collect())
+fn list(ids: impl IntoIterator<Item = u16>) -> ListSnapshot {
+    ListSnapshot::new(ids.into_iter().map(|id| listed(id, false)).collect())
 }
 
-fn told(contents: &mut Contents, held: u64) -> ListRead {
-    contents.told(held, Duration::ZERO, Duration::ZERO)
+fn told(contents: &mut ListHistory, held: u64) -> ListRead {
+    contents.read_for(held, Duration::ZERO, Duration::ZERO)
 }
 
 /// A receiver that knows nothing, or a list of long ago, gets the whole; one that has an
 /// earlier list what changed; one that has the newest neither.
 #[test]
 fn told_whole_only_where_it_must_be() {
-    let mut contents = Contents::default();
-    let lists: Vec<Content> = (0..12).map(|n| list(n..n + 40)).collect();
+    let mut contents = ListHistory::default();
+    let lists: Vec<ListSnapshot> = (0..12).map(|n| list(n..n + 40)).collect();
     for list in &lists {
         contents.put(list.clone());
     }
@@ -52,12 +53,12 @@
 /// of one change is less than a thousandth of the list.
 #[test]
 fn told_one_of_thousands_is_small() {
-    let mut contents = Contents::default();
+    let mut contents = ListHistory::default();
     let first = list(0..2_998);
     contents.put(first.clone());
     let mut after = Vec::clone(&first.endpoints);
     after[1_234].leaving = true;
-    contents.put(Content::new(after));
+    contents.put(ListSnapshot::new(after));
     let size = |read: &ListRead| rmp_serde::to_vec(read).expect("it encodes").len();
     let whole = size(&told(&mut contents, 0));
     let changes = size(&told(&mut contents, first.mark));
@@ -73,8 +74,9 @@
 #[test]
 fn packed_list_damaged_is_not_taken() {
     let list = list(0..20);
-    let text = rmp_serde::to_vec(&PackedList::of(&list.endpoints)).expect("it encodes");
-    let read = |text: &[u8]| rmp_serde::from_slice::<PackedList>(text).ok()?.read();
+    let text =
+        rmp_serde::to_vec(&CompressedList::of(&list.endpoints)).expect("it encodes");
+    let read = |text: &[u8]| rmp_serde::from_slice::<CompressedList>(text).ok()?.read();
     assert_eq!(read(&text).as_ref(), Some(&*list.endpoints));
     for at in 0..text.len() {
         let mut damaged = text.clone();
@@ -90,7 +92,7 @@
 #[test]
 fn heard_only_what_has_its_mark() {
     let (old, new) = (list(0..9), list(1..12));
-    let mut contents = Contents::default();
+    let mut contents = ListHistory::default();
     contents.put(old.clone());
     let changes = ListChanges::between(old.mark, &old.endpoints, &new.endpoints);
     let read = |mark, changes: &ListChanges| ListRead {
@@ -100,20 +102,22 @@
         whole: None,
         changes: Some(Arc::new(changes.clone())),
     };
-    let heard = contents.heard(&read(new.mark, &changes)).expect("it fits");
+    let heard = contents
+        .resolve(&read(new.mark, &changes))
+        .expect("it fits");
     assert_eq!(heard.endpoints, new.endpoints);
-    assert!(contents.heard(&read(new.mark + 1, &changes)).is_none());
+    assert!(contents.resolve(&read(new.mark + 1, &changes)).is_none());
     let elsewhere = ListChanges {
         from: new.mark,
         ..changes.clone()
     };
-    assert!(contents.heard(&read(new.mark, &elsewhere)).is_none());
+    assert!(contents.resolve(&read(new.mark, &elsewhere)).is_none());
     let mut damaged = changes;
-    damaged.gone = vec![u32::MAX, 3, 3, 0];
-    assert!(contents.heard(&read(new.mark, &damaged)).is_none());
+    damaged.removed = vec![u32::MAX, 3, 3, 0];
+    assert!(contents.resolve(&read(new.mark, &damaged)).is_none());
     assert!(
-        Contents::default()
-            .heard(&read(0, &ListChanges::default()))
+        ListHistory::default()
+            .resolve(&read(0, &ListChanges::default()))
             .is_none()
     );
 }
@@ -122,11 +126,11 @@
     proptest::collection::vec((0u16..30, any::<bool>()), 0..30)
 }
 
-fn content(list: Vec<(u16, bool)>) -> Content {
+fn content(list: Vec<(u16, bool)>) -> ListSnapshot {
     let mut list = list;
     list.sort_unstable();
     list.dedup_by_key(|item| item.0);
-    Content::new(
+    ListSnapshot::new(
         list.into_iter()
             .map(|(id, leaving)| listed(id, leaving))
             .collect(),
@@ -156,8 +160,8 @@
         lists in proptest::collection::vec(any_list(), 1..20),
         steps in proptest::collection::vec((any::<bool>(), any::<bool>(), 0usize..4), 1..60),
     ) {
-        let lists: Vec<Content> = lists.into_iter().map(content).collect();
-        let (mut teller, mut receiver) = (Contents::default(), Contents::default());
+        let lists: Vec<ListSnapshot> = lists.into_iter().map(content).collect();
+        let (mut teller, mut receiver) = (ListHistory::default(), ListHistory::default());
         let mut at = 0;
         let mut late: Vec<ListRead> = Vec::new();
         for (changes, lost, kind) in steps {
@@ -166,7 +170,7 @@
                 at += 1;
             }
             if kind == 3 && at > 0 {
-                teller = Contents::default();
+                teller = ListHistory::default();
                 teller.put(lists[at - 1].clone());
             }
             if teller.newest().mark == 0 {
@@ -178,14 +182,14 @@
             if lost {
                 continue;
             }
-            if let Some(content) = receiver.heard(&read) {
+            if let Some(content) = receiver.resolve(&read) {
                 prop_assert!(lists[..at].iter().any(|list| list.mark == content.mark));
                 receiver.put(content);
             }
         }
         if teller.newest().mark != 0 {
             let read = told(&mut teller, receiver.newest().mark);
-            if let Some(content) = receiver.heard(&read) {
+            if let Some(content) = receiver.resolve(&read) {
                 receiver.put(content);
             }
             prop_assert_eq!(receiver.newest().mark, teller.newest().mark);
--- a/crates/wire/tests/suspects.rs
+++ b/crates/wire/tests/suspects.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::demand::{
-    RequestLoss, RequestStanding, Suspects, TellDemand, Totals,
+    DemandReply, DemandReport, RequestLoss, SuspectRequest, Suspects,
 };
 use serde::Serialize;
 
@@ -22,33 +22,33 @@
         workspace: u64::MAX,
         run: Incarnation::new("i-408ceebd9e", Some(1_775_239_749_401)),
         domain: u64::MAX,
-        lasted: Duration::from_millis(1_234),
+        duration: Duration::from_millis(1_234),
         age: Duration::from_millis(160),
     };
-    let tell = TellDemand {
+    let tell = DemandReport {
         losses: (0..64).map(loss).collect(),
-        ..TellDemand::default()
+        ..DemandReport::default()
     };
-    let more = size(&tell) - size(&TellDemand::default());
+    let more = size(&tell) - size(&DemandReport::default());
     assert!(more <= 2 * MOST, "{more} bytes");
 }
 
 /// Where all entries know the same, which is nearly always, nothing is told.
 #[test]
 fn told_suspects_only_where_they_differ() {
-    let standing = |request: Fingerprint| RequestStanding {
+    let standing = |request: Fingerprint| SuspectRequest {
         request: Fingerprint::MAX - request,
         crashes: 3,
-        left: Some(Duration::from_millis(599_123)),
+        remaining: Some(Duration::from_millis(599_123)),
     };
-    let told = |requests: Fingerprint| Totals {
+    let told = |requests: Fingerprint| DemandReply {
         suspects: Some(Suspects {
             mark: u64::MAX,
             requests: (0..requests).map(standing).collect(),
         }),
-        ..Totals::default()
+        ..DemandReply::default()
     };
-    let nothing = size(&Totals::default());
+    let nothing = size(&DemandReply::default());
     assert!(size(&told(8)) - nothing <= MOST / 10);
     assert!(size(&told(256)) - nothing <= 3 * MOST);
 }
--- a/crates/wire/tests/usage.rs
+++ b/crates/wire/tests/usage.rs
@@ -1,7 +1,7 @@
 //! What telling of usage costs in bytes.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::usage::{TellUsage, UsageHeard};
+use dogwoodhill_wire::usage::{EntryUsage, UsageReply};
 
 /// An entry's message with `grown` workspaces of one window.
 fn tell(grown: usize) -> usize {
@@ -9,7 +9,7 @@
     for workspace in 0..grown {
         *counts.count_mut(&format!("hule{workspace:04}")) = 40;
     }
-    let tell = TellUsage {
+    let tell = EntryUsage {
         entry: "front-booth-hall-a-1".to_string(),
         run: u64::MAX / 3,
         wall: Duration::from_millis(1_767_225_600_123),
@@ -21,11 +21,11 @@
 }
 
 fn heard() -> usize {
-    let heard = UsageHeard {
+    let heard = UsageReply {
         instance: u64::MAX / 3,
-        settled: true,
+        has_quorum: true,
         next: 353_445_120,
-        holder: Some(([10, 1, 0, 19], 7_340).into()),
+        reporter: Some(([10, 1, 0, 19], 7_340).into()),
         now: Some(Duration::from_millis(1_767_225_600_123)),
     };
     rmp_serde::to_vec(&heard).expect("encodes").len()
--- a/src/bin/dogwoodhill-agent.rs
+++ b/src/bin/dogwoodhill-agent.rs
@@ -1,7 +1,7 @@
 //! The daemon beside one endpoint.
 
 use dogwoodhill::agent::{Agent, Settings};
-use dogwoodhill::core::fault::Faults;
+use dogwoodhill::core::diagnostic::Diagnostics;
 use dogwoodhill::daemon::drain::Drain;
 use dogwoodhill::daemon::run::{Daemon, describe, main as run};
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
     const ABOUT: &'static str = "Starts, refuses and relays requests of one endpoint";
     type Settings = Settings;
 
-    fn settings(file: &str, text: &str) -> Result<Settings, Faults> {
+    fn settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
         Settings::parse(file, text)
     }
 
--- a/src/bin/dogwoodhill-control.rs
+++ b/src/bin/dogwoodhill-control.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use dogwoodhill::control::settings::Start;
 use dogwoodhill::control::{Control, Settings};
-use dogwoodhill::core::fault::Faults;
+use dogwoodhill::core::diagnostic::Diagnostics;
 use dogwoodhill::daemon::drain::Drain;
 use dogwoodhill::daemon::run::{Daemon, describe, main as run};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
     const ABOUT: &'static str = "Keeps service documents, claims and leases";
     type Settings = Settings;
 
-    fn settings(file: &str, text: &str) -> Result<Settings, Faults> {
+    fn settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
         Settings::parse(file, text)
     }
 
--- a/src/bin/dogwoodhill-entry.rs
+++ b/src/bin/dogwoodhill-entry.rs
@@ -1,6 +1,6 @@
 //! The daemon that takes callers' requests.
 
-use dogwoodhill::core::fault::Faults;
+use dogwoodhill::core::diagnostic::Diagnostics;
 use dogwoodhill::daemon::drain::Drain;
 use dogwoodhill::daemon::run::{Daemon, describe, main as run};
 use dogwoodhill::entry::{Entry, Settings};
@@ -13,7 +13,7 @@
     const ABOUT: &'static str = "Takes callers' requests and relays their answers";
     type Settings = Settings;
 
-    fn settings(file: &str, text: &str) -> Result<Settings, Faults> {
+    fn settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
         Settings::parse(file, text)
     }
 
--- a/tests/all/broken_answers.rs
+++ b/tests/all/broken_answers.rs
@@ -172,7 +172,7 @@
 
 #[tokio::test]
 async fn refused_everywhere_is_not_run() {
-    let script = |a: &Attempt| frame(a.attempt, 0, Body::Refused(Reason::Full));
+    let script = |a: &Attempt| frame(a.attempt, 0, Body::Refused(RefusalReason::Full));
     let (address, calls) = fake(script).await;
     let alone = Alone::start(address).await;
     let headers = [("x-request-timeout", "300ms")];
@@ -186,7 +186,8 @@
 #[tokio::test]
 async fn repeated_refusal_is_no_not_run() {
     // The agent knows the attempt already: an earlier delivery may have run.
-    let script = |a: &Attempt| frame(a.attempt, 0, Body::Refused(Reason::Repeated));
+    let script =
+        |a: &Attempt| frame(a.attempt, 0, Body::Refused(RefusalReason::Repeated));
     let (address, _) = fake(script).await;
     let alone = Alone::start(address).await;
     let class = [("x-service-class", "order")];
--- a/tests/all/operator.rs
+++ b/tests/all/operator.rs
@@ -108,7 +108,7 @@
         .iter()
         .find(|row| row.class == "standard")
         .unwrap();
-    assert_eq!(row.total.counts.judged(), 3);
+    assert_eq!(row.total.counts.eligible(), 3);
     assert_eq!(row.total.counts.tokens, 12);
     running.stop().await;
 }
