--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -6,7 +6,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
 use dogwoodhill_policy::permits;
-use dogwoodhill_policy::permits::{Choice, LimitNews};
+use dogwoodhill_policy::permits::{ControlChoice, LimitReport};
 use dogwoodhill_wire::demand::TellDemand;
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -32,13 +32,13 @@
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = now.saturating_sub(under_way);
         let choice = if tell.first_choice {
-            Choice::First
+            ControlChoice::First
         } else {
-            Choice::Second
+            ControlChoice::Second
         };
         let told = tell.limits.iter().take(MOST_TOLD);
         let granted = told.filter_map(|told| {
-            let permits = known.tell(now, &told.run, told.read(sent)?, choice);
+            let permits = known.apply_report(now, &told.run, told.read(sent)?, choice);
             let run = told.run.clone();
             (permits > 0).then_some(EndpointPermits { run, permits })
         });
@@ -50,7 +50,7 @@
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let limits = known.observations(now).map(|(run, observed)| {
             let wanted = 0;
-            EndpointLimit::new(now, run.clone(), LimitNews { observed, wanted })
+            EndpointLimit::new(now, run.clone(), LimitReport { observed, wanted })
         });
         let limits: Vec<EndpointLimit> = limits.collect();
         let news = marked(&limits);
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -11,7 +11,9 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
-use dogwoodhill_policy::sightings::{Kept, Place, Sight, Sightings};
+use dogwoodhill_policy::endpoint_health::{
+    EndpointHealth, EndpointIndex, HealthReport, ListedEndpoint,
+};
 use dogwoodhill_wire::demand::{Echo, EndpointVerdict, Stamp, TellDemand};
 use dogwoodhill_wire::list::{Contents, ListRead, Listed, Mark};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -83,7 +85,7 @@
     /// When it was read, and how long that took.
     read: Option<(Duration, Duration)>,
     whole: Allowance,
-    sightings: Sightings,
+    sightings: EndpointHealth,
     /// What is told of them, and when it was worked out.
     verdicts: Option<(Duration, Vec<EndpointVerdict>)>,
 }
@@ -183,22 +185,22 @@
             return;
         }
         let met = tell.sights.iter().map(|met| {
-            let sight = Sight {
+            let sight = HealthReport {
                 replaced: met.replaced,
                 unreached: met.unreached,
-                heard: false,
+                alive: false,
                 answered: met.answered,
                 failed: met.failed,
             };
             (met.place, sight)
         });
-        let heard = Sight {
-            heard: true,
-            ..Sight::default()
+        let heard = HealthReport {
+            alive: true,
+            ..HealthReport::default()
         };
         let heard = bits(&tell.heard).map(|place| (place, heard));
         let entry = hash(tell.entry.as_bytes());
-        state.sightings.tell(now, entry, met.chain(heard));
+        state.sightings.record(now, entry, met.chain(heard));
     }
 
     /// Of some endpoints' runs, those that an entry heard from lately. None where its places
@@ -262,7 +264,7 @@
 }
 
 /// Logs what entries together see of an endpoint, where that has changed.
-fn log_verdict(endpoints: &[Listed], place: Place, verdict: &str) {
+fn log_verdict(endpoints: &[Listed], place: EndpointIndex, verdict: &str) {
     let Some(listed) = endpoints.get(place as usize) else {
         return;
     };
@@ -274,7 +276,7 @@
 }
 
 /// Places of the bits that are set.
-fn bits(bytes: &[u8]) -> impl Iterator<Item = Place> {
+fn bits(bytes: &[u8]) -> impl Iterator<Item = EndpointIndex> {
     (0..).zip(bytes).flat_map(|(at, byte)| {
         let set = (0..8).filter(move |bit| byte & (1 << bit) != 0);
         set.map(move |bit| at * 8 + bit)
@@ -354,12 +356,12 @@
         let old = &self.contents.newest().endpoints;
         let kept = content.endpoints.iter().map(|listed| {
             let found = old.binary_search_by(|known| known.run.cmp(&listed.run));
-            Kept {
-                before: found.ok(),
+            ListedEndpoint {
+                previous: found.ok(),
                 service: hash(listed.service.as_bytes()),
             }
         });
-        self.sightings.relist(kept);
+        self.sightings.update_list(kept);
         self.verdicts = None;
         self.contents.put(content);
         self.read = read;
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -11,8 +11,10 @@
 use dogwoodhill_core::fingerprint::shown;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
-use dogwoodhill_policy::quarantine::{Found, LostRequest, Quarantine, Told};
-use dogwoodhill_policy::sightings::LATELY;
+use dogwoodhill_policy::endpoint_health::RECENT_WINDOW;
+use dogwoodhill_policy::quarantine::{
+    LostRequest, NewQuarantine, Quarantine, SuspectNotice,
+};
 use dogwoodhill_wire::demand::{RequestStanding, Suspects, TellDemand};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
@@ -52,7 +54,7 @@
 
     /// Endpoints that were told as lost.
     pub fn gone(&self) -> Vec<Incarnation> {
-        self.state().quarantine.gone().cloned().collect()
+        self.state().quarantine.lost_endpoints().cloned().collect()
     }
 
     /// Takes in what an entry told, in a message that was under way for `under_way`, and
@@ -63,7 +65,7 @@
         under_way: Duration,
         tell: &TellDemand,
         heard: &[Incarnation],
-    ) -> Vec<Found> {
+    ) -> Vec<NewQuarantine> {
         let mut state = self.state();
         state.follow(now);
         let quarantine = &mut state.quarantine;
@@ -81,32 +83,32 @@
                 sent: at.saturating_sub(loss.lasted),
                 at,
             };
-            quarantine.lost(now, teller, &loss);
+            quarantine.record_loss(now, teller, &loss);
         }
         for served in tell.served.iter().take(MOST_LOSSES) {
             let age = served.age.saturating_add(under_way);
             if let Some(at) = now.checked_sub(age) {
-                quarantine.served(served.request, at);
+                quarantine.record_served(served.request, at);
             }
         }
         for run in heard {
-            let lately = under_way.saturating_add(LATELY);
-            quarantine.alive(run, now.saturating_sub(lately));
+            let lately = under_way.saturating_add(RECENT_WINDOW);
+            quarantine.record_alive(run, now.saturating_sub(lately));
         }
-        quarantine.judge(now)
+        quarantine.evaluate(now)
     }
 
     /// What an entry is told that knows the requests of `mark`.
     pub fn news(&self, now: Duration, mark: u64) -> Option<Suspects> {
-        let told = self.state().quarantine.told(now);
+        let told = self.state().quarantine.notices(now);
         let news = marked(&told);
         if news == mark {
             return None;
         }
         let requests = told.iter().map(|told| RequestStanding {
             request: told.request,
-            crashes: told.standing.crashes as u32,
-            left: told.standing.left,
+            crashes: told.status.crashes as u32,
+            left: told.status.remaining,
         });
         Some(Suspects {
             mark: news,
@@ -137,28 +139,28 @@
 }
 
 /// A mark that differs where requests, their crashes or what is held differ.
-fn marked(told: &[Told]) -> u64 {
+fn marked(told: &[SuspectNotice]) -> u64 {
     if told.is_empty() {
         return 0;
     }
     let mut bytes = Vec::with_capacity(told.len() * 18);
     for told in told {
         bytes.extend(told.request.to_be_bytes());
-        bytes.push(told.standing.crashes.min(255) as u8);
-        bytes.push(u8::from(told.standing.left.is_some()));
+        bytes.push(told.status.crashes.min(255) as u8);
+        bytes.push(u8::from(told.status.remaining.is_some()));
     }
     hash(&bytes).max(1)
 }
 
 /// Logs what was found, and puts it into the cluster's log in the background.
-pub(crate) fn keep(service: &Service, found: Vec<Found>) {
+pub(crate) fn keep(service: &Service, found: Vec<NewQuarantine>) {
     for found in found {
         found.event().warn();
         tokio::spawn(put(service.clone(), found));
     }
 }
 
-async fn put(service: Service, found: Found) {
+async fn put(service: Service, found: NewQuarantine) {
     let action = Action::Quarantine(Quarantined {
         request: found.request,
         workspace: found.workspace,
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -21,7 +21,7 @@
 use crate::usage::{Open, Usage};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_policy::usage::{Closing, Question, Tenure};
+use dogwoodhill_policy::usage::{CloseRules, DutyLease, LeaseRequest};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -66,11 +66,11 @@
     /// A window is closed without entries that are missing after two fifths of the time in
     /// which it has to be reported; the rest is for the log and for a call that is lost. Where
     /// only a few entries tell this instance, the one that the others tell has twice the time.
-    pub fn closing(&self) -> Closing {
-        Closing {
+    pub fn closing(&self) -> CloseRules {
+        CloseRules {
             windows: self.windows,
-            patience: self.within * 2 / 5,
-            alone: self.within * 4 / 5,
+            majority_wait: self.within * 2 / 5,
+            minority_wait: self.within * 4 / 5,
         }
     }
 }
@@ -85,7 +85,7 @@
     entries: watch::Receiver<u32>,
     stats: Stats,
     holder: DutyHolder,
-    tenure: Tenure,
+    tenure: DutyLease,
     /// Fixed windows that this instance is to report.
     owed: VecDeque<WindowCounts>,
     /// Windows before this one are reported.
@@ -110,7 +110,7 @@
             machine,
             run: usage.instance(),
         };
-        let tenure = Tenure::new(uptime(), settings.lease, settings.slack);
+        let tenure = DutyLease::new(uptime(), settings.lease, settings.slack);
         Self {
             settings,
             usage,
@@ -135,18 +135,18 @@
                 () = sleep(LOOK) => {}
             }
             let now = uptime();
-            self.tenure.look(now);
+            self.tenure.begin_turn(now);
             self.look(now).await;
-            self.tenure.looked(uptime());
+            self.tenure.end_turn(uptime());
         }
         self.usage.set_away(true);
         self.give_up("stop").await;
     }
 
     async fn look(&mut self, now: Duration) {
-        self.usage.set_away(self.tenure.is_away(now));
+        self.usage.set_away(self.tenure.is_standing_down(now));
         self.publish();
-        if !self.usage.settled() || !self.tenure.may_ask(now) {
+        if !self.usage.settled() || !self.tenure.may_request(now) {
             return;
         }
         let open = self.open();
@@ -172,7 +172,7 @@
         let next = self.next();
         let closing = self.settings.closing();
         let mut open = self.usage.open(next, &closing, expected);
-        if next == 0 || !self.tenure.closes(uptime()) {
+        if next == 0 || !self.tenure.may_close(uptime()) {
             open.complete.clear();
         }
         open
@@ -181,14 +181,14 @@
     /// Fixes what is complete. Whoever holds the duty keeps it.
     async fn fix(&mut self, open: Open) {
         let Some(time) = open.time else { return };
-        let question = self.tenure.ask(uptime());
+        let question = self.tenure.request(uptime());
         let fixed = open.complete.clone();
         let action = Action::FixUsage(FixUsage {
             hold: Hold {
                 duty: DUTY.to_string(),
                 subject: String::new(),
                 holder: self.holder,
-                lasting: question.lasting,
+                lasting: question.duration,
                 refused: question.refused,
             },
             first: self.settings.windows.at(time),
@@ -225,7 +225,7 @@
             .info();
     }
 
-    fn hold(&mut self, question: Question, owed: UsageOwed) {
+    fn hold(&mut self, question: LeaseRequest, owed: UsageOwed) {
         if self.tenure.granted(question, owed.fence) {
             Event::new("duty-held")
                 .field("duty", DUTY)
@@ -240,7 +240,7 @@
     }
 
     fn other_holds(&mut self, left: Duration) {
-        if self.tenure.other_holds(uptime(), left) {
+        if self.tenure.held_by_other(uptime(), left) {
             Event::new("duty-lost")
                 .field("duty", DUTY)
                 .field("reason", "another-holds")
@@ -252,14 +252,14 @@
 
     /// Sends a window. Whether the next one may be sent now.
     async fn report(&mut self, counts: WindowCounts) -> bool {
-        if self.tenure.may_act(uptime()).is_none() {
+        if self.tenure.active_fence(uptime()).is_none() {
             let mut open = self.open();
             open.complete.clear();
             self.fix(open).await;
         }
         let window = counts.window;
         let requests = counts.total();
-        let Some(fence) = self.tenure.may_act(uptime()) else {
+        let Some(fence) = self.tenure.active_fence(uptime()) else {
             return false;
         };
         let report = UsageReport {
@@ -280,7 +280,7 @@
                 true
             }
             Err(ReportError::Fenced) => {
-                self.tenure.fenced(fence);
+                self.tenure.fence_refused(fence);
                 self.owed.clear();
                 false
             }
@@ -303,7 +303,7 @@
         let since = *self.failing.get_or_insert(now);
         if now.saturating_sub(since) >= UNABLE_AFTER {
             self.failing = None;
-            self.tenure.leave(now);
+            self.tenure.stand_down(now);
             self.usage.set_away(true);
             self.pause = FIRST_PAUSE;
             return self.give_up("unable").await;
@@ -313,7 +313,7 @@
     }
 
     async fn give_up(&mut self, reason: &str) {
-        if !self.tenure.give_up() {
+        if !self.tenure.release() {
             return;
         }
         self.owed.clear();
@@ -360,6 +360,6 @@
 
     fn publish(&self) {
         let view = self.service.replica().duties.borrow().clone();
-        self.stats.show(self.tenure.holds(), &view);
+        self.stats.show(self.tenure.is_holder(), &view);
     }
 }
--- a/crates/control/src/state/quarantined.rs
+++ b/crates/control/src/state/quarantined.rs
@@ -1,7 +1,7 @@
 //! Requests that are not sent on, kept over the loss of every process.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::quarantine::term;
+use dogwoodhill_policy::quarantine::quarantine_period;
 use serde::{Deserialize, Serialize};
 
 /// Requests that are kept, some 40 bytes each; the oldest give way.
@@ -27,7 +27,7 @@
 
 impl Held {
     fn left(&self, now: Duration) -> Duration {
-        (self.at + term(self.request.times)).saturating_sub(now)
+        (self.at + quarantine_period(self.request.times)).saturating_sub(now)
     }
 }
 
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -9,7 +9,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::true_time::TrueClock;
-use dogwoodhill_policy::usage::{Closing, Tally, Told};
+use dogwoodhill_policy::usage::{CloseRules, EntryReport, Tally};
 use dogwoodhill_wire::usage::{TellUsage, UsageHeard};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -71,11 +71,11 @@
         let now = uptime();
         let view = self.replica.duties.borrow().clone();
         let mut state = self.state();
-        state.clock.tell(now, tell.run, tell.wall);
-        state.tally.fixed(now, view.next);
-        state.tally.tell(
+        state.clock.record(now, tell.run, tell.wall);
+        state.tally.finalize_before(now, view.next);
+        state.tally.record(
             now,
-            Told {
+            EntryReport {
                 entry: tell.entry,
                 run: tell.run,
                 windows: tell.windows,
@@ -94,21 +94,21 @@
     }
 
     /// What is known of the windows from `next` on, where `expected` entries are there.
-    pub fn open(&self, next: Window, closing: &Closing, expected: usize) -> Open {
+    pub fn open(&self, next: Window, closing: &CloseRules, expected: usize) -> Open {
         let now = uptime();
         let mut state = self.state();
-        state.tally.fixed(now, next);
+        state.tally.finalize_before(now, next);
         let time = state.clock.now(now);
         let tally = &state.tally;
         let complete = time.map_or_else(Vec::new, |time| {
             let windows = (next..).take(MOST_CLOSED);
-            let complete =
-                windows.take_while(|w| tally.complete(now, time, *w, closing, expected));
+            let complete = windows
+                .take_while(|w| tally.is_complete(now, time, *w, closing, expected));
             complete.map(|window| tally.sum(window)).collect()
         });
         Open {
             time,
-            entries: tally.alive(now),
+            entries: tally.active_runs(now),
             complete,
         }
     }
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_control::lists::Lists;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::reads::{Reads, STALE};
+use dogwoodhill_policy::list_reads::{ListReads, STALE_AFTER};
 use dogwoodhill_wire::demand::{
     Echo, EndpointSight, EndpointVerdict, Stamp, TellDemand, VerdictWord,
 };
@@ -163,7 +163,7 @@
 /// An entry of the day below.
 #[derive(Clone, Copy, Default)]
 struct Entry {
-    reads: Reads,
+    reads: ListReads,
     mark: Mark,
     count: usize,
     own: Option<(u64, usize)>,
@@ -189,7 +189,7 @@
             }
             if now >= entry.next {
                 let spread = (name * 37 % 33) as f64 / 33.0;
-                let due = entry.reads.due(ms(now), interval, spread);
+                let due = entry.reads.next_read_delay(ms(now), interval, spread);
                 if due.is_zero() {
                     counts[(now / 1_000) as usize] += 1;
                     entry.count = 2 + now as usize / 7_000;
@@ -210,7 +210,7 @@
                 let own = own.and_then(|(at, count)| read(count, ms(now - at), true));
                 let name = format!("entry-{name:02}");
                 let news = lists.tell(start + ms(now), &name, entry.mark, own);
-                entry.reads.appoint(news.reader);
+                entry.reads.set_reader(news.reader);
                 if let Some(newest) = news.newest
                     && entry
                         .reads
@@ -219,9 +219,12 @@
                     entry.mark = newest.mark;
                 }
             }
-            let bound = STALE.mul_f64(1.25) + ms(20);
-            assert!(entry.reads.due(ms(now), interval, 0.0) <= bound);
-            let overdue = entry.reads.due(ms(now) - bound.min(ms(now)), interval, 0.0);
+            let bound = STALE_AFTER.mul_f64(1.25) + ms(20);
+            assert!(entry.reads.next_read_delay(ms(now), interval, 0.0) <= bound);
+            let overdue =
+                entry
+                    .reads
+                    .next_read_delay(ms(now) - bound.min(ms(now)), interval, 0.0);
             assert!(now < 3_000 || overdue > Duration::ZERO, "{name} at {now}");
         }
     }
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use dogwoodhill_control::quarantine::Quarantines;
 use dogwoodhill_control::state::Quarantined;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::quarantine::term;
+use dogwoodhill_policy::quarantine::quarantine_period;
 use dogwoodhill_wire::demand::{
     RequestLoss, RequestServed, RequestStanding, Suspects, TellDemand,
 };
@@ -64,7 +64,7 @@
     let found = quarantines.tell(LATER, Duration::ZERO, &tell("d", vec![]), &[]);
     assert_eq!(found[0].request, CULPRIT);
     let news = quarantines.news(LATER, 0).expect("held");
-    assert_eq!(news.requests[0].left, Some(term(1)));
+    assert_eq!(news.requests[0].left, Some(quarantine_period(1)));
     assert_eq!(quarantines.news(LATER, news.mark), None, "known there");
 }
 
--- a/crates/control/tests/reporter.rs
+++ b/crates/control/tests/reporter.rs
@@ -274,7 +274,7 @@
                 entry: format!("entry-{run}"),
                 run,
                 wall: now,
-                windows: ledger.news(known.map_or(0, |known| known.1)),
+                windows: ledger.unacknowledged(known.map_or(0, |known| known.1)),
                 through: now,
                 last: false,
             };
@@ -286,7 +286,7 @@
                 since.compare_exchange(0, window, Ordering::Relaxed, Ordering::Relaxed);
             last = Some((address, heard.instance));
             ledger.acknowledged(heard.instance, &told.windows);
-            ledger.fixed(heard.next);
+            ledger.finalize_before(heard.next);
             holder = heard.holder;
             if heard.settled {
                 break;
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -21,7 +21,7 @@
     let settings = parse(&format!(r#""duties": ["usage"], {USAGE}"#));
     let usage = settings.expect("nothing is wrong").usage.expect("a duty");
     assert_eq!(usage.windows, Windows::new(Duration::from_secs(5)));
-    assert_eq!(usage.closing().patience, Duration::from_secs(4));
+    assert_eq!(usage.closing().majority_wait, Duration::from_secs(4));
     assert_eq!(usage.slack, Duration::from_millis(300));
     assert_eq!(usage.spacing, Duration::from_millis(20));
 }
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -3,7 +3,7 @@
 use dogwoodhill_control::command::{Action, Command, Put, PutError, Reply};
 use dogwoodhill_control::state::{Quarantined, State};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::quarantine::term;
+use dogwoodhill_policy::quarantine::quarantine_period;
 use dogwoodhill_wire::control::{
     Acquire, ClaimKey, Ended, Finish, Lease, Recorded, Take, Taken,
 };
@@ -231,17 +231,33 @@
         assert_eq!(reply, Reply::Quarantined);
         cluster.state.quarantined()
     };
-    assert_eq!(put(100, 1), [(held(1), term(1))]);
-    assert_eq!(put(101, 1), [(held(1), term(1) - SECOND)], "twice");
-    assert_eq!(put(700, 2), [(held(2), term(2))], "found again");
-    assert_eq!(put(701, 1), [(held(2), term(2) - SECOND)], "an old one");
+    assert_eq!(put(100, 1), [(held(1), quarantine_period(1))]);
+    assert_eq!(
+        put(101, 1),
+        [(held(1), quarantine_period(1) - SECOND)],
+        "twice"
+    );
+    assert_eq!(
+        put(700, 2),
+        [(held(2), quarantine_period(2))],
+        "found again"
+    );
+    assert_eq!(
+        put(701, 1),
+        [(held(2), quarantine_period(2) - SECOND)],
+        "an old one"
+    );
     let other = Quarantined {
         request: 8,
         ..held(1)
     };
-    cluster.now += term(2);
+    cluster.now += quarantine_period(2);
     cluster.apply(Action::Quarantine(other));
-    assert_eq!(cluster.state.quarantined(), [(other, term(1))], "over");
+    assert_eq!(
+        cluster.state.quarantined(),
+        [(other, quarantine_period(1))],
+        "over"
+    );
 }
 
 #[test]
--- a/crates/control/tests/tenure.rs
+++ b/crates/control/tests/tenure.rs
@@ -3,7 +3,7 @@
 
 use dogwoodhill_control::state::{Duties, DutyHolder, Hold, Holds};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::usage::{Question, Tenure};
+use dogwoodhill_policy::usage::{DutyLease, LeaseRequest};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 /// One machine, and what it has under way.
 struct Machine {
     holder: DutyHolder,
-    tenure: Tenure,
+    tenure: DutyLease,
     /// Until when it stands still.
     still: Duration,
     /// A question to the log: when it was asked, when the log takes it, when the answer is here.
-    asking: Option<(Question, Duration, Duration)>,
+    asking: Option<(LeaseRequest, Duration, Duration)>,
     answer: Option<Holds>,
     /// A call that was begun, and when the platform carries it out.
     call: Option<Duration>,
@@ -36,7 +36,7 @@
         let machine = SocketAddr::from(([10, 0, 0, number as u8], 7_000));
         Self {
             holder: DutyHolder { machine, run: 1 },
-            tenure: Tenure::new(ms(0), LEASE, SLACK),
+            tenure: DutyLease::new(ms(0), LEASE, SLACK),
             still: ms(0),
             asking: None,
             answer: None,
@@ -54,7 +54,7 @@
                 duty: "usage".to_string(),
                 subject: String::new(),
                 holder: self.holder,
-                lasting: question.lasting,
+                lasting: question.duration,
                 refused: question.refused,
             };
             self.answer = Some(duties.hold(index, now, &hold));
@@ -71,18 +71,18 @@
                     self.tenure.granted(question, fence);
                 }
                 Holds::Other(left) => {
-                    self.tenure.other_holds(now, left);
+                    self.tenure.held_by_other(now, left);
                 }
             }
             self.asking = None;
             self.answer = None;
         }
-        let acts = self.tenure.may_act(now).is_some();
+        let acts = self.tenure.active_fence(now).is_some();
         if acts && self.call.is_none() && random.random_ratio(1, 4) {
             // It is on its way for a while, or its machine stands still before it goes out.
             self.call = Some(now + ms(random.random_range(0..SLACK.as_millis() as u64)));
         }
-        let asks = self.asking.is_none() && self.tenure.may_ask(now);
+        let asks = self.asking.is_none() && self.tenure.may_request(now);
         if asks && random.random_ratio(1, 40) {
             let mut late = || {
                 let longest = if random.random_ratio(1, 10) {
@@ -94,7 +94,7 @@
             };
             let taken = now + late();
             let here = taken + late();
-            self.asking = Some((self.tenure.ask(now), taken, here));
+            self.asking = Some((self.tenure.request(now), taken, here));
         }
     }
 }
@@ -148,40 +148,44 @@
 /// Its machine stood still: what it has not heard yet is not lost.
 #[test]
 fn closes_nothing_right_after_standing_still() {
-    let mut tenure = Tenure::new(ms(0), LEASE, SLACK);
-    tenure.look(ms(200));
-    tenure.looked(ms(210));
-    assert!(tenure.closes(ms(300)));
-    tenure.look(ms(5_000));
-    assert!(!tenure.closes(ms(5_000)));
-    tenure.looked(ms(5_010));
-    tenure.look(ms(5_200));
-    assert!(!tenure.closes(ms(5_200)));
-    assert!(tenure.closes(ms(7_000)));
+    let mut tenure = DutyLease::new(ms(0), LEASE, SLACK);
+    tenure.begin_turn(ms(200));
+    tenure.end_turn(ms(210));
+    assert!(tenure.may_close(ms(300)));
+    tenure.begin_turn(ms(5_000));
+    assert!(!tenure.may_close(ms(5_000)));
+    tenure.end_turn(ms(5_010));
+    tenure.begin_turn(ms(5_200));
+    assert!(!tenure.may_close(ms(5_200)));
+    assert!(tenure.may_close(ms(7_000)));
 }
 
 #[test]
 fn may_act_from_when_it_was_asked() {
-    let mut tenure = Tenure::new(ms(0), LEASE, SLACK);
-    assert_eq!(tenure.may_act(ms(0)), None);
-    assert!(tenure.granted(tenure.ask(ms(1_000)), 7));
-    assert_eq!(tenure.may_act(ms(3_999)), Some(7));
-    assert_eq!(tenure.may_act(ms(4_000)), None, "the end is not part of it");
-    assert!(!tenure.granted(tenure.ask(ms(3_000)), 7), "prolonged");
-    assert_eq!(tenure.may_act(ms(5_000)), Some(7));
-    tenure.fenced(7);
-    assert_eq!(tenure.may_act(ms(5_000)), None);
-    assert_eq!(tenure.ask(ms(5_000)).refused, 7);
+    let mut tenure = DutyLease::new(ms(0), LEASE, SLACK);
+    assert_eq!(tenure.active_fence(ms(0)), None);
+    assert!(tenure.granted(tenure.request(ms(1_000)), 7));
+    assert_eq!(tenure.active_fence(ms(3_999)), Some(7));
+    assert_eq!(
+        tenure.active_fence(ms(4_000)),
+        None,
+        "the end is not part of it"
+    );
+    assert!(!tenure.granted(tenure.request(ms(3_000)), 7), "prolonged");
+    assert_eq!(tenure.active_fence(ms(5_000)), Some(7));
+    tenure.fence_refused(7);
+    assert_eq!(tenure.active_fence(ms(5_000)), None);
+    assert_eq!(tenure.request(ms(5_000)).refused, 7);
 }
 
 #[test]
 fn may_ask_once_the_other_is_over() {
-    let mut tenure = Tenure::new(ms(0), LEASE, SLACK);
-    tenure.granted(tenure.ask(ms(0)), 7);
-    assert!(tenure.other_holds(ms(1_000), ms(500)));
-    assert!(!tenure.may_ask(ms(1_400)));
-    assert!(tenure.may_ask(ms(1_500)));
-    tenure.leave(ms(2_000));
-    assert!(tenure.is_away(ms(2_000)));
-    assert!(!tenure.is_away(ms(12_000)));
+    let mut tenure = DutyLease::new(ms(0), LEASE, SLACK);
+    tenure.granted(tenure.request(ms(0)), 7);
+    assert!(tenure.held_by_other(ms(1_000), ms(500)));
+    assert!(!tenure.may_request(ms(1_400)));
+    assert!(tenure.may_request(ms(1_500)));
+    tenure.stand_down(ms(2_000));
+    assert!(tenure.is_standing_down(ms(2_000)));
+    assert!(!tenure.is_standing_down(ms(12_000)));
 }
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -20,7 +20,7 @@
 use demand::Demand;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
-use dogwoodhill_policy::incarnations::{Age, Incarnations};
+use dogwoodhill_policy::incarnations::{Incarnations, RunAge};
 use dogwoodhill_policy::pace;
 use dogwoodhill_policy::packing;
 use dogwoodhill_policy::trust::Trust;
@@ -140,7 +140,7 @@
         let now = self.start.elapsed();
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         for listed in &listed {
-            if runs.told(now, &listed.run, listed.leaving) == Age::Older {
+            if runs.record(now, &listed.run, listed.leaving) == RunAge::Older {
                 log_change("endpoint-outdated", &listed.run, &listed.service);
             }
         }
@@ -341,7 +341,7 @@
         let now = self.start.elapsed();
         let snapshot = self.snapshot.load();
         let known = snapshot.group(want.service).map_or(0, Group::len);
-        let all = known as f64 * self.rate(want.service).per_ms() * 1_000.0;
+        let all = known as f64 * self.rate(want.service).tokens_per_ms() * 1_000.0;
         let least = all * LEAST_SHARE / f64::from(entries.max(1));
         let backlog = Arc::clone(&Demand::of(&mut self.demand(), want.service).backlog);
         let (wait, hopeful) = {
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -9,7 +9,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::backoff::{Backoff, Retry};
-use dogwoodhill_policy::permits::{Limit, LimitNews, Observation, Permit, Permits};
+use dogwoodhill_policy::permits::{Limit, LimitReport, Observation, Permit, Permits};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -51,7 +51,7 @@
         }
         // Most endpoints name none.
         if limit != Limit::Unnamed || self.is_limited() {
-            self.change_limit("answer", |permits| permits.hear(uptime(), limit));
+            self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Control told what all entries know of its limit.
     pub(super) fn told_limit(&self, observed: Observation) {
-        self.change_limit("control", |permits| permits.told(observed));
+        self.change_limit("control", |permits| permits.merge(observed));
     }
 
     fn change_limit(&self, by: &str, change: impl FnOnce(&mut Permits) -> bool) {
@@ -122,13 +122,13 @@
     /// Whether it may be sent a request now.
     pub(super) fn open(&self) -> bool {
         let accepting = self.accepting().is_ok();
-        accepting && (!self.is_limited() || self.permits().open(uptime()))
+        accepting && (!self.is_limited() || self.permits().demand(uptime()))
     }
 
     /// How long until it may be sent a request, as far as that is known.
     pub(super) fn opens_in(&self) -> Duration {
         let rest = self.backoff_left().unwrap_or_default();
-        let ready = !self.is_limited() || self.permits().ready(uptime());
+        let ready = !self.is_limited() || self.permits().is_available(uptime());
         rest.max(if ready { Duration::ZERO } else { PERMIT_PAUSE })
     }
 
@@ -175,13 +175,13 @@
     }
 
     /// What control is to be told of its limit, if anything.
-    pub(super) fn limit_news(&self, now: Duration) -> Option<LimitNews> {
-        self.permits().news(now)
+    pub(super) fn limit_news(&self, now: Duration) -> Option<LimitReport> {
+        self.permits().report(now)
     }
 
     /// Control granted permits, of those that were asked for at `asked`.
     pub(super) fn granted(&self, asked: Duration, permits: u32, wanted: u32) {
-        self.permits().granted(asked, permits);
+        self.permits().receive_grant(asked, permits);
         if permits > 0 {
             Event::new("permits-granted")
                 .field("endpoint", self.run())
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -6,7 +6,7 @@
 use dogwoodhill_policy::backlog::Backlog;
 use dogwoodhill_policy::disturbance::Disturbance;
 use dogwoodhill_policy::lanes::Shares;
-use dogwoodhill_policy::rate::ReadRate;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use dogwoodhill_wire::demand::{ServiceDemand, Totals};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -19,7 +19,7 @@
     pub(super) shares: Shares,
     pub(super) disturbance: Disturbance,
     pub(super) backlog: Arc<Mutex<Backlog>>,
-    pub(super) rate: Arc<Mutex<ReadRate>>,
+    pub(super) rate: Arc<Mutex<PrefillRate>>,
 }
 
 impl Demand {
@@ -43,7 +43,7 @@
         let now = self.start.elapsed();
         let reading = self
             .rate(want.service)
-            .reading(f64::from(want.prompt.tokens));
+            .prefill_time(f64::from(want.prompt.tokens));
         let writing = f64::from(want.prompt.output) * TOKEN_WORK;
         let work = reading + Duration::from_secs_f64(writing);
         let mut all = self.demand();
@@ -128,13 +128,13 @@
     }
 
     /// How fast the endpoints of a service read.
-    pub(super) fn rate(&self, service: &str) -> ReadRate {
+    pub(super) fn rate(&self, service: &str) -> PrefillRate {
         let shared = self.shared_rate(service);
         let rate = shared.lock().unwrap_or_else(PoisonError::into_inner);
         *rate
     }
 
-    pub(super) fn shared_rate(&self, service: &str) -> Arc<Mutex<ReadRate>> {
+    pub(super) fn shared_rate(&self, service: &str) -> Arc<Mutex<PrefillRate>> {
         Arc::clone(&Demand::of(&mut self.demand(), service).rate)
     }
 
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -11,10 +11,10 @@
 use crate::pool::{self, Pool, Unconnected};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
+use dogwoodhill_policy::endpoint_health::{HealthReport, Verdict};
 use dogwoodhill_policy::pace::Pace;
 use dogwoodhill_policy::packing::Packing;
-use dogwoodhill_policy::rate::ReadRate;
-use dogwoodhill_policy::sightings::{Sight, Verdict};
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use dogwoodhill_policy::trust::{Record, Trust};
 use dogwoodhill_policy::wait::Waits;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     gone: AtomicBool,
     start: Instant,
     /// How fast the endpoints of its service read.
-    rate: Arc<Mutex<ReadRate>>,
+    rate: Arc<Mutex<PrefillRate>>,
     view: Mutex<View>,
     /// When it was last looked whether its process has ended, and the answer.
     looked: tokio::sync::Mutex<Option<(Instant, bool)>>,
@@ -108,13 +108,13 @@
     }
 
     /// Time until a prompt sent now would begin to be read.
-    fn wait(&self, now: Duration, rate: ReadRate, background: bool) -> Duration {
+    fn wait(&self, now: Duration, rate: PrefillRate, background: bool) -> Duration {
         let own = self.reading(rate, self.waits.ahead(background));
         own.max(self.waits.predicted(now))
     }
 
-    fn reading(&self, rate: ReadRate, tokens: f64) -> Duration {
-        rate.reading(tokens).mul_f64(self.slowness)
+    fn reading(&self, rate: PrefillRate, tokens: f64) -> Duration {
+        rate.prefill_time(tokens).mul_f64(self.slowness)
     }
 }
 
@@ -122,7 +122,7 @@
     pub(super) fn new(
         listed: Listed,
         start: Instant,
-        rate: Arc<Mutex<ReadRate>>,
+        rate: Arc<Mutex<PrefillRate>>,
     ) -> Self {
         Self {
             // By the name alone: beginnings find the same endpoint after it
@@ -343,7 +343,7 @@
     }
 
     /// What this entry met there since it told the others last, if anything.
-    pub(crate) fn sight(&self) -> Option<Sight> {
+    pub(crate) fn sight(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
         self.view().record.sight(now)
     }
@@ -369,7 +369,7 @@
         want: &Want<'_>,
         domain: &str,
         now: Duration,
-        rate: ReadRate,
+        rate: PrefillRate,
     ) -> Look<'a> {
         let view = self.view();
         Look {
@@ -390,7 +390,7 @@
         want: &Want<'_>,
         domain: &str,
         now: Duration,
-        rate: ReadRate,
+        rate: PrefillRate,
     ) -> Candidate {
         let prompt = want.prompt;
         let seen = prompt.shared.and_then(|key| {
@@ -432,11 +432,11 @@
         }
     }
 
-    fn rate(&self) -> ReadRate {
+    fn rate(&self) -> PrefillRate {
         *self.lock_rate()
     }
 
-    fn lock_rate(&self) -> MutexGuard<'_, ReadRate> {
+    fn lock_rate(&self) -> MutexGuard<'_, PrefillRate> {
         self.rate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -522,7 +522,7 @@
         let rate = {
             let mut rate = self.endpoint.lock_rate();
             if self.certain {
-                rate.learn(self.tokens, took.saturating_sub(STEP));
+                rate.observe(self.tokens, took.saturating_sub(STEP));
             }
             *rate
         };
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -11,7 +11,7 @@
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::transfer::{Fetch, PIECE_PATIENCE, Piece, Text, Transfer};
+use dogwoodhill_policy::transfer::{PIECE_TIMEOUT, Piece, PieceRequest, Text, Transfer};
 use dogwoodhill_wire::client::{CallError, Caller};
 use dogwoodhill_wire::control::Answered;
 use dogwoodhill_wire::routes::{
@@ -177,7 +177,7 @@
             let known = self
                 .fetching
                 .transfer()
-                .known(address)
+                .offered_version(address)
                 .max(self.sink.version());
             let wait = if known.is_none() { FIRST_POLL } else { POLL };
             let follow = FollowRoutes {
@@ -200,12 +200,12 @@
             match answer {
                 Some(Ok(news)) => self.take(address, news),
                 _ => {
-                    self.fetching.transfer().lost(address);
+                    self.fetching.transfer().remove_source(address);
                     sleep(PAUSE).await;
                 }
             }
         }
-        self.fetching.transfer().lost(address);
+        self.fetching.transfer().remove_source(address);
         address
     }
 
@@ -215,7 +215,7 @@
         }
         self.sink.count(news.entries);
         if let Some(version) = news.newest {
-            self.fetching.transfer().offered(address, version);
+            self.fetching.transfer().add_offer(address, version);
             self.fetching.offered.notify_one();
         }
     }
@@ -224,12 +224,12 @@
     async fn fetch(self: Arc<Self>) {
         let mut begun = Instant::now();
         loop {
-            let next = self.fetching.transfer().wanted();
+            let next = self.fetching.transfer().next_request();
             let Some(fetch) = next else {
                 self.fetching.offered.notified().await;
                 continue;
             };
-            if fetch.from == 0 {
+            if fetch.offset == 0 {
                 begun = Instant::now();
             }
             match self.fetch_piece(&fetch).await {
@@ -244,47 +244,47 @@
     }
 
     /// Asks for one piece. Returns the set that it completes.
-    async fn fetch_piece(&self, fetch: &Fetch) -> Result<Option<Text>, Missed> {
+    async fn fetch_piece(&self, fetch: &PieceRequest) -> Result<Option<Text>, Missed> {
         let ask = FetchRoutes {
             version: fetch.version,
-            from: fetch.from,
-            most: fetch.most,
+            from: fetch.offset,
+            most: fetch.max_len,
         };
         let asked = Instant::now();
         let call = self.caller.call(fetch.source, PIECE_PATH, &ask);
-        let answered: Result<Option<RoutesPiece>, _> = timeout(PIECE_PATIENCE, call)
+        let answered: Result<Option<RoutesPiece>, _> = timeout(PIECE_TIMEOUT, call)
             .await
             .map_err(|_| Missed::Late)?;
         let piece = answered.map_err(Missed::Failed)?.ok_or(Missed::NotKept)?;
         let piece = Piece {
             version: piece.version,
             total: piece.total,
-            from: piece.from,
+            offset: piece.from,
             bytes: &piece.bytes,
         };
         let mut transfer = self.fetching.transfer();
-        Ok(transfer.arrived(fetch.source, asked.elapsed(), piece))
+        Ok(transfer.receive_piece(fetch.source, asked.elapsed(), piece))
     }
 
     /// Notes a piece that did not come. One line for each source that begins to fail,
     /// however often it does.
-    fn miss(&self, fetch: &Fetch, missed: &Missed) {
+    fn miss(&self, fetch: &PieceRequest, missed: &Missed) {
         self.sink.missed(missed.label());
         let now = self.fetching.start.elapsed();
         let mut transfer = self.fetching.transfer();
         let news = match missed {
             Missed::NotKept => {
-                transfer.lacks(fetch.source, fetch.version);
+                transfer.version_missing(fetch.source, fetch.version);
                 true
             }
-            Missed::Late | Missed::Failed(_) => transfer.failed(now, fetch.source),
+            Missed::Late | Missed::Failed(_) => transfer.piece_failed(now, fetch.source),
         };
         if news {
             Event::new("routes-piece-missed")
                 .field("address", fetch.source)
                 .field("version", fetch.version)
-                .field("from", fetch.from)
-                .field("most", fetch.most)
+                .field("from", fetch.offset)
+                .field("most", fetch.max_len)
                 .field("reason", missed)
                 .info();
         }
--- a/crates/direct/src/job.rs
+++ b/crates/direct/src/job.rs
@@ -22,7 +22,7 @@
 use dogwoodhill_core::fingerprint::shown;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_policy::quarantine::SUSPECTED;
+use dogwoodhill_policy::quarantine::SUSPECT_CRASHES;
 use dogwoodhill_route::prelude::*;
 use http::{HeaderMap, Response, StatusCode};
 use rand::RngExt;
@@ -152,7 +152,7 @@
         let entries = job.shared.entries.load(Ordering::Relaxed);
         let rank = job.admitted.rank.route;
         let objective = job.admitted.route.objective;
-        job.apart = job.crashes() >= SUSPECTED;
+        job.apart = job.crashes() >= SUSPECT_CRASHES;
         job.standing = directory.stand(&job.want(), rank, objective, entries);
         if !job.standing.background {
             directory.note(&job.want());
--- a/crates/direct/src/job/crash.rs
+++ b/crates/direct/src/job/crash.rs
@@ -12,7 +12,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::affinity::hash;
-use dogwoodhill_policy::quarantine::{LostRequest, SUSPECTED};
+use dogwoodhill_policy::quarantine::{LostRequest, SUSPECT_CRASHES};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::task::JoinHandle;
@@ -32,19 +32,19 @@
     /// what is known by now.
     pub(super) async fn quarantined(&self) -> Option<Duration> {
         let suspects = &self.shared.suspects;
-        let left = suspects.standing(self.fingerprint).left;
+        let left = suspects.standing(self.fingerprint).remaining;
         if left.is_some() || !self.apart {
             return left;
         }
         suspects.refresh().await;
-        suspects.standing(self.fingerprint).left
+        suspects.standing(self.fingerprint).remaining
     }
 
     /// Whether it may be sent once more after it may have run. After two crashes another
     /// send would most likely end one more endpoint, and serve nobody. So it is after two
     /// connections that broke, which need not be known as crashes yet.
     pub(super) fn harmless(&self) -> bool {
-        self.broken < SUSPECTED && self.crashes() < SUSPECTED
+        self.broken < SUSPECT_CRASHES && self.crashes() < SUSPECT_CRASHES
     }
 
     /// Finds out, in the background, whether the endpoint that broke its connection has
--- a/crates/direct/src/listing.rs
+++ b/crates/direct/src/listing.rs
@@ -1,14 +1,14 @@
 //! Reading the list of endpoints.
 //!
 //! Two entries read it for all, and every other one when it hears of no fresh read
-//! ([`dogwoodhill_policy::reads`]). A list that can't be read leaves the last one
+//! ([`dogwoodhill_policy::list_reads`]). A list that can't be read leaves the last one
 //! in use.
 
 use crate::dialect::{EndpointList, Fetch, Flaw, ListContent, ListError};
 use crate::request::Shared;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_policy::reads::{Doubt, pause};
+use dogwoodhill_policy::list_reads::{ShrinkGuard, retry_delay};
 use rand::RngExt;
 use std::sync::Arc;
 use std::time::Instant;
@@ -38,7 +38,7 @@
 ) {
     let mut failures: u32 = 0;
     let mut reader = false;
-    let mut doubt = Doubt::default();
+    let mut doubt = ShrinkGuard::default();
     let mut flaws = Flaws::default();
     let started = Instant::now();
     loop {
@@ -65,7 +65,7 @@
             flaws.note(&shared, &content);
             let before = shared.directory.all().len();
             let after = content.endpoints.len();
-            let believed = doubt.believes(started.elapsed(), before, after);
+            let believed = doubt.accepts(started.elapsed(), before, after);
             let doubtful = ListError::Doubtful { before, after };
             if believed {
                 Ok(content.endpoints)
@@ -96,7 +96,7 @@
                 shared.stats.list_reads.with_label_values(&["failed"]).inc();
                 let busy = matches!(error, ListError::Busy);
                 let spread = rand::rng().random();
-                pause(failures, busy, reader, interval, spread)
+                retry_delay(failures, busy, reader, interval, spread)
             }
         };
         sleep(rest).await;
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/lists.rs
@@ -5,8 +5,10 @@
 use crate::directory::{Directory, Endpoint};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_policy::reads::{CONNECT_TIMEOUT, Doubt, LEAVING_WITHIN, Reads, STALE};
-use dogwoodhill_policy::sightings::Verdict;
+use dogwoodhill_policy::endpoint_health::Verdict;
+use dogwoodhill_policy::list_reads::{
+    CONNECT_TIMEOUT, DEFAULT_LEAVING_WITHIN, ListReads, STALE_AFTER, ShrinkGuard,
+};
 use dogwoodhill_wire::demand::{EndpointSight, EndpointVerdict, Totals};
 use dogwoodhill_wire::list::{Content, Contents, ListRead, Mark};
 use std::pin::pin;
@@ -44,8 +46,8 @@
 
 #[derive(Debug, Default)]
 struct State {
-    reads: Reads,
-    doubt: Doubt,
+    reads: ListReads,
+    doubt: ShrinkGuard,
     /// The list in use, and earlier ones.
     contents: Contents,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
@@ -69,7 +71,7 @@
 
 impl Default for Lists {
     fn default() -> Self {
-        Self::new(LEAVING_WITHIN)
+        Self::new(DEFAULT_LEAVING_WITHIN)
     }
 }
 
@@ -77,7 +79,7 @@
     /// No list is known yet; endpoints that leave may be sent requests for `within`.
     pub fn new(within: Duration) -> Self {
         let state = State {
-            reads: Reads::new(within),
+            reads: ListReads::new(within),
             ..State::default()
         };
         Self {
@@ -134,14 +136,14 @@
     /// Control answered a question that was sent at `asked`.
     pub fn heard(&self, directory: &Directory, asked: Duration, totals: &mut Totals) {
         let mut state = self.state();
-        if totals.reader && !state.reads.reader() {
+        if totals.reader && !state.reads.is_reader() {
             self.appointed.notify_one();
         }
-        state.reads.appoint(totals.reader);
+        state.reads.set_reader(totals.reader);
         let Some(list) = totals.list.take() else {
             let now = self.now();
             state.control = None;
-            state.reads.awaited(now);
+            state.reads.defer_to_readers(now);
             return;
         };
         state.control = Some(list.mark);
@@ -165,7 +167,7 @@
         let before = state.contents.newest().endpoints.len();
         let now = self.now();
         let after = content.endpoints.len();
-        if state.doubt.believes(now, before, after) && state.reads.take(read, list.took) {
+        if state.doubt.accepts(now, before, after) && state.reads.take(read, list.took) {
             log_taken(
                 &state,
                 &content,
@@ -190,7 +192,7 @@
             else {
                 continue;
             };
-            if sight.heard {
+            if sight.alive {
                 heard[place / 8] |= 1 << (place % 8);
             }
             if sight.replaced || sight.unreached || sight.answered > 0 {
@@ -237,7 +239,7 @@
     /// How long until this entry reads by itself, if nothing is heard until then.
     pub fn due(&self, interval: Duration, spread: f64) -> Duration {
         let now = self.now();
-        self.state().reads.due(now, interval, spread)
+        self.state().reads.next_read_delay(now, interval, spread)
     }
 
     /// Age of the list in use: how long ago the read that it comes from was asked for, as
@@ -282,17 +284,17 @@
 
     /// Whether any read of the list is known.
     pub fn known(&self) -> bool {
-        self.state().reads.known()
+        self.state().reads.has_read()
     }
 
     /// Whether this entry reads for the others.
     pub fn reader(&self) -> bool {
-        self.state().reads.reader()
+        self.state().reads.is_reader()
     }
 
-    /// A time as reads are measured: from [`STALE`] before the entry's start.
+    /// A time as reads are measured: from [`STALE_AFTER`] before the entry's start.
     fn at(&self, uptime: Duration) -> Duration {
-        (uptime + STALE).saturating_sub(self.start)
+        (uptime + STALE_AFTER).saturating_sub(self.start)
     }
 
     fn now(&self) -> Duration {
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -7,7 +7,7 @@
 
 use crate::socket::{Owes, Socket};
 use bytes::Bytes;
-use dogwoodhill_policy::reads::CONNECT_TIMEOUT;
+use dogwoodhill_policy::list_reads::CONNECT_TIMEOUT;
 use http_body_util::Full;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -3,7 +3,9 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::text::Text;
 use dogwoodhill_policy::budget::Allowance;
-use dogwoodhill_policy::reads::{LEAVING_WITHIN, SHORTEST_INTERVAL, longest_interval};
+use dogwoodhill_policy::list_reads::{
+    DEFAULT_LEAVING_WITHIN, MIN_READ_INTERVAL, max_read_interval,
+};
 use std::net::SocketAddr;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -72,9 +74,9 @@
     let within = s.duration(
         "leaving_within",
         SECOND / 10..=3_600 * SECOND,
-        Some(LEAVING_WITHIN),
+        Some(DEFAULT_LEAVING_WITHIN),
     );
-    let longest = longest_interval(within);
+    let longest = max_read_interval(within);
     let settings = Settings {
         leaving_within: within,
         name: s.name("name"),
@@ -86,7 +88,7 @@
         list: s.address("list"),
         list_every: s.duration(
             "list_every",
-            SHORTEST_INTERVAL..=60 * SECOND,
+            MIN_READ_INTERVAL..=60 * SECOND,
             Some(DEFAULT_LIST.min(longest)),
         ),
         allowance: Allowance {
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -17,9 +17,9 @@
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::affinity::hash;
 use dogwoodhill_policy::quarantine::{
-    LostRequest, MEMORY, Quarantine, Standing, Teller, outlived,
+    CRASH_RETENTION, EntryHash, LostRequest, Quarantine, SuspectStatus, outlived,
 };
-use dogwoodhill_policy::served::Served;
+use dogwoodhill_policy::served::ServedRequests;
 use dogwoodhill_wire::demand::{RequestLoss, RequestServed, Suspects as Told};
 use std::pin::pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -39,7 +39,7 @@
 /// Requests that this entry knows of.
 #[derive(Debug)]
 pub struct Suspects {
-    teller: Teller,
+    teller: EntryHash,
     stats: Stats,
     state: Mutex<State>,
     /// Told when a request is quarantined.
@@ -59,7 +59,7 @@
     mark: u64,
     /// When control answered last, or the first time that it did not.
     answered: Option<Duration>,
-    served: Served,
+    served: ServedRequests,
     /// Suspected requests that were served, and when, until that is told.
     harmless: Vec<(Fingerprint, Duration)>,
 }
@@ -100,14 +100,14 @@
     }
 
     /// What is known of a request.
-    pub fn standing(&self, request: Fingerprint) -> Standing {
+    pub fn standing(&self, request: Fingerprint) -> SuspectStatus {
         let state = self.state();
-        let own = state.quarantine.standing(uptime(), request);
+        let own = state.quarantine.status(uptime(), request);
         let found = state.told.binary_search_by_key(&request, |told| told.0);
         let told = found.map_or(0, |at| state.told[at].1);
-        Standing {
+        SuspectStatus {
             crashes: own.crashes.max(told),
-            left: own.left,
+            remaining: own.remaining,
         }
     }
 
@@ -131,7 +131,7 @@
         loop {
             let mut found = pin!(self.found.notified());
             found.as_mut().enable();
-            if self.standing(request).left.is_some() {
+            if self.standing(request).remaining.is_some() {
                 return;
             }
             found.await;
@@ -142,10 +142,10 @@
     pub fn lost(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
         let mut state = self.state();
         let now = uptime();
-        if state.served.lately(now, loss.request).is_some() {
+        if state.served.recently_served(now, loss.request).is_some() {
             return 0;
         }
-        state.quarantine.lost(now, self.teller, &loss);
+        state.quarantine.record_loss(now, self.teller, &loss);
         let request = loss.request;
         if state.own.len() >= MOST_OWN {
             state.own.remove(0);
@@ -156,14 +156,14 @@
             told: 0,
             pending: false,
         });
-        state.quarantine.standing(now, request).crashes
+        state.quarantine.status(now, request).crashes
     }
 
     /// An endpoint outlived a request, and answered it.
     pub fn served(&self, request: Fingerprint) {
         let now = uptime();
         let mut state = self.state();
-        state.served.note(now, request);
+        state.served.record(now, request);
         state.exonerate(request, now);
     }
 
@@ -213,7 +213,7 @@
     pub fn heard(&self, told: Option<Told>) {
         let now = uptime();
         let mut state = self.state();
-        let before = state.quarantine.held();
+        let before = state.quarantine.quarantined_count();
         state.answered = Some(now);
         if let Some(told) = told {
             state.take(now, &told);
@@ -225,7 +225,7 @@
     pub fn unheard(&self) {
         let now = uptime();
         let mut state = self.state();
-        let before = state.quarantine.held();
+        let before = state.quarantine.quarantined_count();
         let since = *state.answered.get_or_insert(now);
         if now.saturating_sub(since) >= ALONE {
             state.judge(now);
@@ -236,7 +236,7 @@
     /// Forgets what is over, and tells who waits if more is quarantined than before.
     fn settle(&self, mut state: MutexGuard<'_, State>, now: Duration, before: usize) {
         state.forget(now);
-        let held = state.quarantine.held();
+        let held = state.quarantine.quarantined_count();
         self.stats.quarantined.set(held as i64);
         drop(state);
         if held > before {
@@ -257,10 +257,10 @@
         self.told = suspected.collect();
         self.told.sort_unstable();
         for request in &told.requests {
-            if let Some(at) = self.served.lately(now, request.request) {
+            if let Some(at) = self.served.recently_served(now, request.request) {
                 self.exonerate(request.request, at);
             }
-            let held = self.quarantine.standing(now, request.request).left;
+            let held = self.quarantine.status(now, request.request).remaining;
             if let Some(left) = request.left.filter(|_| held.is_none()) {
                 Event::new("quarantine-told")
                     .field("content", shown(request.request))
@@ -274,7 +274,7 @@
 
     /// Blames requests for what this entry met.
     fn judge(&mut self, now: Duration) {
-        for found in self.quarantine.judge(now) {
+        for found in self.quarantine.evaluate(now) {
             found.event().warn();
         }
     }
@@ -287,7 +287,7 @@
             return;
         }
         self.own.retain(|own| own.loss.request != request);
-        self.quarantine.served(request, at);
+        self.quarantine.record_served(request, at);
         if self.harmless.len() < MOST_SERVED {
             self.harmless.push((request, at));
         }
@@ -304,9 +304,9 @@
             let heard = silence.and_then(|silence| now.checked_sub(silence));
             let alive = heard.is_some_and(|heard| outlived(own.loss.at, heard));
             if alive {
-                quarantine.alive(&own.loss.run, heard.unwrap_or_default());
+                quarantine.record_alive(&own.loss.run, heard.unwrap_or_default());
             }
-            !alive && now.saturating_sub(own.loss.at) < MEMORY
+            !alive && now.saturating_sub(own.loss.at) < CRASH_RETENTION
         });
     }
 }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -103,7 +103,7 @@
             entry: entry.to_string(),
             run: self.run,
             wall: wall(),
-            windows: state.ledger.news(last.map_or(0, |last| last.1)),
+            windows: state.ledger.unacknowledged(last.map_or(0, |last| last.1)),
             through,
             last: ends,
         }
@@ -122,7 +122,7 @@
         let mut state = self.state();
         state.last = Some((address, heard.instance));
         state.ledger.acknowledged(heard.instance, &told.windows);
-        state.ledger.fixed(heard.next);
+        state.ledger.finalize_before(heard.next);
         state.holder = heard.holder;
         if let Some(time) = heard.now
             && (way <= QUICK || state.offset.is_none())
--- a/crates/direct/tests/all/crashing.rs
+++ b/crates/direct/tests/all/crashing.rs
@@ -470,7 +470,12 @@
     let gone = [9, 10].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let entry = Entry::following(vec![gone[0], gone[1], control]).await;
     until("the entry is told of it", async || {
-        entry.shared.suspects.standing(fingerprint()).left.is_some()
+        entry
+            .shared
+            .suspects
+            .standing(fingerprint())
+            .remaining
+            .is_some()
     })
     .await;
 }
@@ -622,7 +627,12 @@
     let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
     let (entry, _fleet) = three_lost_at_one_entry(vec![nobody]).await;
     until("the entry quarantines it", async || {
-        entry.shared.suspects.standing(fingerprint()).left.is_some()
+        entry
+            .shared
+            .suspects
+            .standing(fingerprint())
+            .remaining
+            .is_some()
     })
     .await;
     let got = entry.call("POST /once/", "", CRASHES).await;
--- a/crates/direct/tests/all/dialect.rs
+++ b/crates/direct/tests/all/dialect.rs
@@ -53,7 +53,7 @@
             idle: None,
             leaving: headers.contains_key("x-leaving"),
             retry: Retry::seconds(text(headers, "retry-after").as_deref().into_iter()),
-            limit: Limit::named(text(headers, "x-limit").as_deref().into_iter()),
+            limit: Limit::from_values(text(headers, "x-limit").as_deref().into_iter()),
         }
     }
 }
--- a/crates/direct/tests/all/usage.rs
+++ b/crates/direct/tests/all/usage.rs
@@ -4,7 +4,7 @@
 use crate::endpoint::{Act, StandIn};
 use crate::entry::{Entry, LONG, demo, set};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::usage::Closing;
+use dogwoodhill_policy::usage::CloseRules;
 use dogwoodhill_route::prelude::*;
 use tokio::time::{Instant, sleep};
 
@@ -14,10 +14,10 @@
 
 /// Requests of the workspace that control was told of, all windows together.
 fn told(instance: &Instance) -> u64 {
-    let closing = Closing {
+    let closing = CloseRules {
         windows: Windows::new(Duration::from_millis(1)),
-        patience: Duration::ZERO,
-        alone: Duration::ZERO,
+        majority_wait: Duration::ZERO,
+        minority_wait: Duration::ZERO,
     };
     // Every window is over for this closing, so what is open is all there.
     let time = instance.usage.open(0, &closing, 0).time.unwrap_or_default();
--- a/crates/policy/src/sightings.rs
+++ b/crates/policy/src/endpoint_health.rs
@@ -7,7 +7,7 @@
 //! used up one of its sends, and some have only one. An endpoint that fails part of its
 //! requests is found even later: an entry sends it one in ten seconds.
 //!
-//! So entries tell one control instance what they met ([`Sight`]), at once where an
+//! So entries tell one control instance what they met ([`HealthReport`]), at once where an
 //! endpoint was lost, and are told what holds of which endpoint ([`Verdict`]).
 //!
 //! Invariants:
@@ -26,7 +26,7 @@
 /// An endpoint counts as heard from if bytes of it came within this time before the
 /// entry told: so much of what was sent before a crash can still contradict it. Streams
 /// that work pause for less.
-pub const LATELY: Duration = Duration::from_millis(250);
+pub const RECENT_WINDOW: Duration = Duration::from_millis(250);
 /// For how long nobody may have heard from an endpoint that counts as silent: the interval
 /// at which each entry tells whom it heard. An engine with a long queue refuses
 /// connections while its streams go on; without this, two entries that are refused in the
@@ -50,17 +50,17 @@
 const MOST_FAILED: f64 = 4.0;
 
 /// A place in the list of endpoints that teller and listener have.
-pub type Place = u32;
+pub type EndpointIndex = u32;
 
 /// What one entry met at one endpoint since it told last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sight {
+pub struct HealthReport {
     /// Another run answered at its address.
     pub replaced: bool,
     /// It could not be reached, or said nothing for too long.
     pub unreached: bool,
-    /// Bytes came from it within [`LATELY`].
-    pub heard: bool,
+    /// Bytes came from it within [`RECENT_WINDOW`].
+    pub alive: bool,
     /// Answers, failures among them.
     pub answered: u32,
     /// Failures.
@@ -109,14 +109,14 @@
 }
 
 impl Seen {
-    fn add(&mut self, now: Duration, entry: u64, sight: &Sight) {
+    fn add(&mut self, now: Duration, entry: u64, sight: &HealthReport) {
         if sight.replaced {
             self.replaced.add(now, entry);
         }
         if sight.unreached {
             self.unreached.add(now, entry);
         }
-        if sight.heard {
+        if sight.alive {
             self.heard = Some(now);
         }
         if sight.answered > 0 {
@@ -172,29 +172,29 @@
 
 /// An endpoint on a list that has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct ListedEndpoint {
     /// The place that it had before, if it had one.
-    pub before: Option<usize>,
+    pub previous: Option<usize>,
     /// Hash of the name of its service.
     pub service: u64,
 }
 
 /// What all entries see of the endpoints of one list.
 #[derive(Clone, Debug, Default)]
-pub struct Sightings {
+pub struct EndpointHealth {
     /// By place in the list.
     seen: Vec<Seen>,
     /// The same places' services.
     services: Vec<u64>,
 }
 
-impl Sightings {
+impl EndpointHealth {
     /// The list has changed. What was seen of those that stay is kept.
-    pub fn relist(&mut self, endpoints: impl Iterator<Item = Kept>) {
+    pub fn update_list(&mut self, endpoints: impl Iterator<Item = ListedEndpoint>) {
         let old = std::mem::take(&mut self.seen);
         self.services.clear();
         for endpoint in endpoints {
-            let seen = endpoint.before.and_then(|place| old.get(place));
+            let seen = endpoint.previous.and_then(|place| old.get(place));
             self.seen.push(seen.cloned().unwrap_or_default());
             self.services.push(endpoint.service);
         }
@@ -202,11 +202,11 @@
 
     /// Takes in what `entry`, a hash of its name, met; places that the list does not
     /// have are ignored.
-    pub fn tell(
+    pub fn record(
         &mut self,
         now: Duration,
         entry: u64,
-        sights: impl Iterator<Item = (Place, Sight)>,
+        sights: impl Iterator<Item = (EndpointIndex, HealthReport)>,
     ) {
         for (place, sight) in sights {
             if let Some(seen) = self.seen.get_mut(place as usize) {
@@ -216,7 +216,7 @@
     }
 
     /// The endpoints of which anything holds that entries should know, by place.
-    pub fn verdicts(&self, now: Duration) -> Vec<(Place, Verdict)> {
+    pub fn verdicts(&self, now: Duration) -> Vec<(EndpointIndex, Verdict)> {
         let sums = self.sums(now);
         let places = (0..).zip(self.seen.iter().zip(&self.services));
         let verdicts = places.filter_map(|(place, (seen, service))| {
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -31,7 +31,7 @@
 
 /// How news of an endpoint compare with what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Age {
+pub enum RunAge {
     /// They are of a run that was not known, and that is the newest now.
     Newer,
     /// They are of the newest run.
@@ -57,7 +57,7 @@
 
 impl Incarnations {
     /// Takes in that `run` is listed; `leaving`: as one that is about to stop.
-    pub fn told(&mut self, now: Duration, run: &Incarnation, leaving: bool) -> Age {
+    pub fn record(&mut self, now: Duration, run: &Incarnation, leaving: bool) -> RunAge {
         let new = Known {
             run: run.clone(),
             leaving,
@@ -67,21 +67,21 @@
             Ok(at) => at,
             Err(at) => {
                 self.known.insert(at, new);
-                return Age::Newer;
+                return RunAge::Newer;
             }
         };
         let known = &mut self.known[at];
         match run.cmp_start(&known.run) {
-            Ordering::Less => Age::Older,
+            Ordering::Less => RunAge::Older,
             Ordering::Greater => {
                 *known = new;
-                Age::Newer
+                RunAge::Newer
             }
             Ordering::Equal => {
                 known.run.born = known.run.born.or(run.born);
                 known.leaving |= leaving;
                 known.seen = now;
-                Age::Current
+                RunAge::Current
             }
         }
     }
--- a/crates/policy/src/reads.rs
+++ b/crates/policy/src/list_reads.rs
@@ -18,11 +18,11 @@
 //! entries take to reading at once, the list refuses most of their calls and those of
 //! the readers as well, and it goes on for as long as all of them try. For the same reason
 //! an entry that was refused tries less and less, and stops once it hears of a read
-//! ([`pause`]).
+//! ([`retry_delay`]).
 //!
 //! Whatever happens to readers, control and the way of the news, no entry goes by a read
 //! for longer than endpoints that leave may still be sent requests: each reads by itself
-//! before that ([`alone_after`]). What is asked for once a list shows that an endpoint
+//! before that ([`fallback_age`]). What is asked for once a list shows that an endpoint
 //! leaves says so; so a request goes to such an endpoint for at most the age at which an
 //! entry reads, the time its read takes, and the time to connect.
 //!
@@ -34,10 +34,10 @@
 
 /// Age from which a read is no longer relied on. Readers read every second or a
 /// little more, tell at once, and others hear within 0.6 s: 1.8 s at the worst.
-pub const STALE: Duration = Duration::from_millis(2_000);
+pub const STALE_AFTER: Duration = Duration::from_millis(2_000);
 
 /// How long endpoints that leave may still be sent requests, where settings say nothing.
-pub const LEAVING_WITHIN: Duration = Duration::from_secs(4);
+pub const DEFAULT_LEAVING_WITHIN: Duration = Duration::from_secs(4);
 
 /// Longest wait for a connection, and so the longest time from the choice of an endpoint
 /// to the first byte on its way there. Ten times the way to the farthest endpoint, and
@@ -45,29 +45,29 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Shortest interval of readers, whatever the bound: a list takes only so many calls.
-pub const SHORTEST_INTERVAL: Duration = Duration::from_millis(100);
+pub const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Part by which an entry delays a read that is due, at most, so that entries which hear
 /// nothing do not read at the same moment.
 const SPREAD: f64 = 0.25;
 
 /// Least time over which entries that hear nothing spread their reads.
-pub const LEAST_SPREAD: Duration = Duration::from_millis(100);
+pub const MIN_SPREAD: Duration = Duration::from_millis(100);
 
 /// Longest time from a reader's read to when another entry has heard of it, beside the
 /// read itself: the interval at which an entry asks.
 const TELLING: Duration = Duration::from_millis(600);
 
 /// Oldest age that a read has where all is well, before the next one is heard of.
-pub fn usual_age(interval: Duration, took: Duration) -> Duration {
+pub fn expected_age(interval: Duration, took: Duration) -> Duration {
     interval.max(took).mul_f64(1.0 + SPREAD) + took + TELLING
 }
 
 /// Longest interval of readers with which news travel in time where endpoints that leave
 /// may be sent requests for `within`; at least a tenth of a second.
-pub fn longest_interval(within: Duration) -> Duration {
+pub fn max_read_interval(within: Duration) -> Duration {
     let reading = within.saturating_sub(TELLING + CONNECT_TIMEOUT);
-    reading.div_f64(1.0 + SPREAD).max(SHORTEST_INTERVAL)
+    reading.div_f64(1.0 + SPREAD).max(MIN_READ_INTERVAL)
 }
 
 /// Age of a read at which an entry that is no reader reads by itself, where one takes
@@ -76,17 +76,17 @@
 /// usual age: entries that read while all is well keep each other's calls from being
 /// answered. Where that leaves no time for the read and a connection, entries are as
 /// patient as without a bound, since hundreds that hurry would be late together.
-pub fn alone_after(
+pub fn fallback_age(
     within: Duration,
     interval: Duration,
     took: Duration,
     spread: f64,
 ) -> Duration {
-    let stale = STALE.max(interval) + took;
+    let stale = STALE_AFTER.max(interval) + took;
     let patient = stale.mul_f64(1.0 + SPREAD);
-    let usual = usual_age(interval, took);
+    let usual = expected_age(interval, took);
     let last = within.saturating_sub(CONNECT_TIMEOUT + took);
-    if patient <= last || usual + LEAST_SPREAD > last {
+    if patient <= last || usual + MIN_SPREAD > last {
         return stale.mul_f64(1.0 + SPREAD * spread);
     }
     let first = usual.max(last.saturating_sub(stale.mul_f64(SPREAD)));
@@ -98,7 +98,7 @@
 /// that leaves must get nothing new.
 const DOUBT: Duration = Duration::from_millis(1_500);
 
-/// Longest time for which a read is waited for beyond [`STALE`], whatever a reader says:
+/// Longest time for which a read is waited for beyond [`STALE_AFTER`], whatever a reader says:
 /// with it an endpoint that leaves is known within a few seconds still.
 const LONGEST_READ: Duration = Duration::from_millis(1_500);
 /// Pause after a failed read, at first.
@@ -110,7 +110,7 @@
 /// How long an entry pauses after `failures` reads that failed, the last one refused for
 /// too many calls if `busy`. `spread`, of 0 to 1, keeps those that were refused together
 /// from coming back together.
-pub fn pause(
+pub fn retry_delay(
     failures: u32,
     busy: bool,
     reader: bool,
@@ -132,14 +132,14 @@
 /// A list that names less than half of the endpoints in use is not believed at
 /// once; an empty one never is, since endpoints that are gone show it by themselves.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Doubt {
+pub struct ShrinkGuard {
     since: Option<Duration>,
 }
 
-impl Doubt {
+impl ShrinkGuard {
     /// A list with `after` endpoints was read while one with `before` is in use.
     /// Returns whether it is believed.
-    pub fn believes(&mut self, now: Duration, before: usize, after: usize) -> bool {
+    pub fn accepts(&mut self, now: Duration, before: usize, after: usize) -> bool {
         if after * 2 >= before {
             self.since = None;
             return true;
@@ -163,9 +163,9 @@
 const LONGEST_FIRST_WAIT: Duration = Duration::from_millis(2_500);
 
 /// The reads of the list that one entry knows of. Times are measured from a moment
-/// [`STALE`] before the entry's start: older reads are of no use to it.
+/// [`STALE_AFTER`] before the entry's start: older reads are of no use to it.
 #[derive(Clone, Copy, Debug)]
-pub struct Reads {
+pub struct ListReads {
     /// How long endpoints that leave may still be sent requests.
     within: Duration,
     newest: Option<Duration>,
@@ -176,13 +176,13 @@
     awaited: Duration,
 }
 
-impl Default for Reads {
+impl Default for ListReads {
     fn default() -> Self {
-        Self::new(LEAVING_WITHIN)
+        Self::new(DEFAULT_LEAVING_WITHIN)
     }
 }
 
-impl Reads {
+impl ListReads {
     /// No read is known yet; endpoints that leave may be sent requests for `within`.
     pub fn new(within: Duration) -> Self {
         Self {
@@ -195,7 +195,7 @@
     }
 
     /// Whether any read is known.
-    pub fn known(&self) -> bool {
+    pub fn has_read(&self) -> bool {
         self.newest.is_some()
     }
 
@@ -216,17 +216,17 @@
     }
 
     /// Control answered at `now` that it knows of no read yet.
-    pub fn awaited(&mut self, now: Duration) {
+    pub fn defer_to_readers(&mut self, now: Duration) {
         self.awaited = now;
     }
 
     /// Whether this entry reads for the others.
-    pub fn appoint(&mut self, reader: bool) {
+    pub fn set_reader(&mut self, reader: bool) {
         self.reader = reader;
     }
 
     /// Whether this entry reads for the others.
-    pub fn reader(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         self.reader
     }
 
@@ -236,20 +236,27 @@
     /// that others read, unless it is a reader.
     /// `spread`, of 0 to 1, keeps entries that all hear nothing from reading at the
     /// same moment: by up to a quarter of the time, and twice the time at a start.
-    pub fn due(&self, now: Duration, interval: Duration, spread: f64) -> Duration {
+    pub fn next_read_delay(
+        &self,
+        now: Duration,
+        interval: Duration,
+        spread: f64,
+    ) -> Duration {
         let spread = spread.clamp(0.0, 1.0);
         let Some(newest) = self.newest else {
             if self.reader {
                 return Duration::ZERO;
             }
-            let from = self.awaited.clamp(STALE, STALE + LONGEST_FIRST_WAIT);
+            let from = self
+                .awaited
+                .clamp(STALE_AFTER, STALE_AFTER + LONGEST_FIRST_WAIT);
             let wait = FIRST_WAIT.mul_f64(1.0 + 2.0 * spread);
             return (from + wait).saturating_sub(now);
         };
         let after = if self.reader {
             interval.max(self.took).mul_f64(1.0 + SPREAD * spread)
         } else {
-            alone_after(self.within, interval, self.took, spread)
+            fallback_age(self.within, interval, self.took, spread)
         };
         (newest + after).saturating_sub(now)
     }
--- a/crates/policy/src/permits.rs
+++ b/crates/policy/src/permits.rs
@@ -12,7 +12,7 @@
 //! Invariants, for a limit of N a second:
 //!
 //! * in any time t one instance hands out at most `0.8 N t + max(1, 0.4 N)` permits to entries
-//!   that ask it first, and they are used within [`VALID`]; and a quarter of that to entries
+//!   that ask it first, and they are used within [`PERMIT_VALIDITY`]; and a quarter of that to entries
 //!   whose first choice did not answer, however many these are. So both together, and two that
 //!   are first for a second while entries go from one to the other, stay below `1.5 N t + 5` in
 //!   four seconds;
@@ -29,7 +29,7 @@
 
 /// How long a permit holds from when it was asked for: twice the interval at which entries
 /// ask.
-pub const VALID: Duration = Duration::from_secs(1);
+pub const PERMIT_VALIDITY: Duration = Duration::from_secs(1);
 /// Part of a limit that an instance hands out to entries that ask it first.
 const SHARE: f64 = 0.8;
 /// The same for entries whose first choice did not answer: that one may hand out its part to
@@ -89,7 +89,7 @@
 impl Limit {
     /// The limit of an answer that names these numbers: the lowest of them, as far as they
     /// can be read.
-    pub fn named<'a>(numbers: impl Iterator<Item = &'a str>) -> Self {
+    pub fn from_values<'a>(numbers: impl Iterator<Item = &'a str>) -> Self {
         numbers.fold(Self::Unnamed, |limit, number| {
             let rate = number.trim().parse().ok().and_then(Rate::new);
             match (limit, rate) {
@@ -139,7 +139,7 @@
 
 /// What an entry tells of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitNews {
+pub struct LimitReport {
     /// What it knows.
     pub observed: Observation,
     /// Permits that it could use.
@@ -155,7 +155,7 @@
 
 impl Permits {
     /// An answer of the endpoint's own came; whether its limit is another one now.
-    pub fn hear(&mut self, now: Duration, limit: Limit) -> bool {
+    pub fn observe(&mut self, now: Duration, limit: Limit) -> bool {
         let rate = match limit {
             Limit::Named(rate) => Some(rate),
             Limit::Unnamed if self.rate().is_some() => None,
@@ -171,7 +171,7 @@
     }
 
     /// Control told what all entries know; whether its limit is another one now.
-    pub fn told(&mut self, observed: Observation) -> bool {
+    pub fn merge(&mut self, observed: Observation) -> bool {
         let before = self.rate();
         self.take_in(observed);
         self.rate() != before
@@ -207,15 +207,15 @@
 
     /// Whether a request may go there now. Where there is a limit, it is counted as one that
     /// could use a permit.
-    pub fn open(&mut self, now: Duration) -> bool {
+    pub fn demand(&mut self, now: Duration) -> bool {
         if self.rate().is_some() {
             self.demanded = self.demanded.saturating_add(1);
         }
-        self.ready(now)
+        self.is_available(now)
     }
 
     /// Whether a request may go there now, without counting one.
-    pub fn ready(&self, now: Duration) -> bool {
+    pub fn is_available(&self, now: Duration) -> bool {
         let Some(rate) = self.rate() else {
             return true;
         };
@@ -247,20 +247,20 @@
 
     /// What control is to be told, if anything: what was heard since, or that permits could
     /// be used.
-    pub fn news(&mut self, now: Duration) -> Option<LimitNews> {
+    pub fn report(&mut self, now: Duration) -> Option<LimitReport> {
         let observed = self.observed?;
         let wanted = std::mem::take(&mut self.demanded);
         let wanted = wanted.saturating_sub(self.left(now));
         let unheard = self.heard > self.told;
-        (unheard || wanted > 0).then_some(LimitNews { observed, wanted })
+        (unheard || wanted > 0).then_some(LimitReport { observed, wanted })
     }
 
     /// Control took in what was told at `asked`, and granted `permits`.
-    pub fn granted(&mut self, asked: Duration, permits: u32) {
+    pub fn receive_grant(&mut self, asked: Duration, permits: u32) {
         self.told = Some(asked);
         self.autonomy = None;
         if permits > 0 && self.rate().is_some() {
-            self.granted.push((asked + VALID, permits));
+            self.granted.push((asked + PERMIT_VALIDITY, permits));
         }
     }
 
@@ -297,7 +297,7 @@
         let length = f64::from(self.entries) / rate;
         let number = (now.as_secs_f64() / length + self.phase).floor();
         let begun = (number - self.phase) * length;
-        let end = Duration::from_secs_f64(begun.max(0.0)) + VALID;
+        let end = Duration::from_secs_f64(begun.max(0.0)) + PERMIT_VALIDITY;
         (number as u64, end)
     }
 
@@ -373,14 +373,14 @@
         }
     }
 
-    fn grant(&mut self, now: Duration, wanted: u32, choice: Choice) -> u32 {
+    fn grant(&mut self, now: Duration, wanted: u32, choice: ControlChoice) -> u32 {
         let Some(rate) = self.observed.rate else {
             return 0;
         };
         let rate = rate.per_second();
         let (bucket, share) = match choice {
-            Choice::First => (&mut self.first, SHARE),
-            Choice::Second => (&mut self.second, SHARE_SECOND),
+            ControlChoice::First => (&mut self.first, SHARE),
+            ControlChoice::Second => (&mut self.second, SHARE_SECOND),
         };
         let most = (rate * share * BURST).max(1.0);
         bucket.take(now, (rate * share).max(LEAST), most, wanted)
@@ -389,7 +389,7 @@
 
 /// Which control instance of its list an entry asks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Choice {
+pub enum ControlChoice {
     /// The one that all ask.
     #[default]
     First,
@@ -400,12 +400,12 @@
 impl Limits {
     /// An entry told what it knows of the limit of `run`; the permits that it gets of those
     /// that it could use.
-    pub fn tell(
+    pub fn apply_report(
         &mut self,
         now: Duration,
         run: &Incarnation,
-        news: LimitNews,
-        choice: Choice,
+        news: LimitReport,
+        choice: ControlChoice,
     ) -> u32 {
         let found = self
             .known
--- a/crates/policy/src/rate.rs
+++ b/crates/policy/src/prefill_rate.rs
@@ -26,20 +26,20 @@
 
 /// The rate at which endpoints of one service read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadRate {
+pub struct PrefillRate {
     rate: f64,
 }
 
-impl Default for ReadRate {
+impl Default for PrefillRate {
     fn default() -> Self {
         Self { rate: START }
     }
 }
 
-impl ReadRate {
+impl PrefillRate {
     /// A prompt with `tokens` that were not read before took `took` until its first
     /// event, the way there and the first step not counted.
-    pub fn learn(&mut self, tokens: f64, took: Duration) {
+    pub fn observe(&mut self, tokens: f64, took: Duration) {
         if !tokens.is_finite() || tokens < ENOUGH {
             return;
         }
@@ -54,12 +54,12 @@
     }
 
     /// Tokens that are read in a millisecond.
-    pub fn per_ms(&self) -> f64 {
+    pub fn tokens_per_ms(&self) -> f64 {
         self.rate
     }
 
     /// Time that reading `tokens` takes.
-    pub fn reading(&self, tokens: f64) -> Duration {
+    pub fn prefill_time(&self, tokens: f64) -> Duration {
         Duration::try_from_secs_f64(tokens / self.rate / 1_000.0).unwrap_or_default()
     }
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -33,9 +33,9 @@
 use suspect::Suspect;
 
 /// Crashes from which a request is quarantined. Fewer come about by chance.
-pub const CRASHES: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// Crashes from which a request is suspected.
-pub const SUSPECTED: usize = 2;
+pub const SUSPECT_CRASHES: usize = 2;
 /// Crashes from which a request is quarantined although others were lost with the same
 /// endpoints: after two it runs apart from these, so that they would have been served.
 const CERTAIN: usize = 6;
@@ -48,9 +48,9 @@
 /// How long after it was lost an endpoint may still show that it lives.
 const DOUBTED: Duration = Duration::from_secs(10);
 /// How long after it was served a request counts as harmless.
-pub const HARMLESS: Duration = Duration::from_secs(10);
+pub const HARMLESS_PERIOD: Duration = Duration::from_secs(10);
 /// How long a crash counts.
-pub const MEMORY: Duration = Duration::from_secs(600);
+pub const CRASH_RETENTION: Duration = Duration::from_secs(600);
 /// How long the first quarantine of a request lasts; each further one lasts twice as long.
 const FIRST_TERM: Duration = Duration::from_secs(600);
 /// Longest quarantine.
@@ -65,7 +65,7 @@
 const MOST_TOLD: usize = 256;
 
 /// Names who told something: an entry's hash.
-pub type Teller = u64;
+pub type EntryHash = u64;
 
 /// A request that was lost with an endpoint: its connection broke, and new ones are refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -86,25 +86,25 @@
 
 /// What is known of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct SuspectStatus {
     /// Crashes under it.
     pub crashes: usize,
     /// How much longer it is not sent on; `None` where it may be.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
 
 /// A request that entries should know of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct SuspectNotice {
     /// The request.
     pub request: Fingerprint,
     /// What is known of it.
-    pub standing: Standing,
+    pub status: SuspectStatus,
 }
 
 /// A request that was just quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct NewQuarantine {
     /// The request.
     pub request: Fingerprint,
     /// Hash of its workspace.
@@ -115,14 +115,14 @@
     pub times: u32,
 }
 
-impl Found {
+impl NewQuarantine {
     /// The line that tells operators.
     pub fn event(&self) -> Event {
         Event::new("request-quarantined")
             .field("content", shown(self.request))
             .field("crashes", self.crashes)
             .field("times", self.times)
-            .field("for_s", term(self.times).as_secs())
+            .field("for_s", quarantine_period(self.times).as_secs())
     }
 }
 
@@ -132,7 +132,7 @@
 }
 
 /// How long the quarantine of a request lasts that is found for the `times`th time.
-pub fn term(times: u32) -> Duration {
+pub fn quarantine_period(times: u32) -> Duration {
     let doubled = 2u32.saturating_pow(times.saturating_sub(1));
     FIRST_TERM.saturating_mul(doubled).min(LONGEST_TERM)
 }
@@ -142,7 +142,7 @@
 struct Gone {
     run: Incarnation,
     at: Duration,
-    teller: Teller,
+    teller: EntryHash,
     /// Whether another one told it as well.
     confirmed: bool,
 }
@@ -163,8 +163,8 @@
     }
 
     /// Takes in a loss that `teller` met.
-    pub fn lost(&mut self, now: Duration, teller: Teller, loss: &LostRequest) {
-        if now.saturating_sub(loss.at) >= MEMORY {
+    pub fn record_loss(&mut self, now: Duration, teller: EntryHash, loss: &LostRequest) {
+        if now.saturating_sub(loss.at) >= CRASH_RETENTION {
             return;
         }
         self.note_gone(teller, loss);
@@ -177,7 +177,7 @@
         });
     }
 
-    fn note_gone(&mut self, teller: Teller, loss: &LostRequest) {
+    fn note_gone(&mut self, teller: EntryHash, loss: &LostRequest) {
         match self.gone.binary_search_by(|gone| gone.run.cmp(&loss.run)) {
             Ok(at) => self.gone[at].confirmed |= self.gone[at].teller != teller,
             Err(at) => {
@@ -218,13 +218,13 @@
     }
 
     /// Endpoints that were told as lost lately.
-    pub fn gone(&self) -> impl Iterator<Item = &Incarnation> {
+    pub fn lost_endpoints(&self) -> impl Iterator<Item = &Incarnation> {
         self.gone.iter().map(|gone| &gone.run)
     }
 
     /// Bytes came from an endpoint at `heard` or later: what was told of it well before that
     /// is no crash.
-    pub fn alive(&mut self, run: &Incarnation, heard: Duration) {
+    pub fn record_alive(&mut self, run: &Incarnation, heard: Duration) {
         self.gone
             .retain(|gone| gone.run != *run || !outlived(gone.at, heard));
         for suspect in &mut self.suspects {
@@ -236,10 +236,10 @@
 
     /// A request was served at `at`: it is not the cause of crashes before that, nor of those
     /// soon after.
-    pub fn served(&mut self, request: Fingerprint, at: Duration) {
+    pub fn record_served(&mut self, request: Fingerprint, at: Duration) {
         if let Ok(place) = self.find(request) {
             let crashes = &mut self.suspects[place].crashes;
-            crashes.retain(|crash| crash.at >= at + HARMLESS);
+            crashes.retain(|crash| crash.at >= at + HARMLESS_PERIOD);
             self.forget_idle();
         }
     }
@@ -264,14 +264,14 @@
     }
 
     /// Quarantines the requests that alone explain enough crashes.
-    pub fn judge(&mut self, now: Duration) -> Vec<Found> {
+    pub fn evaluate(&mut self, now: Duration) -> Vec<NewQuarantine> {
         self.expire(now);
         let mut found = Vec::new();
         while let Some((at, crashes)) = self.culprit(now) {
             let suspect = &mut self.suspects[at];
             suspect.times += 1;
-            suspect.until = Some(now + term(suspect.times));
-            found.push(Found {
+            suspect.until = Some(now + quarantine_period(suspect.times));
+            found.push(NewQuarantine {
                 request: suspect.request,
                 workspace: suspect.workspace,
                 crashes,
@@ -285,7 +285,7 @@
     /// explains enough and no other one explains the same.
     fn culprit(&self, now: Duration) -> Option<(usize, usize)> {
         let enough = |suspect: &&Suspect| {
-            suspect.until.is_none() && suspect.crashes.len() >= CRASHES
+            suspect.until.is_none() && suspect.crashes.len() >= QUARANTINE_CRASHES
         };
         // Mostly nobody is, and nothing has to be compared.
         self.suspects.iter().find(enough)?;
@@ -301,7 +301,7 @@
         let mut candidates: Vec<Candidate<'_>> = open
             .iter()
             .map(|(at, crashes)| Candidate::new(*at, crashes))
-            .filter(|candidate| candidate.events >= CRASHES)
+            .filter(|candidate| candidate.events >= QUARANTINE_CRASHES)
             .collect();
         candidates.sort_by_key(|own| (Reverse(own.events), own.lasted, own.at));
         let alone = |own: &Candidate<'_>| {
@@ -337,38 +337,42 @@
     }
 
     /// What is known of a request.
-    pub fn standing(&self, now: Duration, request: Fingerprint) -> Standing {
+    pub fn status(&self, now: Duration, request: Fingerprint) -> SuspectStatus {
         let Ok(at) = self.find(request) else {
-            return Standing::default();
+            return SuspectStatus::default();
         };
-        self.suspects[at].standing(now)
+        self.suspects[at].status(now)
     }
 
     /// The requests that entries should know of, sorted: those that are quarantined, and
     /// those that are suspected.
-    pub fn told(&self, now: Duration) -> Vec<Told> {
+    pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
         // After an outage thousands were lost once.
         let known = |suspect: &&Suspect| {
-            suspect.until.is_some() || suspect.crashes.len() >= SUSPECTED
+            suspect.until.is_some() || suspect.crashes.len() >= SUSPECT_CRASHES
         };
-        let all = self.suspects.iter().filter(known).map(|suspect| Told {
-            request: suspect.request,
-            standing: suspect.standing(now),
-        });
-        let mut told: Vec<Told> = all
+        let all = self
+            .suspects
+            .iter()
+            .filter(known)
+            .map(|suspect| SuspectNotice {
+                request: suspect.request,
+                status: suspect.status(now),
+            });
+        let mut told: Vec<SuspectNotice> = all
             .filter(|told| {
-                let standing = told.standing;
-                standing.left.is_some() || standing.crashes >= SUSPECTED
+                let status = told.status;
+                status.remaining.is_some() || status.crashes >= SUSPECT_CRASHES
             })
             .collect();
-        told.sort_by_key(|told| (told.standing.left.is_none(), told.request));
+        told.sort_by_key(|told| (told.status.remaining.is_none(), told.request));
         told.truncate(MOST_TOLD);
         told.sort_by_key(|told| told.request);
         told
     }
 
     /// Quarantined requests.
-    pub fn held(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         let held = self
             .suspects
             .iter()
--- a/crates/policy/src/quarantine/crash.rs
+++ b/crates/policy/src/quarantine/crash.rs
@@ -1,6 +1,6 @@
 //! Crashes under one request, and what they say of it.
 
-use super::SUSPECTED;
+use super::SUSPECT_CRASHES;
 use dogwoodhill_core::prelude::*;
 
 /// Time within which endpoints of one failure domain may have ended with it.
@@ -45,7 +45,7 @@
 }
 
 /// How many crashes these are. Of endpoints of one failure domain that ended in the same
-/// moment [`SUSPECTED`] count at most: the domain may have been lost. One that began the
+/// moment [`SUSPECT_CRASHES`] count at most: the domain may have been lost. One that began the
 /// request after the other had ended was not lost with it.
 pub(super) fn events(crashes: &[&Crash]) -> usize {
     let counts = |(at, crash): &(usize, &&Crash)| {
@@ -53,7 +53,7 @@
             let moment = crash.at.saturating_sub(other.at) < TOGETHER;
             moment && other.domain == crash.domain && crash.sent <= other.at
         };
-        crashes[..*at].iter().filter(together).count() < SUSPECTED
+        crashes[..*at].iter().filter(together).count() < SUSPECT_CRASHES
     };
     crashes.iter().enumerate().filter(counts).count()
 }
--- a/crates/policy/src/quarantine/suspect.rs
+++ b/crates/policy/src/quarantine/suspect.rs
@@ -1,7 +1,7 @@
 //! What is remembered of one request.
 
 use super::crash::{Crash, events};
-use super::{CRASHES, MEMORY, Standing};
+use super::{CRASH_RETENTION, QUARANTINE_CRASHES, SuspectStatus};
 use dogwoodhill_core::prelude::*;
 
 /// Crashes that are remembered.
@@ -55,11 +55,11 @@
     }
 
     /// What is known of it.
-    pub(super) fn standing(&self, now: Duration) -> Standing {
+    pub(super) fn status(&self, now: Duration) -> SuspectStatus {
         let crashes: Vec<&Crash> = self.crashes.iter().collect();
-        Standing {
+        SuspectStatus {
             crashes: events(&crashes),
-            left: self.until.and_then(|until| until.checked_sub(now)),
+            remaining: self.until.and_then(|until| until.checked_sub(now)),
         }
     }
 
@@ -68,12 +68,13 @@
         if self.until.is_some_and(|until| until <= now) {
             self.until = None;
             self.ended = now;
-            let excess = self.crashes.len().saturating_sub(CRASHES - 1);
+            let excess = self.crashes.len().saturating_sub(QUARANTINE_CRASHES - 1);
             self.crashes.drain(..excess);
         }
         if self.until.is_none() {
             let ended = self.ended;
-            let counts = |crash: &Crash| now.saturating_sub(crash.at.max(ended)) < MEMORY;
+            let counts =
+                |crash: &Crash| now.saturating_sub(crash.at.max(ended)) < CRASH_RETENTION;
             self.crashes.retain(counts);
         }
     }
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -33,21 +33,21 @@
 const QUICK: Duration = Duration::from_millis(100);
 /// Longest wait for a piece: a few times what the largest takes on a link of 10 Mbit/s
 /// that is full. A source that froze delays a text by this.
-pub const PIECE_PATIENCE: Duration = Duration::from_millis(800);
+pub const PIECE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest text that is fetched, in bytes: what a control instance takes from operators.
 const MOST_TEXT: u64 = 64 * 1024 * 1024;
 
 /// What is to be asked for next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fetch {
+pub struct PieceRequest {
     /// Of whom.
     pub source: SocketAddr,
     /// Which text.
     pub version: Version,
     /// From which byte on.
-    pub from: usize,
+    pub offset: usize,
     /// How many bytes at most.
-    pub most: usize,
+    pub max_len: usize,
 }
 
 /// A part of a text, as a source sent it.
@@ -58,7 +58,7 @@
     /// Length of the whole text.
     pub total: u64,
     /// Position of its first byte.
-    pub from: usize,
+    pub offset: usize,
     /// The bytes.
     pub bytes: &'a [u8],
 }
@@ -115,7 +115,7 @@
     }
 
     /// A source told which version it has.
-    pub fn offered(&mut self, address: SocketAddr, version: Version) {
+    pub fn add_offer(&mut self, address: SocketAddr, version: Version) {
         let found = self.sources.binary_search_by_key(&address, |s| s.address);
         match found {
             Ok(at) => {
@@ -135,18 +135,18 @@
     }
 
     /// A source does not answer any more, or is none.
-    pub fn lost(&mut self, address: SocketAddr) {
+    pub fn remove_source(&mut self, address: SocketAddr) {
         self.sources.retain(|source| source.address != address);
     }
 
     /// Newest version that a source told of.
-    pub fn known(&self, address: SocketAddr) -> Option<Version> {
+    pub fn offered_version(&self, address: SocketAddr) -> Option<Version> {
         let found = self.sources.binary_search_by_key(&address, |s| s.address);
         found.ok().map(|at| self.sources[at].version)
     }
 
     /// What to ask for, where there is something to fetch and somebody to ask.
-    pub fn wanted(&mut self) -> Option<Fetch> {
+    pub fn next_request(&mut self) -> Option<PieceRequest> {
         let newest = self.sources.iter().map(|source| source.version).max()?;
         if self.held.is_some_and(|held| newest <= held) {
             return None;
@@ -164,12 +164,12 @@
                 ..Partial::default()
             });
         }
-        let from = self.partial.as_ref().map_or(0, |p| p.bytes.len());
-        Some(Fetch {
+        let offset = self.partial.as_ref().map_or(0, |p| p.bytes.len());
+        Some(PieceRequest {
             source,
             version,
-            from,
-            most: self.size,
+            offset,
+            max_len: self.size,
         })
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// A piece arrived `took` after it was asked for. Returns the text that it completes.
-    pub fn arrived(
+    pub fn receive_piece(
         &mut self,
         source: SocketAddr,
         took: Duration,
@@ -195,11 +195,11 @@
     ) -> Option<Text> {
         let partial = self.partial.as_mut()?;
         let expected = partial.version == piece.version
-            && partial.bytes.len() == piece.from
+            && partial.bytes.len() == piece.offset
             && piece.total <= MOST_TEXT;
         if !expected || (piece.bytes.is_empty() && piece.total > 0) {
             // A source that answers something else is no use for this text.
-            self.lacks(source, piece.version);
+            self.version_missing(source, piece.version);
             return None;
         }
         if partial.total.is_some_and(|total| total != piece.total) {
@@ -228,7 +228,7 @@
     }
 
     /// A source does not keep the version that it was asked for.
-    pub fn lacks(&mut self, source: SocketAddr, version: Version) {
+    pub fn version_missing(&mut self, source: SocketAddr, version: Version) {
         if let Ok(at) = self.sources.binary_search_by_key(&source, |s| s.address) {
             self.sources[at].lacks = Some(version);
         }
@@ -236,14 +236,14 @@
 
     /// A source did not send a piece in time. Returns whether it is the first one
     /// since it sent some.
-    pub fn failed(&mut self, now: Moment, source: SocketAddr) -> bool {
+    pub fn piece_failed(&mut self, now: Moment, source: SocketAddr) -> bool {
         self.size = (self.size / 2).max(LEAST_PIECE);
         let found = self.sources.binary_search_by_key(&source, |s| s.address);
         found.is_ok_and(|at| self.sources[at].failed.replace(now).is_none())
     }
 
     /// Bytes that have arrived of a text that is not complete.
-    pub fn under_way(&self) -> usize {
+    pub fn bytes_received(&self) -> usize {
         self.partial.as_ref().map_or(0, |p| p.bytes.len())
     }
 }
--- a/crates/policy/src/true_time.rs
+++ b/crates/policy/src/true_time.rs
@@ -8,7 +8,7 @@
 use dogwoodhill_core::prelude::*;
 
 /// Names whose wall clock was told: a hash of an instance's run.
-pub type Teller = u64;
+pub type ClockId = u64;
 
 /// How long a told clock counts: some intervals at which entries tell.
 const KEPT: Duration = Duration::from_secs(3);
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Told {
-    teller: Teller,
+    teller: ClockId,
     at: Moment,
     offset: Duration,
 }
@@ -40,7 +40,7 @@
 
 impl TrueClock {
     /// A teller's wall clock showed `wall` at `now` on the steady clock.
-    pub fn tell(&mut self, now: Moment, teller: Teller, wall: TrueTime) {
+    pub fn record(&mut self, now: Moment, teller: ClockId, wall: TrueTime) {
         self.first.get_or_insert(now);
         self.told
             .retain(|told| now.saturating_sub(told.at) < KEPT || told.teller == teller);
--- a/crates/policy/src/trust.rs
+++ b/crates/policy/src/trust.rs
@@ -4,9 +4,9 @@
 //! while they call themselves healthy, or stop answering on all connections at
 //! once. An entry learns that from its own requests: what came back lately, and for how
 //! long nothing did. Beside that it goes by what all entries together see
-//! ([`crate::sightings`]), as long as that is fresh and nothing here disproves it.
+//! ([`crate::endpoint_health`]), as long as that is fresh and nothing here disproves it.
 
-use crate::sightings::{LATELY, Sight, Verdict};
+use crate::endpoint_health::{HealthReport, RECENT_WINDOW, Verdict};
 use std::time::Duration;
 
 /// Weight of the newest outcome in the share of failures: about the last ten
@@ -70,7 +70,7 @@
     /// What all entries together see, as it was told last.
     told: Option<(Duration, Verdict)>,
     /// What this entry met since it told the others last.
-    news: Sight,
+    news: HealthReport,
 }
 
 impl Record {
@@ -146,12 +146,12 @@
     }
 
     /// What this entry met since it told the others last, if anything.
-    pub fn sight(&mut self, now: Duration) -> Option<Sight> {
+    pub fn sight(&mut self, now: Duration) -> Option<HealthReport> {
         let news = std::mem::take(&mut self.news);
-        let heard = self.heard > Duration::ZERO;
-        let heard = heard && now.saturating_sub(self.heard) < LATELY;
-        let sight = Sight { heard, ..news };
-        (sight != Sight::default()).then_some(sight)
+        let alive = self.heard > Duration::ZERO;
+        let alive = alive && now.saturating_sub(self.heard) < RECENT_WINDOW;
+        let sight = HealthReport { alive, ..news };
+        (sight != HealthReport::default()).then_some(sight)
     }
 
     /// All entries together see this of it, or nothing of note.
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -6,10 +6,10 @@
 //! until its counts are fixed in the log, so that an instance which is lost costs nothing.
 //! What an entry has not told is lost with it, some tenths of a second of its requests.
 
+mod duty_lease;
 mod ledger;
 mod tally;
-mod tenure;
 
-pub use ledger::{Counted, Instance, Ledger};
-pub use tally::{Closing, Tally, Told};
-pub use tenure::{Question, Tenure};
+pub use duty_lease::{DutyLease, LeaseRequest};
+pub use ledger::{Counted, InstanceRun, Ledger};
+pub use tally::{CloseRules, EntryReport, Tally};
--- a/crates/policy/src/usage/tenure.rs
+++ b/crates/policy/src/usage/duty_lease.rs
@@ -23,7 +23,7 @@
 
 /// One machine's hold on a duty. Times are those of its own clock.
 #[derive(Clone, Debug)]
-pub struct Tenure {
+pub struct DutyLease {
     lease: Duration,
     slack: Duration,
     held: Option<Held>,
@@ -42,10 +42,10 @@
 /// A question for the lease. It is dated when it is made, and made before it is sent, since
 /// what is sent comes out of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
+pub struct LeaseRequest {
     asked: Duration,
     /// How long the lease is wanted for.
-    pub lasting: Duration,
+    pub duration: Duration,
     /// A fencing number that was refused as too low; 0 for none.
     pub refused: Fence,
 }
@@ -57,7 +57,7 @@
     until: Duration,
 }
 
-impl Tenure {
+impl DutyLease {
     /// No duty is held at `now`. A holder may act for `lease`, and what it began is over
     /// within `slack` after that.
     pub fn new(now: Duration, lease: Duration, slack: Duration) -> Self {
@@ -74,43 +74,43 @@
     }
 
     /// Asks for the lease at `now`.
-    pub fn ask(&self, now: Duration) -> Question {
-        Question {
+    pub fn request(&self, now: Duration) -> LeaseRequest {
+        LeaseRequest {
             asked: now,
-            lasting: self.lease + self.slack,
+            duration: self.lease + self.slack,
             refused: self.refused,
         }
     }
 
     /// A turn of the machine's tasks begins.
-    pub fn look(&mut self, now: Duration) {
+    pub fn begin_turn(&mut self, now: Duration) {
         if now.saturating_sub(self.looked) > STOOD_STILL {
             self.unsure = now + RECOVERS;
         }
     }
 
     /// A turn of the machine's tasks is over.
-    pub fn looked(&mut self, now: Duration) {
+    pub fn end_turn(&mut self, now: Duration) {
         self.looked = now;
     }
 
     /// Whether it may close what others may have news of.
-    pub fn closes(&self, now: Duration) -> bool {
+    pub fn may_close(&self, now: Duration) -> bool {
         now >= self.unsure
     }
 
     /// Whether it leaves the duty to others.
-    pub fn is_away(&self, now: Duration) -> bool {
+    pub fn is_standing_down(&self, now: Duration) -> bool {
         now < self.away
     }
 
     /// Whether it may ask for the lease.
-    pub fn may_ask(&self, now: Duration) -> bool {
+    pub fn may_request(&self, now: Duration) -> bool {
         now >= self.barred
     }
 
     /// The log gave or prolonged the lease. Whether its number is a new one.
-    pub fn granted(&mut self, question: Question, fence: Fence) -> bool {
+    pub fn granted(&mut self, question: LeaseRequest, fence: Fence) -> bool {
         let new = self.held.is_none_or(|held| held.fence != fence);
         let until = question.asked + self.lease;
         self.held = Some(Held { fence, until });
@@ -118,35 +118,35 @@
     }
 
     /// Another machine holds it for `left`. Whether this one did before.
-    pub fn other_holds(&mut self, now: Duration, left: Duration) -> bool {
+    pub fn held_by_other(&mut self, now: Duration, left: Duration) -> bool {
         self.barred = now + left;
         self.held.take().is_some()
     }
 
     /// The number under which it may act now.
-    pub fn may_act(&self, now: Duration) -> Option<Fence> {
+    pub fn active_fence(&self, now: Duration) -> Option<Fence> {
         let held = self.held.filter(|held| now < held.until);
         held.map(|held| held.fence)
     }
 
     /// Whether it takes itself for the holder, be it that the lease has ended.
-    pub fn holds(&self) -> bool {
+    pub fn is_holder(&self) -> bool {
         self.held.is_some()
     }
 
     /// Whoever checks fencing numbers refused this one.
-    pub fn fenced(&mut self, fence: Fence) {
+    pub fn fence_refused(&mut self, fence: Fence) {
         self.refused = self.refused.max(fence);
         self.held = None;
     }
 
     /// It can't do its duty, and leaves it to others for a while.
-    pub fn leave(&mut self, now: Duration) {
+    pub fn stand_down(&mut self, now: Duration) {
         self.away = now + LEAVES;
     }
 
     /// It gives the lease up. Whether it had one.
-    pub fn give_up(&mut self) -> bool {
+    pub fn release(&mut self) -> bool {
         self.held.take().is_some()
     }
 }
--- a/crates/policy/src/usage/ledger.rs
+++ b/crates/policy/src/usage/ledger.rs
@@ -10,7 +10,7 @@
 const MOST_WORKSPACES: usize = 8_192;
 
 /// Names the run of a control instance.
-pub type Instance = u64;
+pub type InstanceRun = u64;
 
 /// Whether a request was counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     windows: Vec<WindowCounts>,
     /// What `instance` has of them.
     told: Vec<WindowCounts>,
-    instance: Instance,
+    instance: InstanceRun,
     /// Windows before this one are fixed.
     next: Window,
 }
@@ -58,7 +58,7 @@
     }
 
     /// Counts that `instance` does not have, whole and not as differences.
-    pub fn news(&self, instance: Instance) -> Vec<WindowCounts> {
+    pub fn unacknowledged(&self, instance: InstanceRun) -> Vec<WindowCounts> {
         let known = instance == self.instance;
         let windows = self.windows.iter().filter_map(|counts| {
             let told = known
@@ -70,7 +70,7 @@
     }
 
     /// `instance` has taken in what was told.
-    pub fn acknowledged(&mut self, instance: Instance, news: &[WindowCounts]) {
+    pub fn acknowledged(&mut self, instance: InstanceRun, news: &[WindowCounts]) {
         if instance != self.instance {
             self.instance = instance;
             self.told.clear();
@@ -85,7 +85,7 @@
     }
 
     /// Windows before `next` are fixed, and what else comes for them is late.
-    pub fn fixed(&mut self, next: Window) {
+    pub fn finalize_before(&mut self, next: Window) {
         self.next = self.next.max(next);
         let open = |counts: &WindowCounts| counts.window >= self.next;
         self.windows.retain(open);
--- a/crates/policy/src/usage/tally.rs
+++ b/crates/policy/src/usage/tally.rs
@@ -19,7 +19,7 @@
 
 /// What one run of an entry tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct EntryReport {
     /// The entry.
     pub entry: String,
     /// Names the run.
@@ -46,14 +46,14 @@
 
 /// When windows may be closed.
 #[derive(Clone, Copy, Debug)]
-pub struct Closing {
+pub struct CloseRules {
     /// How windows are cut.
     pub windows: Windows,
     /// Time after a window's end at which it is closed without the entries that are missing,
     /// where most of them tell this instance.
-    pub patience: Duration,
+    pub majority_wait: Duration,
     /// The same where only a few do: the others may tell another instance.
-    pub alone: Duration,
+    pub minority_wait: Duration,
 }
 
 /// The counts of windows that are not fixed yet, by entry.
@@ -66,7 +66,7 @@
 
 impl Tally {
     /// Takes in what an entry told.
-    pub fn tell(&mut self, now: Moment, told: Told) {
+    pub fn record(&mut self, now: Moment, told: EntryReport) {
         let found = self.tellers.binary_search_by_key(&told.run, |t| t.run);
         let at = match found {
             Ok(at) => at,
@@ -95,7 +95,7 @@
     }
 
     /// Runs of entries that told lately.
-    pub fn alive(&self, now: Moment) -> usize {
+    pub fn active_runs(&self, now: Moment) -> usize {
         let alive = |teller: &&Teller| now.saturating_sub(teller.at) < ALIVE;
         self.tellers.iter().filter(alive).count()
     }
@@ -103,26 +103,26 @@
     /// Whether the counts of `window` may be fixed: it is over, and all `expected` entries
     /// have told of it, or it has been waited for long enough. Never where no entry tells
     /// this instance: what they count, another one has.
-    pub fn complete(
+    pub fn is_complete(
         &self,
         now: Moment,
         time: TrueTime,
         window: Window,
-        closing: &Closing,
+        closing: &CloseRules,
         expected: usize,
     ) -> bool {
         let end = closing.windows.end(window);
         if time < end {
             return false;
         }
-        let alive = self.alive(now);
+        let alive = self.active_runs(now);
         if alive == 0 {
             return false;
         }
-        if time >= end + closing.alone {
+        if time >= end + closing.minority_wait {
             return true;
         }
-        if time >= end + closing.patience {
+        if time >= end + closing.majority_wait {
             return 2 * alive >= expected;
         }
         let missing = |teller: &Teller| teller.through < end && self.awaited(now, teller);
@@ -153,7 +153,7 @@
     }
 
     /// Windows before `next` are fixed.
-    pub fn fixed(&mut self, now: Moment, next: Window) {
+    pub fn finalize_before(&mut self, now: Moment, next: Window) {
         self.next = self.next.max(next);
         for teller in &mut self.tellers {
             teller.windows.retain(|counts| counts.window >= self.next);
--- a/crates/policy/tests/sightings.rs
+++ b/crates/policy/tests/endpoint_health.rs
@@ -1,6 +1,8 @@
 //! What all entries together see of each endpoint.
 
-use dogwoodhill_policy::sightings::{Kept, Sight, Sightings, Verdict};
+use dogwoodhill_policy::endpoint_health::{
+    EndpointHealth, HealthReport, ListedEndpoint, Verdict,
+};
 use dogwoodhill_policy::trust::{Record, Trust};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -11,32 +13,32 @@
     Duration::from_millis(millis)
 }
 
-const QUIET: Sight = Sight {
+const QUIET: HealthReport = HealthReport {
     replaced: false,
     unreached: false,
-    heard: false,
+    alive: false,
     answered: 0,
     failed: 0,
 };
-const HEARD: Sight = Sight {
-    heard: true,
+const HEARD: HealthReport = HealthReport {
+    alive: true,
     ..QUIET
 };
-const UNREACHED: Sight = Sight {
+const UNREACHED: HealthReport = HealthReport {
     unreached: true,
     ..QUIET
 };
-const REPLACED: Sight = Sight {
+const REPLACED: HealthReport = HealthReport {
     replaced: true,
     ..QUIET
 };
 
 /// Two endpoints, of which entries tell something about the second, in this order.
-fn verdict(told: &[(u64, u64, Sight)], now: u64) -> Option<Verdict> {
-    let mut sightings = Sightings::default();
-    sightings.relist(fresh(2));
+fn verdict(told: &[(u64, u64, HealthReport)], now: u64) -> Option<Verdict> {
+    let mut sightings = EndpointHealth::default();
+    sightings.update_list(fresh(2));
     for (at, entry, sight) in told {
-        sightings.tell(ms(*at), *entry, std::iter::once((1, *sight)));
+        sightings.record(ms(*at), *entry, std::iter::once((1, *sight)));
     }
     let verdicts = sightings.verdicts(ms(now));
     assert!(
@@ -47,9 +49,9 @@
 }
 
 /// Endpoints of one service that were not on the list before.
-fn fresh(count: usize) -> impl Iterator<Item = Kept> {
-    (0..count).map(|_| Kept {
-        before: None,
+fn fresh(count: usize) -> impl Iterator<Item = ListedEndpoint> {
+    (0..count).map(|_| ListedEndpoint {
+        previous: None,
         service: 1,
     })
 }
@@ -127,7 +129,7 @@
 /// seconds, so that none of them alone ever knows.
 #[test]
 fn verdict_failing_known_together() {
-    let answer = |failed| Sight {
+    let answer = |failed| HealthReport {
         answered: 1,
         failed: u32::from(failed),
         ..QUIET
@@ -148,23 +150,23 @@
 /// sound, fails as much: that one is told, since only there others do better.
 #[test]
 fn verdict_failing_only_above_its_service() {
-    let mut sightings = Sightings::default();
-    let kept = |at: usize| Kept {
-        before: None,
+    let mut sightings = EndpointHealth::default();
+    let kept = |at: usize| ListedEndpoint {
+        previous: None,
         service: if at < 10 { 1 } else { 2 },
     };
-    sightings.relist((0..20).map(kept));
+    sightings.update_list((0..20).map(kept));
     for entry in 0..20u64 {
         let sights = (0..20).map(|place| {
             let failing = place < 10 || place == 15;
-            let sight = Sight {
+            let sight = HealthReport {
                 answered: 1,
                 failed: u32::from(failing && (entry + u64::from(place)) % 5 < 2),
                 ..QUIET
             };
             (place, sight)
         });
-        sightings.tell(ms(entry * 100), entry, sights);
+        sightings.record(ms(entry * 100), entry, sights);
     }
     assert_eq!(sightings.verdicts(ms(2_000)), [(15, Verdict::Failing)]);
 }
@@ -172,11 +174,11 @@
 /// One entry claims a thousand failures: it is one voice.
 #[test]
 fn verdict_failures_of_one_entry_are_bounded() {
-    let sound = Sight {
+    let sound = HealthReport {
         answered: 4,
         ..QUIET
     };
-    let absurd = Sight {
+    let absurd = HealthReport {
         answered: 10,
         failed: 1_000,
         ..QUIET
@@ -192,14 +194,17 @@
 
 #[test]
 fn relist_keeps_what_is_known_of_those_that_stay() {
-    let mut sightings = Sightings::default();
-    sightings.relist(fresh(3));
+    let mut sightings = EndpointHealth::default();
+    sightings.update_list(fresh(3));
     for entry in 0..2 {
         let told = [(2, REPLACED), (9, REPLACED), (u32::MAX, UNREACHED)];
-        sightings.tell(ms(0), entry, told.into_iter());
+        sightings.record(ms(0), entry, told.into_iter());
     }
-    let kept = |before| Kept { before, service: 1 };
-    sightings.relist([None, Some(2)].map(kept).into_iter());
+    let kept = |previous| ListedEndpoint {
+        previous,
+        service: 1,
+    };
+    sightings.update_list([None, Some(2)].map(kept).into_iter());
     assert_eq!(sightings.verdicts(ms(10)), [(1, Verdict::Replaced)]);
 }
 
@@ -232,14 +237,14 @@
     record.heard(ms(1_000));
     record.judged(ms(1_000), true);
     let sight = record.sight(ms(1_100)).expect("an answer");
-    assert_eq!((sight.heard, sight.answered, sight.failed), (true, 1, 1));
+    assert_eq!((sight.alive, sight.answered, sight.failed), (true, 1, 1));
     let sight = record.sight(ms(1_200));
     assert_eq!(sight, Some(HEARD));
     assert_eq!(record.sight(ms(1_300)), None);
     record.unanswered(ms(2_000));
     record.replaced();
     let sight = record.sight(ms(2_010)).expect("it is lost");
-    assert!(sight.unreached && sight.replaced && !sight.heard);
+    assert!(sight.unreached && sight.replaced && !sight.alive);
 }
 
 /// A hundred entries before 180 endpoints, of which thirty are replaced at once while
@@ -262,8 +267,8 @@
     const ENDPOINTS: usize = 180;
     const REPLACED: usize = 30;
     let mut random = StdRng::seed_from_u64(7);
-    let mut sightings = Sightings::default();
-    sightings.relist(fresh(ENDPOINTS));
+    let mut sightings = EndpointHealth::default();
+    sightings.update_list(fresh(ENDPOINTS));
     let mut gone = vec![vec![false; ENDPOINTS]; ENTRIES];
     let mut records = vec![vec![Record::default(); ENDPOINTS]; ENTRIES];
     // When each entry tells next: twice a second, and soon after it lost an endpoint.
@@ -289,7 +294,7 @@
             let sights = sights
                 .filter_map(|(at, record)| Some((at as u32, record.sight(ms(now))?)));
             let sights: Vec<_> = sights.collect();
-            sightings.tell(ms(now), entry as u64, sights.into_iter());
+            sightings.record(ms(now), entry as u64, sights.into_iter());
             for (place, verdict) in sightings.verdicts(ms(now)) {
                 assert!(place < REPLACED as u32, "a sound one is taken away");
                 gone[entry][place as usize] |= verdict == Verdict::Replaced;
@@ -322,7 +327,7 @@
             })
             .collect();
         let heard = told.iter().filter(|item| item.2 == HEARD).map(|item| item.0).max();
-        let since = |sight: Sight| {
+        let since = |sight: HealthReport| {
             let later = |at: u64| heard.is_none_or(|heard| at > heard);
             let reports = told.iter().filter(|item| item.2 == sight && later(item.0));
             let mut entries: Vec<u64> = reports.map(|item| item.1).collect();
--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -1,7 +1,7 @@
 //! Which run of an endpoint counts, whatever order news of it come in.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::incarnations::{Age, Incarnations};
+use dogwoodhill_policy::incarnations::{Incarnations, RunAge};
 use proptest::prelude::*;
 
 const fn ms(millis: u64) -> Duration {
@@ -22,10 +22,10 @@
 #[test]
 fn told_later_start_replaces() {
     let mut runs = Incarnations::default();
-    assert_eq!(runs.told(ms(0), &run(1, Some(50)), true), Age::Newer);
-    assert_eq!(runs.told(ms(1), &run(1, Some(60)), false), Age::Newer);
+    assert_eq!(runs.record(ms(0), &run(1, Some(50)), true), RunAge::Newer);
+    assert_eq!(runs.record(ms(1), &run(1, Some(60)), false), RunAge::Newer);
     assert_eq!(newest(&runs, 1), (Some(60), false), "it has not left");
-    assert_eq!(runs.told(ms(2), &run(1, Some(50)), true), Age::Older);
+    assert_eq!(runs.record(ms(2), &run(1, Some(50)), true), RunAge::Older);
     assert_eq!(newest(&runs, 1), (Some(60), false));
 }
 
@@ -33,8 +33,11 @@
 #[test]
 fn told_leaving_stays_leaving() {
     let mut runs = Incarnations::default();
-    runs.told(ms(0), &run(1, Some(50)), true);
-    assert_eq!(runs.told(ms(1), &run(1, Some(50)), false), Age::Current);
+    runs.record(ms(0), &run(1, Some(50)), true);
+    assert_eq!(
+        runs.record(ms(1), &run(1, Some(50)), false),
+        RunAge::Current
+    );
     assert_eq!(newest(&runs, 1), (Some(50), true));
 }
 
@@ -44,12 +47,15 @@
 #[test]
 fn told_without_start_says_nothing() {
     let mut runs = Incarnations::default();
-    runs.told(ms(0), &run(1, None), true);
-    assert_eq!(runs.told(ms(1), &run(1, Some(50)), false), Age::Current);
+    runs.record(ms(0), &run(1, None), true);
+    assert_eq!(
+        runs.record(ms(1), &run(1, Some(50)), false),
+        RunAge::Current
+    );
     assert_eq!(newest(&runs, 1), (Some(50), true));
-    assert_eq!(runs.told(ms(2), &run(1, None), false), Age::Current);
+    assert_eq!(runs.record(ms(2), &run(1, None), false), RunAge::Current);
     assert_eq!(newest(&runs, 1), (Some(50), true));
-    assert_eq!(runs.told(ms(3), &run(1, Some(51)), false), Age::Newer);
+    assert_eq!(runs.record(ms(3), &run(1, Some(51)), false), RunAge::Newer);
 }
 
 /// A list that lags for an hour does not bring an earlier run back; a run without a
@@ -57,14 +63,14 @@
 #[test]
 fn forget_named_late_unnamed_at_once() {
     let mut runs = Incarnations::default();
-    runs.told(ms(0), &run(1, Some(50)), false);
-    runs.told(ms(0), &run(2, None), true);
+    runs.record(ms(0), &run(1, Some(50)), false);
+    runs.record(ms(0), &run(2, None), true);
     runs.forget(ms(0));
     assert_eq!(runs.len(), 2, "both were listed just now");
     runs.forget(ms(3_599_000));
     assert_eq!(runs.newest("i-2"), None);
-    let older = runs.told(ms(3_599_001), &run(1, Some(49)), false);
-    assert_eq!(older, Age::Older);
+    let older = runs.record(ms(3_599_001), &run(1, Some(49)), false);
+    assert_eq!(older, RunAge::Older);
     runs.forget(ms(3_601_000));
     assert!(runs.is_empty());
 }
@@ -75,7 +81,7 @@
 fn forget_bounds_what_is_remembered() {
     let mut runs = Incarnations::default();
     for id in 0..30_000 {
-        runs.told(ms(id as u64 / 10), &run(id, Some(1)), false);
+        runs.record(ms(id as u64 / 10), &run(id, Some(1)), false);
     }
     runs.forget(ms(3_000));
     assert_eq!(runs.len(), 10_000);
@@ -103,25 +109,25 @@
         let mut starts: [Option<Option<Born>>; 3] = [None; 3];
         let mut left = [false; 3];
         for (at, (id, born, leaving)) in news.into_iter().enumerate() {
-            let age = runs.told(ms(at as u64), &run(id, born), leaving);
+            let age = runs.record(ms(at as u64), &run(id, born), leaving);
             let known = starts[id];
             let expected = match (known, born) {
-                (None, _) => Age::Newer,
-                (Some(Some(known)), Some(born)) if born > known => Age::Newer,
-                (Some(Some(known)), Some(born)) if born < known => Age::Older,
-                _ => Age::Current,
+                (None, _) => RunAge::Newer,
+                (Some(Some(known)), Some(born)) if born > known => RunAge::Newer,
+                (Some(Some(known)), Some(born)) if born < known => RunAge::Older,
+                _ => RunAge::Current,
             };
             prop_assert_eq!(age, expected);
             match age {
-                Age::Newer => {
+                RunAge::Newer => {
                     starts[id] = Some(born);
                     left[id] = leaving;
                 }
-                Age::Current => {
+                RunAge::Current => {
                     starts[id] = Some(known.flatten().or(born));
                     left[id] |= leaving;
                 }
-                Age::Older => {}
+                RunAge::Older => {}
             }
             runs.forget(ms(at as u64));
             if born.is_some() {
--- a/crates/policy/tests/permits.rs
+++ b/crates/policy/tests/permits.rs
@@ -2,7 +2,8 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::permits::{
-    Choice, Limit, LimitNews, Limits, Observation, Permit, Permits, Rate, VALID,
+    ControlChoice, Limit, LimitReport, Limits, Observation, PERMIT_VALIDITY, Permit,
+    Permits, Rate,
 };
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -74,7 +75,7 @@
         let mut entries: Vec<(Permits, Duration, Duration)> = (0..self.entries)
             .map(|_| {
                 let mut permits = Permits::default();
-                permits.hear(Duration::ZERO, named(self.limit));
+                permits.observe(Duration::ZERO, named(self.limit));
                 let asks = ms(random.random_range(0..500));
                 let moves = Self::TURN + ms(random.random_range(0..1_000));
                 (permits, asks, moves)
@@ -93,19 +94,23 @@
                     // The first choice is silent for this entry, and not for the others.
                     let split =
                         control == Control::Split && *moves > Self::TURN + ms(500);
-                    let choice = if split { Choice::Second } else { Choice::First };
-                    if let Some(news) = permits.news(now) {
+                    let choice = if split {
+                        ControlChoice::Second
+                    } else {
+                        ControlChoice::First
+                    };
+                    if let Some(news) = permits.report(now) {
                         let holder = &mut holders[usize::from(changed || split)];
-                        let granted = holder.tell(now, &run(), news, choice);
-                        permits.granted(now, granted);
+                        let granted = holder.apply_report(now, &run(), news, choice);
+                        permits.receive_grant(now, granted);
                     }
                 }
                 let chance = self.demand * Self::STEP.as_secs_f64();
                 if random.random::<f64>() < chance
-                    && permits.open(now)
+                    && permits.demand(now)
                     && permits.take(now).is_some()
                 {
-                    permits.hear(now, named(self.limit));
+                    permits.observe(now, named(self.limit));
                     sent.push(now);
                 }
             }
@@ -159,31 +164,35 @@
 #[test]
 fn permits_end() {
     let mut permits = Permits::default();
-    permits.hear(ms(0), named(2.0));
-    assert!(!permits.open(ms(10)), "none was granted");
-    permits.granted(ms(100), 2);
-    assert!(permits.open(ms(200)));
-    let until = Some(ms(100) + VALID);
+    permits.observe(ms(0), named(2.0));
+    assert!(!permits.demand(ms(10)), "none was granted");
+    permits.receive_grant(ms(100), 2);
+    assert!(permits.demand(ms(200)));
+    let until = Some(ms(100) + PERMIT_VALIDITY);
     assert_eq!(permits.take(ms(200)), Some(Permit { until }));
-    assert_eq!(permits.take(ms(100) + VALID), None, "the other one is over");
+    assert_eq!(
+        permits.take(ms(100) + PERMIT_VALIDITY),
+        None,
+        "the other one is over"
+    );
 }
 
 #[test]
 fn permits_unlimited_without_end() {
     let mut permits = Permits::default();
-    assert!(permits.open(ms(0)));
+    assert!(permits.demand(ms(0)));
     assert_eq!(permits.take(ms(0)), Some(Permit { until: None }));
-    assert!(!permits.hear(ms(0), Limit::Unreadable));
-    assert!(permits.open(ms(0)), "nothing can be kept to");
-    assert_eq!(permits.news(ms(0)), None);
+    assert!(!permits.observe(ms(0), Limit::Unreadable));
+    assert!(permits.demand(ms(0)), "nothing can be kept to");
+    assert_eq!(permits.report(ms(0)), None);
 }
 
 #[test]
 fn permits_lower_limit_leaves_a_part() {
     let mut permits = Permits::default();
-    permits.hear(ms(0), named(8.0));
-    permits.granted(ms(0), 4);
-    assert!(permits.hear(ms(100), named(2.0)));
+    permits.observe(ms(0), named(8.0));
+    permits.receive_grant(ms(0), 4);
+    assert!(permits.observe(ms(100), named(2.0)));
     assert!(permits.take(ms(200)).is_some());
     assert_eq!(permits.take(ms(200)), None);
 }
@@ -192,16 +201,19 @@
 #[test]
 fn limit_ends_some_time_after_it_was_named() {
     let mut permits = Permits::default();
-    permits.hear(ms(1_000), named(1.0));
-    assert!(!permits.hear(ms(1_100), Limit::Unnamed));
-    assert!(!permits.open(ms(1_100)));
-    assert!(permits.hear(ms(1_400), Limit::Unnamed));
-    assert!(permits.open(ms(1_400)));
-    let news = permits.news(ms(1_500)).expect("the others are told");
+    permits.observe(ms(1_000), named(1.0));
+    assert!(!permits.observe(ms(1_100), Limit::Unnamed));
+    assert!(!permits.demand(ms(1_100)));
+    assert!(permits.observe(ms(1_400), Limit::Unnamed));
+    assert!(permits.demand(ms(1_400)));
+    let news = permits.report(ms(1_500)).expect("the others are told");
     assert_eq!(news.observed.rate, None);
-    permits.granted(ms(1_500), 0);
-    assert_eq!(permits.news(ms(1_600)), None, "once");
-    assert!(permits.hear(ms(2_000), named(3.0)), "and it may come again");
+    permits.receive_grant(ms(1_500), 0);
+    assert_eq!(permits.report(ms(1_600)), None, "once");
+    assert!(
+        permits.observe(ms(2_000), named(3.0)),
+        "and it may come again"
+    );
 }
 
 /// One entry hears of the limit and of its end, the other one by control alone.
@@ -209,10 +221,10 @@
 fn limit_told_to_entries_that_heard_nothing() {
     let mut limits = Limits::default();
     let (mut hears, mut is_told) = (Permits::default(), Permits::default());
-    hears.hear(ms(1_000), named(2.0));
-    let news = hears.news(ms(1_100)).expect("it heard");
+    hears.observe(ms(1_000), named(2.0));
+    let news = hears.report(ms(1_100)).expect("it heard");
     assert_eq!(
-        limits.tell(ms(1_101), &run(), news, Choice::First),
+        limits.apply_report(ms(1_101), &run(), news, ControlChoice::First),
         0,
         "no permits yet"
     );
@@ -220,45 +232,53 @@
         .observations(ms(1_200))
         .map(|known| known.1)
         .collect();
-    assert!(is_told.told(seen[0]));
-    assert!(!is_told.open(ms(1_200)));
-    let wants = is_told.news(ms(2_200)).expect("it could use one");
+    assert!(is_told.merge(seen[0]));
+    assert!(!is_told.demand(ms(1_200)));
+    let wants = is_told.report(ms(2_200)).expect("it could use one");
     assert_eq!(wants.wanted, 1);
-    assert_eq!(limits.tell(ms(2_201), &run(), wants, Choice::First), 1);
-    hears.hear(ms(3_000), Limit::Unnamed);
-    let news = hears.news(ms(3_100)).expect("it ended");
-    limits.tell(ms(3_101), &run(), news, Choice::First);
+    assert_eq!(
+        limits.apply_report(ms(2_201), &run(), wants, ControlChoice::First),
+        1
+    );
+    hears.observe(ms(3_000), Limit::Unnamed);
+    let news = hears.report(ms(3_100)).expect("it ended");
+    limits.apply_report(ms(3_101), &run(), news, ControlChoice::First);
     let seen: Vec<Observation> = limits
         .observations(ms(3_200))
         .map(|known| known.1)
         .collect();
-    assert!(is_told.told(seen[0]));
-    assert!(is_told.open(ms(3_200)));
+    assert!(is_told.merge(seen[0]));
+    assert!(is_told.demand(ms(3_200)));
 }
 
 /// An older observed, as an entry tells it that stood still, changes nothing.
 #[test]
 fn limit_older_word_is_ignored() {
     let mut limits = Limits::default();
-    let news = |limit: Option<f64>, at, wanted| LimitNews {
+    let news = |limit: Option<f64>, at, wanted| LimitReport {
         observed: Observation {
             rate: limit.map(rate),
             at,
         },
         wanted,
     };
-    limits.tell(
+    limits.apply_report(
         ms(5_000),
         &run(),
         news(Some(1.0), ms(5_000), 0),
-        Choice::First,
+        ControlChoice::First,
+    );
+    limits.apply_report(
+        ms(6_000),
+        &run(),
+        news(None, ms(6_000), 0),
+        ControlChoice::First,
     );
-    limits.tell(ms(6_000), &run(), news(None, ms(6_000), 0), Choice::First);
-    limits.tell(
+    limits.apply_report(
         ms(7_000),
         &run(),
         news(Some(1.0), ms(5_500), 1),
-        Choice::First,
+        ControlChoice::First,
     );
     let known = limits
         .observations(ms(7_000))
@@ -277,15 +297,15 @@
         rate: Some(rate(1.0)),
         at,
     };
-    let news = |at, wanted| LimitNews {
+    let news = |at, wanted| LimitReport {
         observed: observed(at),
         wanted,
     };
     let later = Incarnation::new("i-1", Some(2));
-    limits.tell(ms(1_000), &run(), news(ms(1_000), 0), Choice::First);
-    limits.tell(ms(2_000), &later, news(ms(2_000), 0), Choice::First);
+    limits.apply_report(ms(1_000), &run(), news(ms(1_000), 0), ControlChoice::First);
+    limits.apply_report(ms(2_000), &later, news(ms(2_000), 0), ControlChoice::First);
     assert_eq!(
-        limits.tell(ms(9_000), &run(), news(ms(9_000), 1), Choice::First),
+        limits.apply_report(ms(9_000), &run(), news(ms(9_000), 1), ControlChoice::First),
         0
     );
     assert_eq!(
@@ -312,7 +332,7 @@
         for (passed, wanted) in asked {
             now += ms(passed);
             let observed = Observation { rate: Some(rate(limit)), at: now };
-            let permits = limits.tell(now, &run(), LimitNews { observed, wanted }, Choice::First);
+            let permits = limits.apply_report(now, &run(), LimitReport { observed, wanted }, ControlChoice::First);
             granted.push((now, permits));
         }
         for (at, first) in granted.iter().enumerate() {
--- a/crates/policy/tests/rate.rs
+++ b/crates/policy/tests/prefill_rate.rs
@@ -1,6 +1,6 @@
 //! What is learned of engines of many kinds from the prompts that they read.
 
-use dogwoodhill_policy::rate::ReadRate;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -36,16 +36,16 @@
     let mut random = StdRng::seed_from_u64(5);
     for profile in 0..24 {
         let rate = 15.0 * 8f64.powf(f64::from(profile) / 23.0);
-        let mut learned = ReadRate::default();
+        let mut learned = PrefillRate::default();
         for _ in 0..60 {
             let (tokens, took) = prompt(&mut random, rate);
-            learned.learn(tokens, took);
+            learned.observe(tokens, took);
         }
         let mut sum = 0.0;
         for _ in 0..100 {
             let (tokens, took) = prompt(&mut random, rate);
-            learned.learn(tokens, took);
-            sum += learned.per_ms() / 100.0;
+            learned.observe(tokens, took);
+            sum += learned.tokens_per_ms() / 100.0;
         }
         let error = (sum / rate - 1.0).abs();
         assert!(error < 0.2, "{rate} learned as {sum}");
@@ -55,12 +55,12 @@
 /// Short prompts say nothing, and time for a prompt is in proportion to it.
 #[test]
 fn learn_short_prompts_say_nothing() {
-    let mut rate = ReadRate::default();
+    let mut rate = PrefillRate::default();
     for _ in 0..1_000 {
-        rate.learn(900.0, Duration::ZERO);
+        rate.observe(900.0, Duration::ZERO);
     }
-    assert_eq!(rate, ReadRate::default());
-    assert_eq!(rate.reading(3_000.0), Duration::from_millis(100));
+    assert_eq!(rate, PrefillRate::default());
+    assert_eq!(rate.prefill_time(3_000.0), Duration::from_millis(100));
 }
 
 proptest! {
@@ -70,11 +70,11 @@
     fn learn_bounded_steps(
         seen in proptest::collection::vec((any::<f64>(), any::<u64>()), 1..300),
     ) {
-        let mut rate = ReadRate::default();
+        let mut rate = PrefillRate::default();
         for (tokens, micros) in seen {
-            let before = rate.per_ms();
-            rate.learn(tokens, Duration::from_micros(micros));
-            let after = rate.per_ms();
+            let before = rate.tokens_per_ms();
+            rate.observe(tokens, Duration::from_micros(micros));
+            let after = rate.tokens_per_ms();
             prop_assert!((after / before - 1.0).abs() < 0.08);
             prop_assert!((3.0..=1_000.0).contains(&after));
         }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,8 +1,10 @@
 //! Which of the requests that were lost with their endpoints is the cause.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::quarantine::{LostRequest, MEMORY, Quarantine, Teller, term};
-use dogwoodhill_policy::served::Served;
+use dogwoodhill_policy::quarantine::{
+    CRASH_RETENTION, EntryHash, LostRequest, Quarantine, quarantine_period,
+};
+use dogwoodhill_policy::served::ServedRequests;
 use proptest::prelude::*;
 
 const fn ms(millis: u64) -> Duration {
@@ -35,12 +37,12 @@
 ) {
     for request in requests {
         let loss = loss(request, run, at);
-        quarantine.lost(ms(at), request as Teller, &loss);
+        quarantine.record_loss(ms(at), request as EntryHash, &loss);
     }
 }
 
 fn found(quarantine: &mut Quarantine, now: u64) -> Vec<Fingerprint> {
-    let found = quarantine.judge(ms(now));
+    let found = quarantine.evaluate(ms(now));
     found.into_iter().map(|found| found.request).collect()
 }
 
@@ -59,8 +61,11 @@
     assert_eq!(found(&mut quarantine, 10_000 + LATER), [], "chance");
     crash(&mut quarantine, 2, 20_000, [CULPRIT]);
     assert_eq!(found(&mut quarantine, 20_000 + LATER), [CULPRIT]);
-    let standing = quarantine.standing(ms(20_000 + LATER), CULPRIT);
-    assert_eq!((standing.crashes, standing.left), (3, Some(term(1))));
+    let standing = quarantine.status(ms(20_000 + LATER), CULPRIT);
+    assert_eq!(
+        (standing.crashes, standing.remaining),
+        (3, Some(quarantine_period(1)))
+    );
     assert_eq!(found(&mut quarantine, 20_000 + 2 * LATER), [], "once");
 }
 
@@ -80,11 +85,11 @@
     let run = Incarnation::new("i-1", None);
     for heard in [9_000, 10_300] {
         // What came before it ended is read a little later, too.
-        quarantine.alive(&run, ms(heard));
-        assert_eq!(quarantine.standing(ms(20_000), CULPRIT).crashes, 3);
+        quarantine.record_alive(&run, ms(heard));
+        assert_eq!(quarantine.status(ms(20_000), CULPRIT).crashes, 3);
     }
-    quarantine.alive(&run, ms(10_600));
-    assert_eq!(quarantine.standing(ms(20_000), CULPRIT).crashes, 2);
+    quarantine.record_alive(&run, ms(10_600));
+    assert_eq!(quarantine.status(ms(20_000), CULPRIT).crashes, 2);
     assert_eq!(found(&mut quarantine, 20_000 + LATER), []);
 }
 
@@ -113,10 +118,10 @@
         crash(&mut quarantine, run, run * 1_000, all);
     }
     for request in BESIDE {
-        quarantine.served(request, ms(3_000));
+        quarantine.record_served(request, ms(3_000));
     }
     assert_eq!(found(&mut quarantine, 3_000), [CULPRIT]);
-    assert_eq!(quarantine.told(ms(3_000)).len(), 1);
+    assert_eq!(quarantine.notices(ms(3_000)).len(), 1);
 }
 
 /// It ends a sixth endpoint, and something else was lost with all six: it is not let on for
@@ -130,7 +135,7 @@
             sent: ms(run * 300),
             ..loss(0, run, run * 1_000)
         };
-        quarantine.lost(ms(run * 1_000), 5, &longer);
+        quarantine.record_loss(ms(run * 1_000), 5, &longer);
         let expected = if run < 5 { vec![] } else { vec![CULPRIT] };
         assert_eq!(found(&mut quarantine, run * 1_000 + 700), expected, "{run}");
     }
@@ -143,7 +148,7 @@
     let mut quarantine = Quarantine::default();
     for run in 0..8 {
         crash(&mut quarantine, run, run * 1_000, [100]);
-        quarantine.served(100, ms(run * 1_000 + 300));
+        quarantine.record_served(100, ms(run * 1_000 + 300));
         assert_eq!(found(&mut quarantine, run * 1_000 + 700), [], "{run}");
     }
 }
@@ -152,10 +157,10 @@
 #[test]
 fn judge_served_long_ago_found() {
     let mut quarantine = Quarantine::default();
-    quarantine.served(CULPRIT, ms(0));
+    quarantine.record_served(CULPRIT, ms(0));
     for run in 0..3 {
         crash(&mut quarantine, run, 20_000 + run * 1_000, [CULPRIT]);
-        quarantine.served(CULPRIT, ms(0));
+        quarantine.record_served(CULPRIT, ms(0));
     }
     assert_eq!(found(&mut quarantine, 22_000 + LATER), [CULPRIT]);
 }
@@ -169,7 +174,7 @@
         crash(&mut quarantine, run, at, [100]);
     }
     assert_eq!(found(&mut quarantine, 1_110 + LATER), []);
-    assert_eq!(quarantine.standing(ms(3_000), 100).crashes, 2);
+    assert_eq!(quarantine.status(ms(3_000), 100).crashes, 2);
     // One of another domain that ends in the same moment counts.
     crash(&mut quarantine, 1, 1_050, [100]);
     assert_eq!(found(&mut quarantine, 1_110 + LATER), [100]);
@@ -185,7 +190,7 @@
             sent: ms(1_001 + run * 10),
             ..loss(CULPRIT, run, 1_025 + run * 10)
         };
-        quarantine.lost(ms(1_100), 1, &lost);
+        quarantine.record_loss(ms(1_100), 1, &lost);
     }
     assert_eq!(found(&mut quarantine, 1_100 + LATER), [CULPRIT]);
 }
@@ -221,16 +226,19 @@
 fn term_ends_and_grows() {
     let mut quarantine = crashes(3);
     assert_eq!(found(&mut quarantine, 21_000), [CULPRIT]);
-    let over = 21_000 + term(1).as_millis() as u64;
-    assert!(quarantine.standing(ms(over - 1), CULPRIT).left.is_some());
+    let over = 21_000 + quarantine_period(1).as_millis() as u64;
+    assert!(quarantine.status(ms(over - 1), CULPRIT).remaining.is_some());
     assert_eq!(found(&mut quarantine, over + 1), []);
-    let standing = quarantine.standing(ms(over + 1), CULPRIT);
-    assert_eq!((standing.crashes, standing.left), (2, None));
+    let standing = quarantine.status(ms(over + 1), CULPRIT);
+    assert_eq!((standing.crashes, standing.remaining), (2, None));
     crash(&mut quarantine, 9, over + 5_000, [CULPRIT]);
     assert_eq!(found(&mut quarantine, over + 6_000), [CULPRIT]);
-    let standing = quarantine.standing(ms(over + 6_000), CULPRIT);
-    assert_eq!(standing.left, Some(term(2)));
-    assert!(term(2) == 2 * term(1) && term(60) == term(61));
+    let standing = quarantine.status(ms(over + 6_000), CULPRIT);
+    assert_eq!(standing.remaining, Some(quarantine_period(2)));
+    assert!(
+        quarantine_period(2) == 2 * quarantine_period(1)
+            && quarantine_period(60) == quarantine_period(61)
+    );
 }
 
 #[test]
@@ -238,8 +246,8 @@
     let mut quarantine = Quarantine::default();
     quarantine.take(ms(0), CULPRIT, 1, 2, ms(5_000));
     quarantine.take(ms(0), 2, 1, 1, ms(0));
-    assert_eq!(quarantine.held(), 1, "one was over");
-    let left = |at| quarantine.standing(ms(at), CULPRIT).left;
+    assert_eq!(quarantine.quarantined_count(), 1, "one was over");
+    let left = |at| quarantine.status(ms(at), CULPRIT).remaining;
     assert_eq!(left(1_000), Some(ms(4_000)));
     assert_eq!(left(5_001), None);
 }
@@ -248,7 +256,7 @@
 #[test]
 fn judge_old_crashes_forgotten() {
     let mut quarantine = crashes(2);
-    let later = MEMORY.as_millis() as u64 + 10_000;
+    let later = CRASH_RETENTION.as_millis() as u64 + 10_000;
     crash(&mut quarantine, 9, later, [CULPRIT]);
     assert_eq!(found(&mut quarantine, later + LATER), []);
     assert_eq!(found(&mut quarantine, 2 * later), []);
@@ -266,22 +274,22 @@
             workspace: 2,
             ..loss(request, 50, 22_000)
         };
-        quarantine.lost(ms(22_000), 1, &loss);
+        quarantine.record_loss(ms(22_000), 1, &loss);
     }
-    assert!(quarantine.standing(ms(22_000), CULPRIT).left.is_some());
+    assert!(quarantine.status(ms(22_000), CULPRIT).remaining.is_some());
     let kept = (1_000..9_000)
-        .filter(|request| quarantine.standing(ms(22_000), *request).crashes > 0);
+        .filter(|request| quarantine.status(ms(22_000), *request).crashes > 0);
     assert!(kept.count() <= 512);
 }
 
 #[test]
 fn served_lately_only() {
-    let mut served = Served::default();
-    served.note(ms(1_000), 7);
-    assert_eq!(served.lately(ms(2_000), 7), Some(ms(1_000)));
-    assert_eq!(served.lately(ms(60_000), 7), None);
-    assert_eq!(served.lately(ms(2_000), 8), None);
-    assert_eq!(Served::default().lately(ms(0), 7), None);
+    let mut served = ServedRequests::default();
+    served.record(ms(1_000), 7);
+    assert_eq!(served.recently_served(ms(2_000), 7), Some(ms(1_000)));
+    assert_eq!(served.recently_served(ms(60_000), 7), None);
+    assert_eq!(served.recently_served(ms(2_000), 8), None);
+    assert_eq!(ServedRequests::default().recently_served(ms(0), 7), None);
 }
 
 proptest! {
--- a/crates/policy/tests/transfer.rs
+++ b/crates/policy/tests/transfer.rs
@@ -5,7 +5,7 @@
 //! day on which the set was late.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::transfer::{Fetch, PIECE_PATIENCE, Piece, Text, Transfer};
+use dogwoodhill_policy::transfer::{PIECE_TIMEOUT, Piece, PieceRequest, Text, Transfer};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
@@ -28,7 +28,7 @@
 
 fn offered(transfer: &mut Transfer, version: Version) {
     for number in 0..SOURCES {
-        transfer.offered(source(number), version);
+        transfer.add_offer(source(number), version);
     }
 }
 
@@ -36,20 +36,20 @@
 fn send(
     transfer: &mut Transfer,
     now: &mut Duration,
-    fetch: &Fetch,
+    fetch: &PieceRequest,
     text: &[u8],
 ) -> Option<Text> {
-    let end = (fetch.from + fetch.most).min(text.len());
-    let bytes = &text[fetch.from..end];
+    let end = (fetch.offset + fetch.max_len).min(text.len());
+    let bytes = &text[fetch.offset..end];
     let took = Duration::from_secs_f64(bytes.len() as f64 / LINK);
     *now += took;
     let piece = Piece {
         version: fetch.version,
         total: text.len() as u64,
-        from: fetch.from,
+        offset: fetch.offset,
         bytes,
     };
-    transfer.arrived(fetch.source, took, piece)
+    transfer.receive_piece(fetch.source, took, piece)
 }
 
 /// The link carries the set once, and nothing of it is asked for twice.
@@ -61,16 +61,16 @@
     let mut now = Duration::ZERO;
     let mut asked = 0;
     let done = loop {
-        let fetch = transfer.wanted().expect("not complete yet");
-        asked = asked.max(fetch.from);
-        assert_eq!(asked, fetch.from, "each byte once, in order");
+        let fetch = transfer.next_request().expect("not complete yet");
+        asked = asked.max(fetch.offset);
+        assert_eq!(asked, fetch.offset, "each byte once, in order");
         if let Some(done) = send(&mut transfer, &mut now, &fetch, &large) {
             break done;
         }
     };
     assert_eq!(done.bytes, large);
     assert!(now < Duration::from_millis(630), "{now:?}");
-    assert_eq!(transfer.wanted(), None);
+    assert_eq!(transfer.next_request(), None);
 }
 
 /// A source that freezes in the middle costs one piece's patience, not what has
@@ -81,16 +81,19 @@
     let mut transfer = Transfer::new("entry");
     offered(&mut transfer, 16);
     let mut now = Duration::ZERO;
-    let frozen = transfer.wanted().expect("offered").source;
+    let frozen = transfer.next_request().expect("offered").source;
     let mut missed = 0;
     let done = loop {
-        let fetch = transfer.wanted().expect("not complete yet");
-        if fetch.from > LARGE / 2 && fetch.source == frozen {
-            now += PIECE_PATIENCE;
-            assert!(transfer.failed(now, fetch.source), "the first one is news");
+        let fetch = transfer.next_request().expect("not complete yet");
+        if fetch.offset > LARGE / 2 && fetch.source == frozen {
+            now += PIECE_TIMEOUT;
+            assert!(
+                transfer.piece_failed(now, fetch.source),
+                "the first one is news"
+            );
             missed += 1;
-            let next = transfer.wanted().expect("others have it");
-            assert_eq!(next.from, fetch.from, "what has arrived is kept");
+            let next = transfer.next_request().expect("others have it");
+            assert_eq!(next.offset, fetch.offset, "what has arrived is kept");
             assert_ne!(next.source, frozen);
             continue;
         }
@@ -108,7 +111,7 @@
     for entry in 0..ENTRIES {
         let mut transfer = Transfer::new(&format!("front-{entry}"));
         offered(&mut transfer, 16);
-        let fetch = transfer.wanted().expect("offered");
+        let fetch = transfer.next_request().expect("offered");
         let found = (0..SOURCES).position(|number| source(number) == fetch.source);
         asked[found.expect("one of them")] += 1;
     }
@@ -134,7 +137,7 @@
             newest = version;
             offered(&mut transfer, newest);
         }
-        let fetch = transfer.wanted().expect("a newer one is there");
+        let fetch = transfer.next_request().expect("a newer one is there");
         let large = text(fetch.version, LARGE);
         if let Some(done) = send(&mut transfer, &mut now, &fetch, &large) {
             assert_eq!(done.bytes, large);
@@ -152,16 +155,16 @@
     let mut transfer = Transfer::new("entry");
     offered(&mut transfer, 1);
     let mut now = Duration::ZERO;
-    let fetch = transfer.wanted().expect("offered");
+    let fetch = transfer.next_request().expect("offered");
     assert_eq!(send(&mut transfer, &mut now, &fetch, &text(1, LARGE)), None);
     offered(&mut transfer, 20);
     for _ in 0..SOURCES {
-        let fetch = transfer.wanted().expect("under way");
-        assert_eq!((fetch.version, fetch.from > 0), (1, true));
-        transfer.lacks(fetch.source, fetch.version);
+        let fetch = transfer.next_request().expect("under way");
+        assert_eq!((fetch.version, fetch.offset > 0), (1, true));
+        transfer.version_missing(fetch.source, fetch.version);
     }
-    let fetch = transfer.wanted().expect("offered");
-    assert_eq!((fetch.version, fetch.from), (20, 0));
+    let fetch = transfer.next_request().expect("offered");
+    assert_eq!((fetch.version, fetch.offset), (20, 0));
 }
 
 /// A link that lets no piece through in time is asked for smaller ones.
@@ -169,10 +172,10 @@
 fn transfer_slow_link_smaller_pieces() {
     let mut transfer = Transfer::new("entry");
     offered(&mut transfer, 1);
-    let first = transfer.wanted().expect("offered");
-    transfer.failed(PIECE_PATIENCE, first.source);
-    let second = transfer.wanted().expect("offered");
-    assert!(second.most < first.most);
+    let first = transfer.next_request().expect("offered");
+    transfer.piece_failed(PIECE_TIMEOUT, first.source);
+    let second = transfer.next_request().expect("offered");
+    assert!(second.max_len < first.max_len);
     assert_ne!(second.source, first.source, "who failed comes last");
 }
 
@@ -219,37 +222,37 @@
         for step in steps {
             now += Duration::from_millis(10);
             match step {
-                Step::Offer(number, version) => transfer.offered(source(number), version),
-                Step::Lose(number) => transfer.lost(source(number)),
-                Step::Send(most) => if let Some(fetch) = transfer.wanted() {
+                Step::Offer(number, version) => transfer.add_offer(source(number), version),
+                Step::Lose(number) => transfer.remove_source(source(number)),
+                Step::Send(most) => if let Some(fetch) = transfer.next_request() {
                     let whole = text(fetch.version, size(fetch.version));
-                    let cut = Fetch { most: most.min(fetch.most), ..fetch };
+                    let cut = PieceRequest { max_len: most.min(fetch.max_len), ..fetch };
                     let mut clock = now;
                     take(send(&mut transfer, &mut clock, &cut, &whole));
                 },
-                Step::Fail => if let Some(fetch) = transfer.wanted() {
-                    transfer.failed(now, fetch.source);
+                Step::Fail => if let Some(fetch) = transfer.next_request() {
+                    transfer.piece_failed(now, fetch.source);
                 },
-                Step::Lack => if let Some(fetch) = transfer.wanted() {
-                    transfer.lacks(fetch.source, fetch.version);
+                Step::Lack => if let Some(fetch) = transfer.next_request() {
+                    transfer.version_missing(fetch.source, fetch.version);
                 },
-                Step::Odd(version, from, total) => if let Some(fetch) = transfer.wanted() {
+                Step::Odd(version, offset, total) => if let Some(fetch) = transfer.next_request() {
                     // Bytes of the right place under the right name are no fault.
-                    let odd = (version, from) != (fetch.version, fetch.from);
-                    let piece = Piece { version, total, from, bytes: &[0; 10] };
+                    let odd = (version, offset) != (fetch.version, fetch.offset);
+                    let piece = Piece { version, total, offset, bytes: &[0; 10] };
                     if odd {
-                        take(transfer.arrived(fetch.source, now, piece));
+                        take(transfer.receive_piece(fetch.source, now, piece));
                     }
                 },
             }
-            prop_assert!(transfer.under_way() <= size(6));
+            prop_assert!(transfer.bytes_received() <= size(6));
         }
         // Everybody answers again, as new sources do after their polls were lost.
         for number in 0..SOURCES {
-            transfer.lost(source(number));
+            transfer.remove_source(source(number));
         }
         offered(&mut transfer, 6);
-        while let Some(fetch) = transfer.wanted() {
+        while let Some(fetch) = transfer.next_request() {
             let whole = text(fetch.version, size(fetch.version));
             take(send(&mut transfer, &mut now, &fetch, &whole));
         }
--- a/crates/policy/tests/true_time.rs
+++ b/crates/policy/tests/true_time.rs
@@ -25,7 +25,7 @@
     for half in times {
         let now = ms(60_000 + half * 500);
         for teller in 0..33 {
-            clock.tell(now, teller, EPOCH + now + ms(ahead(half, teller)));
+            clock.record(now, teller, EPOCH + now + ms(ahead(half, teller)));
         }
     }
 }
@@ -79,7 +79,7 @@
 #[test]
 fn now_by_those_that_tell() {
     let mut clock = TrueClock::default();
-    clock.tell(ms(0), 1, EPOCH + ms(900));
-    clock.tell(ms(4_000), 2, EPOCH + ms(4_000));
+    clock.record(ms(0), 1, EPOCH + ms(900));
+    clock.record(ms(4_000), 2, EPOCH + ms(4_000));
     assert_eq!(off(&clock, ms(4_000)), 0);
 }
--- a/crates/policy/tests/usage.rs
+++ b/crates/policy/tests/usage.rs
@@ -1,7 +1,7 @@
 //! Counts of usage, from entries that are told, stop, start again and change instances.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::usage::{Closing, Counted, Ledger, Tally, Told};
+use dogwoodhill_policy::usage::{CloseRules, Counted, EntryReport, Ledger, Tally};
 use proptest::prelude::*;
 
 const LENGTH: Duration = Duration::from_secs(5);
@@ -10,16 +10,16 @@
     Duration::from_secs(seconds)
 }
 
-fn closing() -> Closing {
-    Closing {
+fn closing() -> CloseRules {
+    CloseRules {
         windows: Windows::new(LENGTH),
-        patience: s(5),
-        alone: s(8),
+        majority_wait: s(5),
+        minority_wait: s(8),
     }
 }
 
-fn told(run: u64, through: TrueTime, windows: Vec<WindowCounts>) -> Told {
-    Told {
+fn told(run: u64, through: TrueTime, windows: Vec<WindowCounts>) -> EntryReport {
+    EntryReport {
         entry: format!("entry-{run}"),
         run,
         windows,
@@ -47,11 +47,11 @@
     let mut ledger = Ledger::default();
     let mut tally = Tally::default();
     ledger.count(3, "cues");
-    let news = ledger.news(1);
-    tally.tell(s(16), told(9, s(16), news.clone()));
+    let news = ledger.unacknowledged(1);
+    tally.record(s(16), told(9, s(16), news.clone()));
     ledger.count(3, "cues");
-    tally.tell(s(16), told(9, s(16), ledger.news(1)));
-    tally.tell(s(17), told(9, s(17), news));
+    tally.record(s(16), told(9, s(16), ledger.unacknowledged(1)));
+    tally.record(s(17), told(9, s(17), news));
     assert_eq!(begun(&tally.sum(3), "cues"), 2);
 }
 
@@ -60,15 +60,15 @@
     let mut ledger = Ledger::default();
     ledger.count(3, "cues");
     ledger.count(3, "notes");
-    let news = ledger.news(1);
+    let news = ledger.unacknowledged(1);
     ledger.acknowledged(1, &news);
-    assert_eq!(ledger.news(1), []);
+    assert_eq!(ledger.unacknowledged(1), []);
     ledger.count(3, "cues");
-    let grown = ledger.news(1);
+    let grown = ledger.unacknowledged(1);
     assert_eq!(grown[0].counts.len(), 1);
     assert_eq!(begun(&grown[0], "cues"), 2, "whole, not the difference");
     assert_eq!(
-        ledger.news(2)[0].counts.len(),
+        ledger.unacknowledged(2)[0].counts.len(),
         2,
         "another run knows nothing"
     );
@@ -78,9 +78,9 @@
 fn count_late_is_not_counted() {
     let mut ledger = Ledger::default();
     assert_eq!(ledger.count(3, "cues"), Counted::Yes);
-    ledger.fixed(4);
+    ledger.finalize_before(4);
     assert_eq!(ledger.count(3, "cues"), Counted::Late);
-    assert_eq!(ledger.news(1), []);
+    assert_eq!(ledger.unacknowledged(1), []);
 }
 
 /// A workspace's names come from keys; a flood of them stays bounded.
@@ -93,29 +93,32 @@
     for window in 4..1_000 {
         ledger.count(window, "cues");
     }
-    assert!(ledger.news(1).len() <= 256);
+    assert!(ledger.unacknowledged(1).len() <= 256);
 }
 
 #[test]
 fn complete_waits_for_entries_that_told_of_the_window() {
     let mut tally = Tally::default();
-    tally.tell(s(12), told(1, s(12), vec![]));
-    tally.tell(s(15), told(2, s(15), vec![]));
-    let complete = |tally: &Tally, now| tally.complete(now, now, 2, &closing(), 1);
+    tally.record(s(12), told(1, s(12), vec![]));
+    tally.record(s(15), told(2, s(15), vec![]));
+    let complete = |tally: &Tally, now| tally.is_complete(now, now, 2, &closing(), 1);
     assert!(!complete(&tally, s(16)), "1 has not told of its end");
-    tally.tell(s(16), told(1, s(16), vec![]));
+    tally.record(s(16), told(1, s(16), vec![]));
     assert!(complete(&tally, s(16)));
-    assert!(!tally.complete(s(16), s(14), 2, &closing(), 1), "not over");
+    assert!(
+        !tally.is_complete(s(16), s(14), 2, &closing(), 1),
+        "not over"
+    );
 }
 
 /// An entry that was killed in the window tells nothing more.
 #[test]
 fn complete_waits_no_longer_than_its_patience() {
     let mut tally = Tally::default();
-    tally.tell(s(12), told(1, s(12), vec![]));
-    tally.tell(s(19), told(2, s(19), vec![]));
-    assert!(!tally.complete(s(19), s(19), 2, &closing(), 2));
-    assert!(tally.complete(s(20), s(20), 2, &closing(), 2));
+    tally.record(s(12), told(1, s(12), vec![]));
+    tally.record(s(19), told(2, s(19), vec![]));
+    assert!(!tally.is_complete(s(19), s(19), 2, &closing(), 2));
+    assert!(tally.is_complete(s(20), s(20), 2, &closing(), 2));
 }
 
 /// The holder has just been lost. Another instance was told once, at the start, and knows what
@@ -124,15 +127,15 @@
 #[test]
 fn complete_not_where_entries_tell_another_instance() {
     let mut tally = Tally::default();
-    let complete = |tally: &Tally, now| tally.complete(now, now, 2, &closing(), 33);
-    tally.tell(s(1), told(1, s(1), vec![]));
+    let complete = |tally: &Tally, now| tally.is_complete(now, now, 2, &closing(), 33);
+    tally.record(s(1), told(1, s(1), vec![]));
     assert!(!complete(&tally, s(20)), "nobody tells it");
     assert!(!complete(&tally, s(60)), "whoever comes may have counted");
     for run in 0..16 {
-        tally.tell(s(20), told(run, s(20), vec![]));
+        tally.record(s(20), told(run, s(20), vec![]));
     }
     assert!(!complete(&tally, s(20)), "most tell another one");
-    tally.tell(s(20), told(16, s(20), vec![]));
+    tally.record(s(20), told(16, s(20), vec![]));
     assert!(complete(&tally, s(20)), "most tell it");
 }
 
@@ -140,61 +143,61 @@
 #[test]
 fn complete_with_a_few_entries_in_the_end() {
     let mut tally = Tally::default();
-    tally.tell(s(22), told(1, s(22), vec![]));
-    assert!(!tally.complete(s(22), s(22), 2, &closing(), 33));
-    tally.tell(s(23), told(1, s(23), vec![]));
-    assert!(tally.complete(s(23), s(23), 2, &closing(), 33));
+    tally.record(s(22), told(1, s(22), vec![]));
+    assert!(!tally.is_complete(s(22), s(22), 2, &closing(), 33));
+    tally.record(s(23), told(1, s(23), vec![]));
+    assert!(tally.is_complete(s(23), s(23), 2, &closing(), 33));
 }
 
 /// An entry that stood still while one window ended and another one began.
 #[test]
 fn complete_waits_for_an_entry_that_is_silent() {
     let mut tally = Tally::default();
-    tally.tell(s(14), told(1, s(14), vec![]));
-    tally.tell(s(21), told(2, s(21), vec![]));
-    assert!(!tally.complete(s(21), s(21), 3, &closing(), 1));
-    tally.tell(s(22), told(1, s(22), vec![]));
-    assert!(tally.complete(s(22), s(22), 3, &closing(), 1));
+    tally.record(s(14), told(1, s(14), vec![]));
+    tally.record(s(21), told(2, s(21), vec![]));
+    assert!(!tally.is_complete(s(21), s(21), 3, &closing(), 1));
+    tally.record(s(22), told(1, s(22), vec![]));
+    assert!(tally.is_complete(s(22), s(22), 3, &closing(), 1));
 }
 
 #[test]
 fn complete_does_not_wait_for_runs_that_ended() {
     let mut tally = Tally::default();
-    tally.tell(s(14), told(1, s(14), vec![]));
-    tally.tell(s(13), told(2, s(13), vec![]));
-    let again = Told {
+    tally.record(s(14), told(1, s(14), vec![]));
+    tally.record(s(13), told(2, s(13), vec![]));
+    let again = EntryReport {
         entry: "entry-1".to_string(),
         ..told(3, s(16), vec![])
     };
-    tally.tell(s(16), again);
+    tally.record(s(16), again);
     assert!(
-        !tally.complete(s(16), s(16), 2, &closing(), 1),
+        !tally.is_complete(s(16), s(16), 2, &closing(), 1),
         "2 is awaited"
     );
-    let ends = Told {
+    let ends = EntryReport {
         last: true,
         ..told(2, s(14), vec![])
     };
-    tally.tell(s(16), ends);
-    assert!(tally.complete(s(16), s(16), 2, &closing(), 1));
+    tally.record(s(16), ends);
+    assert!(tally.is_complete(s(16), s(16), 2, &closing(), 1));
 }
 
 /// An instance that has just been told by the first of many entries.
 #[test]
 fn complete_waits_for_all_that_are_there() {
     let mut tally = Tally::default();
-    tally.tell(s(16), told(1, s(16), vec![]));
-    assert!(!tally.complete(s(16), s(16), 2, &closing(), 33));
+    tally.record(s(16), told(1, s(16), vec![]));
+    assert!(!tally.is_complete(s(16), s(16), 2, &closing(), 33));
 }
 
 #[test]
 fn tell_of_fixed_windows_is_dropped() {
     let mut tally = Tally::default();
-    tally.fixed(s(16), 3);
+    tally.finalize_before(s(16), 3);
     let mut ledger = Ledger::default();
     ledger.count(2, "cues");
     ledger.count(3, "cues");
-    tally.tell(s(16), told(1, s(16), ledger.news(1)));
+    tally.record(s(16), told(1, s(16), ledger.unacknowledged(1)));
     assert_eq!(tally.sum(2).total(), 0);
     assert_eq!(tally.sum(3).total(), 1);
 }
@@ -254,8 +257,8 @@
                 Step::Tell { entry, instance, answered } => {
                     let run = &mut runs[entry];
                     let (id, tally) = &mut instances[instance];
-                    let news = run.ledger.news(*id);
-                    tally.tell(s(16), told(run.id, s(16), news.clone()));
+                    let news = run.ledger.unacknowledged(*id);
+                    tally.record(s(16), told(run.id, s(16), news.clone()));
                     if answered {
                         run.ledger.acknowledged(*id, &news);
                     }
@@ -276,7 +279,7 @@
         }
         let (id, mut fresh) = (next + 5_000, Tally::default());
         for run in &runs {
-            fresh.tell(s(17), told(run.id, s(17), run.ledger.news(id)));
+            fresh.record(s(17), told(run.id, s(17), run.ledger.unacknowledged(id)));
         }
         for (workspace, ended) in ended.iter().enumerate() {
             let name = workspace.to_string();
@@ -288,7 +291,7 @@
         }
         for (id, tally) in &mut instances {
             for run in &runs {
-                tally.tell(s(17), told(run.id, s(17), run.ledger.news(*id)));
+                tally.record(s(17), told(run.id, s(17), run.ledger.unacknowledged(*id)));
             }
             for (workspace, ended) in ended.iter().enumerate() {
                 let name = workspace.to_string();
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,7 +1,7 @@
 //! Messages about limits that endpoints name, between entries and control instances.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::permits::{LimitNews, Observation, Rate};
+use dogwoodhill_policy::permits::{LimitReport, Observation, Rate};
 use serde::{Deserialize, Serialize};
 
 /// What a sender knows of an endpoint's limit.
@@ -20,7 +20,7 @@
 
 impl EndpointLimit {
     /// What is known at `now`.
-    pub fn new(now: Duration, run: Incarnation, news: LimitNews) -> Self {
+    pub fn new(now: Duration, run: Incarnation, news: LimitReport) -> Self {
         Self {
             run,
             rate: news.observed.rate.map(Rate::per_second),
@@ -31,7 +31,7 @@
 
     /// The same by the receiver's clock, where `age` was counted at `sent`. A rate that is
     /// none says nothing.
-    pub fn read(&self, sent: Duration) -> Option<LimitNews> {
+    pub fn read(&self, sent: Duration) -> Option<LimitReport> {
         let rate = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
             None => None,
@@ -39,7 +39,7 @@
         let at = sent.saturating_sub(self.age);
         let observed = Observation { rate, at };
         let wanted = self.wanted;
-        Some(LimitNews { observed, wanted })
+        Some(LimitReport { observed, wanted })
     }
 }
 
--- a/crates/wire/tests/limits.rs
+++ b/crates/wire/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Messages about limits that endpoints name: sizes, and what comes back from bytes.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::permits::{LimitNews, Observation, Rate};
+use dogwoodhill_policy::permits::{LimitReport, Observation, Rate};
 use dogwoodhill_wire::demand::{TellDemand, Totals};
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use serde::Serialize;
@@ -63,7 +63,7 @@
 #[test]
 fn limit_read_by_the_receivers_clock() {
     let now = Duration::from_secs(50);
-    let news = LimitNews {
+    let news = LimitReport {
         observed: Observation {
             rate: Rate::new(1.2),
             at: Duration::from_secs(48),
