--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -17,7 +17,7 @@
 use dogwoodhill_daemon::health;
 use dogwoodhill_daemon::platform::{FileList, HttpList, PlatformList};
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_policy::gate::{Ask, Gate, Refusal};
+use dogwoodhill_policy::gate::{AdmissionRequest, Gate, Refusal};
 use dogwoodhill_policy::limit::Limit;
 use dogwoodhill_wire::prelude::*;
 use error_stack::Report;
@@ -178,7 +178,7 @@
             return Err(Reason::Late);
         }
         self.entitled(attempt)?;
-        let ask = Ask {
+        let ask = AdmissionRequest {
             attempt: attempt.attempt,
             tier: attempt.tier,
             due: attempt.due,
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -3,7 +3,7 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::Moment;
-use dogwoodhill_policy::gate::{Ask, Gate, Refusal};
+use dogwoodhill_policy::gate::{AdmissionRequest, Gate, Refusal};
 use dogwoodhill_wire::frame::Load;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -39,7 +39,7 @@
     /// # Errors
     ///
     /// [`Refusal`] where it does not start.
-    pub fn admit(&self, ask: &Ask) -> Result<Slot, Refusal> {
+    pub fn admit(&self, ask: &AdmissionRequest) -> Result<Slot, Refusal> {
         let now = self.start.elapsed();
         self.lock().admit(now, ask)?;
         Ok(Slot { gate: self.clone() })
@@ -57,7 +57,7 @@
 
     /// Sets whether new work is refused.
     pub fn leave(&self, leaving: bool) {
-        self.lock().leave(leaving);
+        self.lock().set_leaving(leaving);
     }
 
     /// The load as it is now.
@@ -68,7 +68,7 @@
             running: gate.running(),
             limit: gate.limit(),
             ceilings: gate.ceilings(now),
-            gap_us: gate.gap().as_micros() as u32,
+            gap_us: gate.token_gap().as_micros() as u32,
             first_us: gate.first().as_micros() as u32,
             leaving: gate.leaving(),
             fence: self.known.fence.load(Ordering::Relaxed),
@@ -78,7 +78,7 @@
 
     /// Notes the time to a first token.
     pub fn saw_first(&self, first: Moment) {
-        self.lock().saw_first(first);
+        self.lock().record_first_token(first);
     }
 
     /// Notes how an answer ended at the endpoint's side.
@@ -86,21 +86,21 @@
         let now = self.start.elapsed();
         let mut gate = self.lock();
         match whole {
-            true => gate.saw_whole(),
-            false => gate.saw_broken(now),
+            true => gate.record_complete(),
+            false => gate.record_broken(now),
         }
     }
 
     /// Notes the endpoint's own report.
     pub fn saw_report(&self, running: u32, waiting: u32) {
         let now = self.start.elapsed();
-        self.lock().saw_report(now, running, waiting);
+        self.lock().record_report(now, running, waiting);
     }
 
     /// Notes a token gap, and the gap the class allows.
     pub fn saw_gap(&self, gap: Moment, allowed: Option<Moment>) {
         let now = self.start.elapsed();
-        self.lock().saw_gap(now, gap, allowed);
+        self.lock().record_token_gap(now, gap, allowed);
     }
 
     fn lock(&self) -> MutexGuard<'_, Gate> {
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -20,10 +20,10 @@
 use demand::Demand;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
+use dogwoodhill_policy::event_gap;
+use dogwoodhill_policy::health::Health;
 use dogwoodhill_policy::incarnations::{Age, Incarnations};
-use dogwoodhill_policy::pace;
 use dogwoodhill_policy::packing;
-use dogwoodhill_policy::trust::Trust;
 use endpoint::Look;
 use limits::ControlContact;
 use rand::RngExt;
@@ -77,7 +77,7 @@
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// How far it is trusted.
-    pub trust: Trust,
+    pub trust: Health,
     /// Endpoints of the service that are not leaving.
     pub known: usize,
     /// Those of them that are kept free of long prompts.
@@ -221,7 +221,7 @@
         };
         let own = self.looks(want, group, own);
         // The other lane is looked at only where a sound endpoint is missing.
-        let sound = own.iter().any(|look| look.trust == Trust::Sound);
+        let sound = own.iter().any(|look| look.trust == Health::Sound);
         let others = if sound {
             Vec::new()
         } else {
@@ -233,20 +233,20 @@
         // A short prompt disturbs nobody, wherever it goes.
         let turns = match want.lane {
             Lane::Other => [
-                (Trust::Sound, &own),
-                (Trust::Failing, &own),
-                (Trust::Silent, &own),
-                (Trust::Sound, &others),
-                (Trust::Failing, &others),
-                (Trust::Silent, &others),
+                (Health::Sound, &own),
+                (Health::Failing, &own),
+                (Health::Silent, &own),
+                (Health::Sound, &others),
+                (Health::Failing, &others),
+                (Health::Silent, &others),
             ],
             Lane::Fragile => [
-                (Trust::Sound, &own),
-                (Trust::Sound, &others),
-                (Trust::Failing, &own),
-                (Trust::Failing, &others),
-                (Trust::Silent, &own),
-                (Trust::Silent, &others),
+                (Health::Sound, &own),
+                (Health::Sound, &others),
+                (Health::Failing, &own),
+                (Health::Failing, &others),
+                (Health::Silent, &own),
+                (Health::Silent, &others),
             ],
         };
         turns.into_iter().find_map(|(trust, looks)| {
@@ -272,9 +272,9 @@
         let key = request as u64;
         let order = |endpoint: &&Arc<Endpoint>| {
             let doubt = match endpoint.trust() {
-                Trust::Sound => 0,
-                Trust::Failing => 1,
-                Trust::Silent => 2,
+                Health::Sound => 0,
+                Health::Failing => 1,
+                Health::Silent => 2,
             };
             (doubt, Reverse(affinity::mix(key ^ endpoint.hash)))
         };
@@ -346,8 +346,8 @@
         let backlog = Arc::clone(&Demand::of(&mut self.demand(), want.service).backlog);
         let (wait, hopeful) = {
             let backlog = backlog.lock().unwrap_or_else(PoisonError::into_inner);
-            let hopeful = backlog.hopeful(now, rank, least, objective);
-            (backlog.wait(now, rank, least), hopeful)
+            let hopeful = backlog.can_meet_objective(now, rank, least, objective);
+            (backlog.predicted_wait(now, rank, least), hopeful)
         };
         Standing {
             backlog: Some(backlog),
@@ -377,11 +377,11 @@
 /// one is taken: entries that all took the first with room would all take the
 /// same one.
 fn packed<'a>(mut looks: Vec<&Look<'a>>) -> Option<&'a Arc<Endpoint>> {
-    let slow_from = pace::slow_from(looks.iter().filter_map(|look| look.pace));
+    let slow_from = event_gap::slow_threshold(looks.iter().filter_map(|look| look.pace));
     looks.sort_by_key(|look| look.pace.is_some_and(|pace| pace > slow_from));
     let quick =
         looks.partition_point(|look| look.pace.is_none_or(|pace| pace <= slow_from));
-    let most = packing::used(looks.iter().map(|look| look.packing), quick);
+    let most = packing::endpoints_used(looks.iter().map(|look| look.packing), quick);
     let mut random = rand::rng();
     let mut draw = || (most > 0).then(|| looks[random.random_range(0..most)]);
     let (a, b) = (draw()?, draw()?);
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -57,14 +57,14 @@
 
     /// It turned a request away, and said this of when to come back.
     pub fn turned_away(&self, retry: Retry) {
-        if retry == Retry::Unsaid {
+        if retry == Retry::Unspecified {
             return;
         }
         let now = uptime();
         let left = {
             let mut backoff = self.backoff();
-            backoff.ask(now, retry);
-            backoff.left(now).unwrap_or_default()
+            backoff.record(now, retry);
+            backoff.remaining(now).unwrap_or_default()
         };
         self.admission.backed_off.store(true, Ordering::Release);
         Event::new("endpoint-backoff")
@@ -80,7 +80,7 @@
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
         }
-        self.backoff().left(uptime())
+        self.backoff().remaining(uptime())
     }
 
     fn backoff(&self) -> MutexGuard<'_, Backoff> {
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -4,9 +4,9 @@
 use super::{Directory, Lane, Want};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backlog::Backlog;
-use dogwoodhill_policy::disturbance::Disturbance;
-use dogwoodhill_policy::lanes::Shares;
+use dogwoodhill_policy::interference::Interference;
 use dogwoodhill_policy::rate::ReadRate;
+use dogwoodhill_policy::reservation::Reservation;
 use dogwoodhill_wire::demand::{ServiceDemand, Totals};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -16,8 +16,8 @@
 /// What came for one service and what is sent and not read.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    pub(super) shares: Shares,
-    pub(super) disturbance: Disturbance,
+    pub(super) shares: Reservation,
+    pub(super) disturbance: Interference,
     pub(super) backlog: Arc<Mutex<Backlog>>,
     pub(super) rate: Arc<Mutex<ReadRate>>,
 }
@@ -49,7 +49,7 @@
         let mut all = self.demand();
         let demand = Demand::of(&mut all, want.service);
         let fragile = want.lane == Lane::Fragile;
-        demand.shares.note(now, fragile, work);
+        demand.shares.record(now, fragile, work);
     }
 
     /// Whether streams of `service` that allow a pause of `shortest`, and no other
@@ -62,16 +62,16 @@
             return false;
         }
         if disturbance.decide(now, shortest) {
-            let known = disturbance.known(now).unwrap_or_default();
+            let known = disturbance.estimate(now).unwrap_or_default();
             Event::new("streams-apart")
                 .field("service", service)
-                .field("apart", disturbance.apart())
+                .field("apart", disturbance.separate())
                 .field("pause_ms", shortest.as_millis())
                 .field("disturbed_ms", known.as_millis())
-                .field("streams", disturbance.told(now).1)
+                .field("streams", disturbance.local_estimate(now).1)
                 .info();
         }
-        disturbance.apart()
+        disturbance.separate()
     }
 
     /// A stream of a request ended whose longest pause was `longest`.
@@ -80,7 +80,7 @@
             let now = self.start.elapsed();
             let mut all = self.demand();
             let demand = Demand::of(&mut all, want.service);
-            demand.disturbance.ended(now, longest);
+            demand.disturbance.record_stream(now, longest);
         }
     }
 
@@ -89,8 +89,8 @@
         let now = self.start.elapsed();
         let all = self.demand();
         let services = all.iter().map(|(service, demand)| {
-            let (fragile, other) = demand.shares.told(now);
-            let (pause, streams) = demand.disturbance.told(now);
+            let (fragile, other) = demand.shares.local_work(now);
+            let (pause, streams) = demand.disturbance.local_estimate(now);
             let streams = streams as f64;
             ServiceDemand {
                 service: service.clone(),
@@ -109,10 +109,12 @@
         let mut all = self.demand();
         for total in &totals.services {
             let demand = Demand::of(&mut all, &total.service);
-            demand.shares.agree(now, total.fragile, total.other);
+            demand.shares.set_total(now, total.fragile, total.other);
             let pause = Duration::try_from_secs_f64(total.pauses / total.streams);
             let pause = pause.unwrap_or_default();
-            demand.disturbance.agree(now, pause, total.streams as usize);
+            demand
+                .disturbance
+                .set_shared_estimate(now, pause, total.streams as usize);
         }
     }
 
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -11,12 +11,12 @@
 use crate::pool::{self, Pool, Unconnected};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
-use dogwoodhill_policy::pace::Pace;
-use dogwoodhill_policy::packing::Packing;
+use dogwoodhill_policy::event_gap::EventGap;
+use dogwoodhill_policy::health::{Health, HealthRecord};
+use dogwoodhill_policy::packing::Occupancy;
+use dogwoodhill_policy::queue_wait::QueueWait;
 use dogwoodhill_policy::rate::ReadRate;
 use dogwoodhill_policy::sightings::{Sight, Verdict};
-use dogwoodhill_policy::trust::{Record, Trust};
-use dogwoodhill_policy::wait::Waits;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -76,11 +76,11 @@
     /// The endpoint.
     pub(super) endpoint: &'a Arc<Endpoint>,
     /// How far it is trusted.
-    pub(super) trust: Trust,
+    pub(super) trust: Health,
     /// For placing prompts.
     pub(super) candidate: Candidate,
     /// For packing streams with short pauses.
-    pub(super) packing: Packing,
+    pub(super) packing: Occupancy,
     /// Usual time between two events there.
     pub(super) pace: Option<Duration>,
 }
@@ -88,13 +88,13 @@
 /// What the entry believes of one endpoint.
 #[derive(Debug)]
 struct View {
-    record: Record,
+    record: HealthRecord,
     load: Load,
     loaded: Duration,
     active: u32,
-    waits: Waits,
+    waits: QueueWait,
     slowness: f64,
-    pace: Pace,
+    pace: EventGap,
     shared: Vec<(u64, Duration)>,
 }
 
@@ -109,7 +109,7 @@
 
     /// Time until a prompt sent now would begin to be read.
     fn wait(&self, now: Duration, rate: ReadRate, background: bool) -> Duration {
-        let own = self.reading(rate, self.waits.ahead(background));
+        let own = self.reading(rate, self.waits.tokens_ahead(background));
         own.max(self.waits.predicted(now))
     }
 
@@ -140,13 +140,13 @@
             start,
             rate,
             view: Mutex::new(View {
-                record: Record::default(),
+                record: HealthRecord::default(),
                 load: Load::default(),
                 loaded: Duration::ZERO,
                 active: 0,
-                waits: Waits::default(),
+                waits: QueueWait::default(),
                 slowness: 1.0,
-                pace: Pace::default(),
+                pace: EventGap::default(),
                 shared: Vec::new(),
             }),
             looked: tokio::sync::Mutex::default(),
@@ -211,7 +211,7 @@
         let fresh = prompt.tokens.saturating_sub(prompt.shared_tokens);
         let known = prompt.shared.is_some_and(|key| view.remember(key, now));
         let tokens = if known { fresh } else { prompt.tokens };
-        let ahead = view.waits.ahead(standing.background);
+        let ahead = view.waits.tokens_ahead(standing.background);
         let expected = view.reading(rate, ahead + f64::from(tokens)) + STEP;
         view.waits.sent(now, f64::from(tokens), standing.background);
         drop(view);
@@ -232,13 +232,13 @@
     /// Bytes came.
     pub fn heard(&self) {
         let now = self.start.elapsed();
-        self.view().record.heard(now);
+        self.view().record.received(now);
     }
 
     /// For how long nothing came from it; `None` where nothing ever did.
     pub fn silence(&self) -> Option<Duration> {
         let now = self.start.elapsed();
-        self.view().record.unheard(now)
+        self.view().record.idle_time(now)
     }
 
     /// Whether its process has ended since `broke`, when a connection to it broke: new ones
@@ -290,7 +290,7 @@
     /// An answer came, or was lost.
     pub fn judged(&self, failed: bool) {
         let now = self.start.elapsed();
-        self.view().record.judged(now, failed);
+        self.view().record.record_outcome(now, failed);
     }
 
     /// A request got no answer in time; `failed`: for too long.
@@ -302,14 +302,14 @@
     /// It can't be reached, or said nothing for too long.
     pub fn unreached(&self) {
         let now = self.start.elapsed();
-        self.view().record.unreached(now);
+        self.view().record.mark_unreachable(now);
         self.pool.clear();
     }
 
     /// A new connection got no answer.
     pub fn unanswered(&self) {
         let now = self.start.elapsed();
-        self.view().record.unanswered(now);
+        self.view().record.connect_timed_out(now);
         self.pool.clear();
     }
 
@@ -318,20 +318,20 @@
     pub fn deserted(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
-        self.view().record.deserted(now, sent)
+        self.view().record.should_abandon(now, sent)
     }
 
     /// It has started again since, as another endpoint.
     pub(super) fn mark_over(&self) {
         let now = self.start.elapsed();
-        self.view().record.over(now);
+        self.view().record.mark_superseded(now);
     }
 
     /// An event came `pause` after the one before, in a stream that is disturbed
     /// by pauses.
     pub fn paced(&self, pause: Duration) {
         let now = self.start.elapsed();
-        self.view().pace.event(now, pause);
+        self.view().pace.record(now, pause);
     }
 
     /// It told its load.
@@ -345,7 +345,7 @@
     /// What this entry met there since it told the others last, if anything.
     pub(crate) fn sight(&self) -> Option<Sight> {
         let now = self.start.elapsed();
-        self.view().record.sight(now)
+        self.view().record.take_sighting(now)
     }
 
     /// All entries together see this of it, or nothing of note.
@@ -354,13 +354,13 @@
             self.replaced();
         }
         let now = self.start.elapsed();
-        self.view().record.told(now, verdict);
+        self.view().record.set_verdict(now, verdict);
     }
 
     /// How far it is trusted now.
-    pub fn trust(&self) -> Trust {
+    pub fn trust(&self) -> Health {
         let now = self.start.elapsed();
-        self.view().record.trust(now)
+        self.view().record.health(now)
     }
 
     /// Looks at it on behalf of a request.
@@ -374,13 +374,13 @@
         let view = self.view();
         Look {
             endpoint: self,
-            trust: view.record.trust(now),
+            trust: view.record.health(now),
             candidate: self.candidate(&view, want, domain, now, rate),
-            packing: Packing {
+            packing: Occupancy {
                 busy: view.busy(now),
                 slots: f64::from(self.slots),
             },
-            pace: view.pace.known(now),
+            pace: view.pace.mean(now),
         }
     }
 
@@ -393,7 +393,7 @@
         rate: ReadRate,
     ) -> Candidate {
         let prompt = want.prompt;
-        let seen = prompt.shared.and_then(|key| {
+        let last_sent = prompt.shared.and_then(|key| {
             let at = view.shared.binary_search_by_key(&key, |item| item.0).ok()?;
             Some(now.saturating_sub(view.shared[at].1))
         });
@@ -406,13 +406,13 @@
         Candidate {
             hash: self.hash,
             wait,
-            reading: view.reading(rate, f64::from(prompt.shared_tokens)),
+            prefill: view.reading(rate, f64::from(prompt.shared_tokens)),
             distance: if self.domain == domain {
                 Duration::ZERO
             } else {
                 DISTANCE
             },
-            seen,
+            last_sent,
         }
     }
 
@@ -514,8 +514,8 @@
         let took = now.saturating_sub(self.since);
         let mut view = self.endpoint.view();
         let background = self.standing.background;
-        view.waits.left(self.since, self.tokens, background);
-        view.record.begun(took);
+        view.waits.dequeued(self.since, self.tokens, background);
+        view.record.record_first_byte(took);
         if background {
             return;
         }
@@ -528,7 +528,7 @@
         };
         let reading = view.reading(rate, self.tokens) + STEP;
         let waited = took.saturating_sub(reading);
-        view.waits.learn(now, waited);
+        view.waits.record(now, waited);
         self.standing.waited(now, waited);
         let ratio = took.as_secs_f64() / self.expected.as_secs_f64();
         let slowness = view.slowness * (1.0 + (ratio.min(10.0) - 1.0) * NEWEST);
@@ -545,7 +545,7 @@
         view.active = view.active.saturating_sub(1);
         if std::mem::take(&mut self.unread) {
             let background = self.standing.background;
-            view.waits.left(self.since, self.tokens, background);
+            view.waits.dequeued(self.since, self.tokens, background);
             self.standing.left(self.since, self.tokens);
         }
     }
--- a/crates/direct/src/directory/standing.rs
+++ b/crates/direct/src/directory/standing.rs
@@ -22,15 +22,15 @@
     }
 
     pub(super) fn left(&self, since: Duration, tokens: f64) {
-        self.with(|backlog| backlog.left(since, self.rank, tokens, self.background));
+        self.with(|backlog| backlog.dequeued(since, self.rank, tokens, self.background));
     }
 
     pub(super) fn read(&self, now: Duration, tokens: f64) {
-        self.with(|backlog| backlog.read(now, tokens));
+        self.with(|backlog| backlog.prefilled(now, tokens));
     }
 
     pub(super) fn waited(&self, now: Duration, wait: Duration) {
-        self.with(|backlog| backlog.learn(now, wait));
+        self.with(|backlog| backlog.record_wait(now, wait));
     }
 
     fn with(&self, act: impl FnOnce(&mut Backlog)) {
--- a/crates/direct/tests/all/dialect.rs
+++ b/crates/direct/tests/all/dialect.rs
@@ -52,7 +52,9 @@
             keeps: text(headers, "connection").as_deref() != Some("close"),
             idle: None,
             leaving: headers.contains_key("x-leaving"),
-            retry: Retry::seconds(text(headers, "retry-after").as_deref().into_iter()),
+            retry: Retry::parse_seconds(
+                text(headers, "retry-after").as_deref().into_iter(),
+            ),
             limit: Limit::named(text(headers, "x-limit").as_deref().into_iter()),
         }
     }
--- a/crates/direct/tests/all/lists.rs
+++ b/crates/direct/tests/all/lists.rs
@@ -5,7 +5,7 @@
 use dogwoodhill_direct::dialect::{Listed, Prompt};
 use dogwoodhill_direct::directory::{Directory, Lane, Standing, Want};
 use dogwoodhill_direct::lists::Lists;
-use dogwoodhill_policy::trust::Trust;
+use dogwoodhill_policy::health::Health;
 use dogwoodhill_wire::demand::{EndpointVerdict, Totals, VerdictWord};
 use dogwoodhill_wire::list::{Content, ListChanges, ListRead, Mark, PackedList};
 use proptest::prelude::*;
@@ -290,11 +290,11 @@
         "the first one was replaced"
     );
     let all = directory.all();
-    let trust: Vec<Trust> = all.iter().map(|endpoint| endpoint.trust()).collect();
-    assert_eq!(trust[1..], [Trust::Silent, Trust::Sound]);
+    let trust: Vec<Health> = all.iter().map(|endpoint| endpoint.trust()).collect();
+    assert_eq!(trust[1..], [Health::Silent, Health::Sound]);
     let mut totals = news(held, Duration::ZERO, None);
     lists.heard(&directory, uptime(), &mut totals);
-    assert_eq!(all[1].trust(), Trust::Sound, "nothing is told any more");
+    assert_eq!(all[1].trust(), Health::Sound, "nothing is told any more");
     assert_eq!(usable(&directory), ["i-2", "i-3"], "replaced for good");
 }
 
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwap;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_policy::dispatch::Listed;
+use dogwoodhill_policy::dispatch::ListedEndpoint;
 use dogwoodhill_policy::subset;
 use dogwoodhill_wire::ask::ControlSet;
 use dogwoodhill_wire::client::Caller;
@@ -221,7 +221,7 @@
     }
 
     /// The endpoints this entry uses.
-    fn used(&self, document: &ServiceDocument) -> Vec<Listed> {
+    fn used(&self, document: &ServiceDocument) -> Vec<ListedEndpoint> {
         let entries = self.entries.load(Ordering::Relaxed) as usize;
         let settings = &self.settings;
         let open = listed(document);
@@ -249,9 +249,9 @@
     }
 }
 
-fn listed(document: &ServiceDocument) -> Vec<Listed> {
+fn listed(document: &ServiceDocument) -> Vec<ListedEndpoint> {
     let open = document.endpoints.iter().filter(|e| !e.leaving);
-    open.map(|endpoint| Listed {
+    open.map(|endpoint| ListedEndpoint {
         name: endpoint.name.clone(),
         domain: endpoint.domain.clone(),
     })
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -7,8 +7,8 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::Moment;
-use dogwoodhill_policy::dispatch::{Action, Dispatcher, Listed, Started};
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::dispatch::{Action, Dispatcher, ListedEndpoint, Started};
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_policy::queue::{Bounds, Item, Waiting};
 use dogwoodhill_wire::frame::Load;
 use rand::SeedableRng;
@@ -79,8 +79,8 @@
     }
 
     /// Follows the document's endpoints.
-    pub fn list(&self, listed: &[Listed]) {
-        self.lock().machine.list(listed);
+    pub fn list(&self, listed: &[ListedEndpoint]) {
+        self.lock().machine.set_endpoints(listed);
         self.tick();
     }
 
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::text::Text;
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_policy::queue::Bounds;
 use std::net::SocketAddr;
 
@@ -101,7 +101,7 @@
                 Some(DEFAULT_WAITING_BYTES),
             ) as usize,
         },
-        placement: Policy::ALL[s.word("placement", &Policy::WORDS, Some(0))],
+        placement: Policy::ALL[s.word("placement", &Policy::NAMES, Some(0))],
         entries: s.count("entries", 1..=10_000, Some(1)) as u32,
         linger: s.duration("linger", Duration::ZERO..=60 * SECOND, Some(DEFAULT_LINGER)),
     };
--- a/crates/load/src/bench.rs
+++ b/crates/load/src/bench.rs
@@ -9,7 +9,7 @@
 use dogwoodhill_daemon::drain::Drain;
 use dogwoodhill_entry::Entry;
 use dogwoodhill_entry::table::Service;
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_standin::engine::{Engine, Made};
 use dogwoodhill_standin::faults::Faults;
 use std::net::SocketAddr;
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -5,7 +5,7 @@
 use crate::outcome::{Outcome, Result};
 use crate::scenario::{Kind, Scenario, Suite};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_standin::faults::Fault;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{Load, Suite};
 use bytes::Bytes;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_standin::engine::Speed;
 use hdrhistogram::Histogram;
 use http::{Request, header};
--- a/crates/load/src/program.rs
+++ b/crates/load/src/program.rs
@@ -7,7 +7,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::drain::Drain;
 use dogwoodhill_daemon::run::describe;
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_standin::engine::{Engine, Speed};
 use dogwoodhill_standin::plain::Plain;
 use std::net::SocketAddr;
@@ -109,9 +109,9 @@
         return Ok(Policy::ALL.to_vec());
     }
     let find = |name: &String| {
-        let at = Policy::WORDS.iter().position(|word| word == name);
+        let at = Policy::NAMES.iter().position(|word| word == name);
         at.map(|at| Policy::ALL[at])
-            .ok_or_else(|| format!("there is no policy {name}; use {:?}", Policy::WORDS))
+            .ok_or_else(|| format!("there is no policy {name}; use {:?}", Policy::NAMES))
     };
     names.iter().map(find).collect()
 }
--- a/crates/load/src/slopes/decision.rs
+++ b/crates/load/src/slopes/decision.rs
@@ -3,8 +3,8 @@
 use super::Table;
 use dogwoodhill_core::load::Load;
 use dogwoodhill_policy::Moment;
-use dogwoodhill_policy::dispatch::{Action, Dispatcher, Listed};
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::dispatch::{Action, Dispatcher, ListedEndpoint};
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_policy::queue::{Bounds, Item};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
@@ -60,7 +60,7 @@
         if running.len() >= full {
             let at = random.random_range(0..running.len());
             let view = running.swap_remove(at);
-            let report = report(machine.views()[view].own() - 1);
+            let report = report(machine.views()[view].outstanding() - 1);
             let started = Instant::now();
             machine.ended(now, view, Some(&report), true, &mut random);
             let _ = end.record(started.elapsed().as_nanos() as u64);
@@ -76,13 +76,13 @@
     };
     let policy = Policy::Predicted.build("domain-0".to_string());
     let mut machine = Dispatcher::new(bounds, policy);
-    let listed: Vec<Listed> = (0..size)
-        .map(|n| Listed {
+    let listed: Vec<ListedEndpoint> = (0..size)
+        .map(|n| ListedEndpoint {
             name: format!("endpoint-{n}"),
             domain: format!("domain-{}", n % 4),
         })
         .collect();
-    machine.list(&listed);
+    machine.set_endpoints(&listed);
     for view in 0..size as usize {
         machine.report(Moment::ZERO, view, &report(0));
     }
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -11,7 +11,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_entry::table::{Service, Table as Documents};
 use dogwoodhill_policy::Moment;
-use dogwoodhill_policy::place::Policy;
+use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_policy::queue::{Bounds, Item, Queue};
 use http::{Request, header};
 use http_body_util::{BodyExt, Full};
--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -19,12 +19,12 @@
     /// Predicted time until a request sent now would begin to be read.
     pub wait: Duration,
     /// Time that reading the shared beginning takes there.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// Time that reaching it takes beyond reaching the nearest one.
     pub distance: Duration,
     /// How long ago this entry last sent the same beginning there; `None`
     /// where it never did.
-    pub seen: Option<Duration>,
+    pub last_sent: Option<Duration>,
 }
 
 /// How long a beginning that was sent somewhere is believed to be kept there.
@@ -58,11 +58,11 @@
 /// Predicted time until the beginning is read, in seconds.
 fn cost(rank: usize, candidate: &Candidate) -> f64 {
     let by_rank = RANK_COST.get(rank).copied().unwrap_or(1.0);
-    let kept = candidate.seen.is_some_and(|age| age < KEPT);
+    let kept = candidate.last_sent.is_some_and(|age| age < KEPT);
     let share = if kept { 0.0 } else { by_rank };
     candidate.wait.as_secs_f64()
         + candidate.distance.as_secs_f64()
-        + candidate.reading.as_secs_f64() * share * HARM
+        + candidate.prefill.as_secs_f64() * share * HARM
 }
 
 /// Spreads the bits of a hash (the finalizer of SplitMix64).
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -20,7 +20,7 @@
 //! queues, so all see about the same wait, without a message between them, and
 //! it follows a burst at once, while a measured latency would lag by itself.
 
-use crate::wait::Waits;
+use crate::queue_wait::QueueWait;
 use std::time::Duration;
 
 /// Ranks of urgency that are told apart; less urgent ones share the last.
@@ -46,7 +46,7 @@
     read: f64,
     at: Duration,
     /// How long those in front really wait.
-    waits: Waits,
+    waits: QueueWait,
 }
 
 impl Backlog {
@@ -57,27 +57,33 @@
     }
 
     /// A request that was sent at `since` no longer waits to be read.
-    pub fn left(&mut self, since: Duration, rank: usize, tokens: f64, background: bool) {
-        self.waits.left(since, tokens, background);
+    pub fn dequeued(
+        &mut self,
+        since: Duration,
+        rank: usize,
+        tokens: f64,
+        background: bool,
+    ) {
+        self.waits.dequeued(since, tokens, background);
         let unread = &mut self.unread[place(rank)][usize::from(background)];
         *unread = (*unread - tokens).max(0.0);
     }
 
     /// A prompt has been read, in front or in the background.
-    pub fn read(&mut self, now: Duration, tokens: f64) {
+    pub fn prefilled(&mut self, now: Duration, tokens: f64) {
         self.read = self.faded(now) + tokens;
         self.at = now.max(self.at);
     }
 
     /// A prompt in front was read that waited for `wait`.
-    pub fn learn(&mut self, now: Duration, wait: Duration) {
-        self.waits.learn(now, wait);
+    pub fn record_wait(&mut self, now: Duration, wait: Duration) {
+        self.waits.record(now, wait);
     }
 
     /// Time until a request of `rank` would be read that is sent now. `least`
     /// is the rate, in tokens a second, that the entry may count on even if it
     /// sent nothing lately.
-    pub fn wait(&self, now: Duration, rank: usize, least: f64) -> Duration {
+    pub fn predicted_wait(&self, now: Duration, rank: usize, least: f64) -> Duration {
         let place = place(rank);
         let urgent: f64 = self.unread[..place].iter().flatten().sum();
         let ahead = urgent + self.unread[place][0];
@@ -89,14 +95,14 @@
     }
 
     /// Whether a request of `rank` that is sent now may be in time.
-    pub fn hopeful(
+    pub fn can_meet_objective(
         &self,
         now: Duration,
         rank: usize,
         least: f64,
         objective: Duration,
     ) -> bool {
-        let soon = self.wait(now, rank, least) <= objective.mul_f64(HOPE);
+        let soon = self.predicted_wait(now, rank, least) <= objective.mul_f64(HOPE);
         soon || self.waits.predicted(now) <= objective.mul_f64(PROOF)
     }
 
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -22,7 +22,7 @@
     /// Nothing.
     #[default]
     #[display("unsaid")]
-    Unsaid,
+    Unspecified,
     /// Not before this time has passed.
     #[display("{}ms", _0.as_millis())]
     After(Duration),
@@ -33,8 +33,8 @@
 
 impl Retry {
     /// What these texts say, each a number of seconds: the longest of them.
-    pub fn seconds<'a>(texts: impl Iterator<Item = &'a str>) -> Self {
-        texts.fold(Self::Unsaid, |retry, text| {
+    pub fn parse_seconds<'a>(texts: impl Iterator<Item = &'a str>) -> Self {
+        texts.fold(Self::Unspecified, |retry, text| {
             let seconds: Option<f64> = text.trim().parse().ok();
             let seconds = seconds.filter(|seconds| *seconds >= 0.0);
             let after = seconds
@@ -42,7 +42,7 @@
             match (retry, after) {
                 (Self::After(known), Some(after)) => Self::After(known.max(after)),
                 (_, Some(after)) => Self::After(after),
-                (Self::Unsaid, None) => Self::Unreadable,
+                (Self::Unspecified, None) => Self::Unreadable,
                 (_, None) => retry,
             }
         })
@@ -57,14 +57,14 @@
 
 impl Backoff {
     /// It turned a request away at `now`.
-    pub fn ask(&mut self, now: Duration, retry: Retry) {
+    pub fn record(&mut self, now: Duration, retry: Retry) {
         if let Retry::After(after) = retry {
             self.until = self.until.max(now + after.min(MOST));
         }
     }
 
     /// For how much longer it is left alone; `None` where it is not.
-    pub fn left(&self, now: Duration) -> Option<Duration> {
+    pub fn remaining(&self, now: Duration) -> Option<Duration> {
         self.until.checked_sub(now).filter(|left| !left.is_zero())
     }
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -7,9 +7,9 @@
 //! put no work on an endpoint.
 
 /// Part of a retry that one first attempt earns.
-pub const EARN: f64 = 0.1;
+pub const EARN_RATE: f64 = 0.1;
 /// Most retries that can be saved up.
-pub const CAP: f64 = 20.0;
+pub const MAX_UNITS: f64 = 20.0;
 
 /// Token bucket of retries.
 #[derive(Clone, Debug)]
@@ -22,9 +22,9 @@
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            units: CAP,
-            earn: EARN,
-            cap: CAP,
+            units: MAX_UNITS,
+            earn: EARN_RATE,
+            cap: MAX_UNITS,
         }
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -7,7 +7,7 @@
 //! back through [`Dispatcher::refused`] or ends through [`Dispatcher::ended`].
 
 use crate::Moment;
-use crate::place::{Placement, Wish};
+use crate::placement::{Placement, PlacementRequest};
 use crate::queue::{Bounds, Item, Queue, Turn, Waiting};
 use crate::view::View;
 use dogwoodhill_core::ids::{ClassId, DomainId, EndpointId, Fence, Tier};
@@ -16,7 +16,7 @@
 
 /// Shortest time in which any endpoint answers: a request with less time
 /// left than this is told so instead of being sent.
-pub const LEAST_TIME: Moment = Moment::from_millis(2);
+pub const MIN_TIME_LEFT: Moment = Moment::from_millis(2);
 /// Shortest advice to a caller when to come back.
 const MIN_RETRY: Moment = Moment::from_secs(1);
 /// Longest such advice.
@@ -57,7 +57,7 @@
 
 /// Endpoint as the document lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Name.
     pub name: EndpointId,
     /// Failure domain.
@@ -102,13 +102,13 @@
     }
 
     /// Follows the document: endpoints not in `listed` get no new work.
-    pub fn list(&mut self, listed: &[Listed]) {
-        let mut wanted: Vec<&Listed> = listed.iter().collect();
+    pub fn set_endpoints(&mut self, listed: &[ListedEndpoint]) {
+        let mut wanted: Vec<&ListedEndpoint> = listed.iter().collect();
         wanted.sort_by(|a, b| a.name.cmp(&b.name));
         let mut known = vec![false; wanted.len()];
         for view in &mut self.views {
             let found = wanted.binary_search_by(|one| one.name.cmp(&view.name));
-            view.list(found.is_ok());
+            view.set_listed(found.is_ok());
             if let Ok(at) = found {
                 view.domain.clone_from(&wanted[at].domain);
                 known[at] = true;
@@ -122,9 +122,9 @@
 
     /// Reuses the place of an endpoint that left and has no work, so that
     /// positions stay valid and the list does not grow with replacements.
-    fn add(&mut self, endpoint: &Listed) {
+    fn add(&mut self, endpoint: &ListedEndpoint) {
         let view = View::new(endpoint.name.clone(), endpoint.domain.clone());
-        let unused = |view: &View| !view.listed() && view.own() == 0;
+        let unused = |view: &View| !view.listed() && view.outstanding() == 0;
         match self.views.iter().position(unused) {
             Some(i) => self.views[i] = view,
             None => self.views.push(view),
@@ -166,7 +166,7 @@
         self.running -= 1;
         self.note(now, view, report);
         let mut actions = Vec::new();
-        let wish = Wish {
+        let wish = PlacementRequest {
             now,
             tier: waiting.item.tier,
             due: false,
@@ -207,7 +207,7 @@
 
     /// A report arrived while requests run.
     pub fn report(&mut self, now: Moment, view: usize, report: &Load) {
-        let own = self.views[view].own();
+        let own = self.views[view].outstanding();
         self.views[view].report(now, report, own);
     }
 
@@ -220,7 +220,7 @@
         random: &mut dyn Rng,
     ) -> Vec<Action<P>> {
         self.queue.extract(|waiting| gone(&waiting.payload));
-        let late = |waiting: &Waiting<P>| waiting.item.deadline <= now + LEAST_TIME;
+        let late = |waiting: &Waiting<P>| waiting.item.deadline <= now + MIN_TIME_LEFT;
         let expired = self.queue.extract(late);
         let mut actions: Vec<_> = expired.into_iter().map(Action::Expired).collect();
         self.pump(now, None, random, &mut actions);
@@ -271,7 +271,7 @@
         freed: Option<usize>,
         random: &mut dyn Rng,
     ) -> Option<Action<P>> {
-        let wish = Wish {
+        let wish = PlacementRequest {
             now,
             tier: turn.tier,
             due: turn.due,
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/event_gap.rs
@@ -24,22 +24,22 @@
 
 /// The time between two events of streams at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct EventGap {
     usual: Option<Duration>,
     at: Duration,
 }
 
-impl Pace {
+impl EventGap {
     /// An event came `pause` after the one before.
-    pub fn event(&mut self, now: Duration, pause: Duration) {
-        let known = self.known(now).unwrap_or(pause);
+    pub fn record(&mut self, now: Duration, pause: Duration) {
+        let known = self.mean(now).unwrap_or(pause);
         let kept = known.mul_f64(1.0 - NEWEST);
         self.usual = Some(kept + pause.mul_f64(NEWEST));
         self.at = now;
     }
 
     /// The usual time, if one is known.
-    pub fn known(&self, now: Duration) -> Option<Duration> {
+    pub fn mean(&self, now: Duration) -> Option<Duration> {
         let fresh = now.saturating_sub(self.at) < FORGET;
         self.usual.filter(|_| fresh)
     }
@@ -47,7 +47,7 @@
 
 /// The time between events from which an endpoint is slow among those whose
 /// usual times are known.
-pub fn slow_from(known: impl Iterator<Item = Duration>) -> Duration {
+pub fn slow_threshold(known: impl Iterator<Item = Duration>) -> Duration {
     let mut known: Vec<Duration> = known.collect();
     known.sort_unstable();
     let usual = known.get(known.len() / 2);
--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/gate.rs
@@ -4,13 +4,13 @@
 //! where an entry can only guess. While more urgent requests were seen lately,
 //! each step of tier leaves a part of the slots free for them; tier 0 may use
 //! all. Without such requests nothing is kept free, so a queue of patient work
-//! drains at full speed. A class that is owed a start ([`crate::queue::OWED`]) is treated as tier 0, which
+//! drains at full speed. A class that is owed a start ([`crate::queue::STARVATION_LIMIT`]) is treated as tier 0, which
 //! is how the least urgent class progresses under endless urgent load.
 //! Nothing that runs is ever stopped to make room.
 //!
 //! An endpoint that breaks its answers off ends them sooner than a healthy
 //! one, so it always has free slots and would draw all work to itself. After
-//! [`BROKEN`] broken answers in a row the gate is on probation: nothing starts
+//! [`PROBATION_FAILURES`] broken answers in a row the gate is on probation: nothing starts
 //! for a pause that doubles with each further one, then one request at a time
 //! until one is answered whole. The tiers that may least be lost are only
 //! risked as such a probe where nothing else has come for a while.
@@ -25,7 +25,7 @@
 /// How long after its last start a tier counts as seen lately.
 const LATELY: Moment = Moment::from_secs(2);
 /// Broken answers in a row that put an endpoint on probation.
-pub const BROKEN: u32 = 2;
+pub const PROBATION_FAILURES: u32 = 2;
 /// First pause on probation.
 const MIN_PAUSE: Moment = Moment::from_millis(200);
 /// Tiers up to this one are not risked as probes at first.
@@ -37,7 +37,7 @@
 /// Attempt ids remembered in order to refuse a second delivery. An attempt is
 /// delivered again at most by a broken connection or a repeated frame, within
 /// seconds; an endpoint starts far fewer requests than this in that time.
-pub const REMEMBERED: usize = 8_192;
+pub const MAX_REMEMBERED: usize = 8_192;
 /// Weight of a new sample in the running means.
 const SAMPLE: f64 = 0.1;
 
@@ -54,7 +54,7 @@
 
 /// What the decision depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Attempt.
     pub attempt: AttemptId,
     /// Tier of its class.
@@ -109,7 +109,7 @@
     /// tier.
     pub fn ceilings(&self, now: Moment) -> [u32; TIERS] {
         let limit = self.limit.value();
-        if self.broken >= BROKEN {
+        if self.broken >= PROBATION_FAILURES {
             let mut probes = [u32::from(now >= self.paused); TIERS];
             if now < self.paused + SPARED {
                 probes[..=URGENT].fill(0);
@@ -134,7 +134,7 @@
     }
 
     /// Mean token gap.
-    pub fn gap(&self) -> Moment {
+    pub fn token_gap(&self) -> Moment {
         Moment::from_secs_f64(self.gap)
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Sets whether new work is refused.
-    pub fn leave(&mut self, leaving: bool) {
+    pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// [`Refusal`]; the request has not been and will not be started.
-    pub fn admit(&mut self, now: Moment, ask: &Ask) -> Result<(), Refusal> {
+    pub fn admit(&mut self, now: Moment, ask: &AdmissionRequest) -> Result<(), Refusal> {
         if self.leaving {
             return Err(Refusal::Leaving);
         }
@@ -179,38 +179,43 @@
     }
 
     /// Notes that an answer broke off at the endpoint's side.
-    pub fn saw_broken(&mut self, now: Moment) {
+    pub fn record_broken(&mut self, now: Moment) {
         // Those that were running together break together: one pause for all.
-        if self.broken >= BROKEN && now < self.paused {
+        if self.broken >= PROBATION_FAILURES && now < self.paused {
             return;
         }
         self.broken += 1;
-        if let Some(beyond) = self.broken.checked_sub(BROKEN) {
+        if let Some(beyond) = self.broken.checked_sub(PROBATION_FAILURES) {
             let pause = MIN_PAUSE * 2u32.saturating_pow(beyond.min(8));
             self.paused = now + pause.min(MAX_PAUSE);
         }
     }
 
     /// Notes that an answer arrived whole.
-    pub fn saw_whole(&mut self) {
+    pub fn record_complete(&mut self) {
         self.broken = 0;
     }
 
     /// Notes the time to a first token.
-    pub fn saw_first(&mut self, first: Moment) {
+    pub fn record_first_token(&mut self, first: Moment) {
         mix(&mut self.first, first);
     }
 
     /// Notes the endpoint's own report. Requests that wait inside it are
     /// beyond what it runs at once.
-    pub fn saw_report(&mut self, now: Moment, running: u32, waiting: u32) {
+    pub fn record_report(&mut self, now: Moment, running: u32, waiting: u32) {
         if waiting > 0 {
             self.limit.cap(now, running);
         }
     }
 
     /// Notes a token gap, and the gap its class allows.
-    pub fn saw_gap(&mut self, now: Moment, gap: Moment, allowed: Option<Moment>) {
+    pub fn record_token_gap(
+        &mut self,
+        now: Moment,
+        gap: Moment,
+        allowed: Option<Moment>,
+    ) {
         mix(&mut self.gap, gap);
         if let Some(allowed) = allowed {
             let mean = Moment::from_secs_f64(self.gap);
@@ -221,7 +226,7 @@
     fn remember(&mut self, place: usize, attempt: AttemptId) {
         self.seen.insert(place, attempt);
         self.order.push_back(attempt);
-        if self.order.len() > REMEMBERED {
+        if self.order.len() > MAX_REMEMBERED {
             let oldest = self.order.pop_front();
             let at = oldest.map(|oldest| self.seen.binary_search(&oldest));
             if let Some(Ok(at)) = at {
--- a/crates/policy/src/trust.rs
+++ b/crates/policy/src/health.rs
@@ -42,7 +42,7 @@
 
 /// What an entry believes of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trust {
+pub enum Health {
     /// It works.
     Sound,
     /// It works, but fails more than others: the last resort before a refusal.
@@ -54,7 +54,7 @@
 
 /// Record of one endpoint. Times are measured from the entry's start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Record {
+pub struct HealthRecord {
     failures: f64,
     judged: Duration,
     heard: Duration,
@@ -73,7 +73,7 @@
     news: Sight,
 }
 
-impl Record {
+impl HealthRecord {
     /// A request was sent there.
     pub fn sent(&mut self, now: Duration) {
         if self.waiting == 0 {
@@ -83,7 +83,7 @@
     }
 
     /// A request that waits there got its first byte, `took` after it was sent.
-    pub fn begun(&mut self, took: Duration) {
+    pub fn record_first_byte(&mut self, took: Duration) {
         self.begun += 1;
         let usual = self.usual.unwrap_or(took);
         let kept = usual.mul_f64(1.0 - NEWEST_USUAL);
@@ -98,7 +98,7 @@
     }
 
     /// Bytes came from there.
-    pub fn heard(&mut self, now: Duration) {
+    pub fn received(&mut self, now: Duration) {
         self.heard = now;
         self.unreached = 0;
         self.unanswered = None;
@@ -106,7 +106,7 @@
 
     /// A request ended with an answer (`failed`: a failure of the endpoint), or its
     /// connection broke.
-    pub fn judged(&mut self, now: Duration, failed: bool) {
+    pub fn record_outcome(&mut self, now: Duration, failed: bool) {
         self.weigh(now, failed);
         self.news.answered += 1;
         self.news.failed += u32::from(failed);
@@ -120,14 +120,14 @@
     }
 
     fn weigh(&mut self, now: Duration, failed: bool) {
-        let before = self.failures(now);
+        let before = self.failure_rate(now);
         let newest = if failed { 1.0 } else { 0.0 };
         self.failures = before + (newest - before) * NEWEST;
         self.judged = now;
     }
 
     /// No connection could be made, or nothing came for too long.
-    pub fn unreached(&mut self, now: Duration) {
+    pub fn mark_unreachable(&mut self, now: Duration) {
         let doubled = FIRST_REST * 2u32.pow(self.unreached.min(8));
         self.rest = now + doubled.min(LONGEST_REST);
         self.unreached += 1;
@@ -135,9 +135,9 @@
     }
 
     /// A new connection got no answer at all, not even a refusal.
-    pub fn unanswered(&mut self, now: Duration) {
+    pub fn connect_timed_out(&mut self, now: Duration) {
         self.unanswered = Some(now);
-        self.unreached(now);
+        self.mark_unreachable(now);
     }
 
     /// Another run answered at its address.
@@ -146,7 +146,7 @@
     }
 
     /// What this entry met since it told the others last, if anything.
-    pub fn sight(&mut self, now: Duration) -> Option<Sight> {
+    pub fn take_sighting(&mut self, now: Duration) -> Option<Sight> {
         let news = std::mem::take(&mut self.news);
         let heard = self.heard > Duration::ZERO;
         let heard = heard && now.saturating_sub(self.heard) < LATELY;
@@ -155,7 +155,7 @@
     }
 
     /// All entries together see this of it, or nothing of note.
-    pub fn told(&mut self, now: Duration, verdict: Option<Verdict>) {
+    pub fn set_verdict(&mut self, now: Duration, verdict: Option<Verdict>) {
         self.told = verdict.map(|verdict| (now, verdict));
     }
 
@@ -168,18 +168,18 @@
     }
 
     /// A later start of the endpoint was told: this run is over.
-    pub fn over(&mut self, now: Duration) {
+    pub fn mark_superseded(&mut self, now: Duration) {
         self.over.get_or_insert(now);
     }
 
     /// For how long no bytes came from there; `None` where none ever did.
-    pub fn unheard(&self, now: Duration) -> Option<Duration> {
+    pub fn idle_time(&self, now: Duration) -> Option<Duration> {
         let ever = self.heard > Duration::ZERO;
         ever.then(|| now.saturating_sub(self.heard))
     }
 
     /// Share of failures, as it counts now.
-    pub fn failures(&self, now: Duration) -> f64 {
+    pub fn failure_rate(&self, now: Duration) -> f64 {
         let idle = now.saturating_sub(self.judged).as_secs_f64();
         self.failures * (-idle / FORGET).exp()
     }
@@ -198,7 +198,7 @@
     /// long refuses connections and still answers what it has taken. A run that is
     /// said to be over is left as soon as it is quiet as well: a crash behind a cut
     /// closes no connection. So is one that others have lost.
-    pub fn deserted(&self, now: Duration, sent: Duration) -> bool {
+    pub fn should_abandon(&self, now: Duration, sent: Duration) -> bool {
         let waited = now.saturating_sub(sent);
         let lost = self.over.is_some() || self.verdict(now) == Some(Verdict::Silent);
         if lost && self.silence(now).min(waited) >= SHORT_SILENCE {
@@ -219,18 +219,18 @@
     }
 
     /// What the record says now.
-    pub fn trust(&self, now: Duration) -> Trust {
+    pub fn health(&self, now: Duration) -> Health {
         // After its rest one request tries it; the others follow when something
         // came back.
         let tried = self.unreached > 0 && self.waiting > 0;
         let told = self.verdict(now);
         let silent = now < self.rest || tried || self.silence(now) >= self.patience();
         if silent || told == Some(Verdict::Silent) {
-            Trust::Silent
-        } else if told == Some(Verdict::Failing) || self.failures(now) >= FAILING {
-            Trust::Failing
+            Health::Silent
+        } else if told == Some(Verdict::Failing) || self.failure_rate(now) >= FAILING {
+            Health::Failing
         } else {
-            Trust::Sound
+            Health::Sound
         }
     }
 }
--- a/crates/policy/src/disturbance.rs
+++ b/crates/policy/src/interference.rs
@@ -48,7 +48,7 @@
 
 /// What streams of one service suffer beside long prompts.
 #[derive(Clone, Debug)]
-pub struct Disturbance {
+pub struct Interference {
     /// When streams ended, and their longest pauses; the oldest first.
     ended: VecDeque<(Duration, Duration)>,
     /// Estimate of all entries, and when it was heard.
@@ -56,7 +56,7 @@
     apart: bool,
 }
 
-impl Default for Disturbance {
+impl Default for Interference {
     fn default() -> Self {
         Self {
             ended: VecDeque::with_capacity(REMEMBERED),
@@ -66,9 +66,9 @@
     }
 }
 
-impl Disturbance {
+impl Interference {
     /// A stream ended that ran beside long prompts.
-    pub fn ended(&mut self, now: Duration, longest: Duration) {
+    pub fn record_stream(&mut self, now: Duration, longest: Duration) {
         if self.ended.len() == REMEMBERED {
             self.ended.pop_front();
         }
@@ -77,7 +77,7 @@
 
     /// The longest pause that most streams stayed below, and how many streams
     /// tell so; none where they are too few.
-    pub fn told(&self, now: Duration) -> (Duration, usize) {
+    pub fn local_estimate(&self, now: Duration) -> (Duration, usize) {
         let fresh = |at: Duration| now.saturating_sub(at) < FORGET;
         let recent = self.ended.iter().filter(|(at, _)| fresh(*at));
         let mut pauses: Vec<Duration> = recent.map(|(_, pause)| *pause).collect();
@@ -90,7 +90,12 @@
     }
 
     /// Takes in the mean of what all entries told, weighted by their streams.
-    pub fn agree(&mut self, now: Duration, pause: Duration, streams: usize) {
+    pub fn set_shared_estimate(
+        &mut self,
+        now: Duration,
+        pause: Duration,
+        streams: usize,
+    ) {
         if streams >= ENOUGH {
             self.agreed = Some((pause.min(LONGEST), now));
         }
@@ -98,12 +103,12 @@
 
     /// The pause that streams beside long prompts mostly stay below, if enough of
     /// them were seen.
-    pub fn known(&self, now: Duration) -> Option<Duration> {
+    pub fn estimate(&self, now: Duration) -> Option<Duration> {
         let fresh = |(_, at): &(Duration, Duration)| now.saturating_sub(*at) < AGREED;
         if let Some((pause, _)) = self.agreed.filter(fresh) {
             return Some(pause);
         }
-        let (pause, streams) = self.told(now);
+        let (pause, streams) = self.local_estimate(now);
         (streams > 0).then_some(pause)
     }
 
@@ -111,7 +116,7 @@
     /// their service. Returns whether the decision changed.
     pub fn decide(&mut self, now: Duration, allowed: Duration) -> bool {
         let before = self.apart;
-        self.apart = match self.known(now) {
+        self.apart = match self.estimate(now) {
             None => true,
             Some(known) if allowed < known.mul_f64(APART) => true,
             Some(known) if allowed > known.mul_f64(MIXED) => false,
@@ -121,7 +126,7 @@
     }
 
     /// Whether streams with the shortest pauses are kept apart.
-    pub fn apart(&self) -> bool {
+    pub fn separate(&self) -> bool {
         self.apart
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,13 +10,13 @@
 //!   workspace share, bounded in count and bytes;
 //! * [`view`]: what an entry believes of one endpoint's load;
 //! * [`subset`]: which endpoints an entry uses at all;
-//! * [`place`]: the choice of an endpoint;
+//! * [`placement`]: the choice of an endpoint;
 //! * [`dispatch`]: the three above joined into one machine per service;
 //! * [`budget`]: how many retries a service may add to its load;
 //! * [`affinity`]: the choice of an endpoint for a prompt whose beginning other
 //!   requests share;
-//! * [`disturbance`]: whether streams with short pauses are kept apart at all;
-//! * [`lanes`]: which endpoints are kept free of long prompts;
+//! * [`interference`]: whether streams with short pauses are kept apart at all;
+//! * [`reservation`]: which endpoints are kept free of long prompts;
 //! * [`packing`]: how many endpoints streams with short pauses are packed on;
 //! * [`rate`]: how fast endpoints read prompts;
 //! * [`incarnations`]: which run of each endpoint is the newest one;
@@ -30,7 +30,7 @@
 //! * [`true_time`]: what time it is, by many wall clocks;
 //! * [`urgency`]: who goes first at an endpoint;
 //! * [`usage`]: how many requests of each workspace were begun in a window of time;
-//! * [`trust`]: which endpoints an entry may use after what came back lately;
+//! * [`health`]: which endpoints an entry may use after what came back lately;
 //! * [`gate`]: the agent's decision to start or refuse, with [`limit`], the
 //!   number of requests its endpoint can run at once, learned from token gaps.
 //!
@@ -42,30 +42,30 @@
 pub mod backoff;
 pub mod budget;
 pub mod dispatch;
-pub mod disturbance;
+pub mod event_gap;
 pub mod gate;
+pub mod health;
 pub mod incarnations;
-pub mod lanes;
+pub mod interference;
 pub mod limit;
-pub mod pace;
 pub mod packing;
 pub mod permits;
-pub mod place;
+pub mod placement;
 pub mod quarantine;
 pub mod queue;
+pub mod queue_wait;
 pub mod quota;
 pub mod rate;
 pub mod reads;
+pub mod reservation;
 pub mod served;
 pub mod sightings;
 pub mod subset;
 pub mod transfer;
 pub mod true_time;
-pub mod trust;
 pub mod urgency;
 pub mod usage;
 pub mod view;
-pub mod wait;
 
 /// A point in time: the duration since the caller's clock started.
 pub type Moment = std::time::Duration;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -3,20 +3,20 @@
 //! Additive increase, multiplicative decrease on the ratio of the measured
 //! token gap to the gap that the most demanding running class allows. The
 //! limit only rises while it is in use, since an idle endpoint proves nothing,
-//! and changes at most once in [`HOLD`], so that the effect of one change is
+//! and changes at most once in [`MIN_HOLD`], so that the effect of one change is
 //! seen before the next (a decision is held for a minimum time, as in section
 //! 6.2 of "You Can Teach Elephants to Dance").
 //!
 //! An endpoint that reports requests waiting inside it says how many it runs
 //! at once; that number caps the limit until it has not been confirmed for
-//! [`CAP_KEPT`], since an endpoint may be given more slots later.
+//! [`CAP_LIFETIME`], since an endpoint may be given more slots later.
 
 use crate::Moment;
 
 /// Shortest time between two changes.
-pub const HOLD: Moment = Moment::from_millis(250);
+pub const MIN_HOLD: Moment = Moment::from_millis(250);
 /// How long a reported cap holds.
-pub const CAP_KEPT: Moment = Moment::from_secs(60);
+pub const CAP_LIFETIME: Moment = Moment::from_secs(60);
 /// Factor of a decrease.
 const BACK_OFF: f64 = 0.85;
 /// Part of the allowed gap up to which the limit may rise.
@@ -69,7 +69,7 @@
     /// Learns from a mean `gap` measured while `running` requests ran, of
     /// which the most demanding allows `allowed`.
     pub fn learn(&mut self, now: Moment, gap: Moment, allowed: Moment, running: u32) {
-        if now < self.changed + HOLD || gap.is_zero() {
+        if now < self.changed + MIN_HOLD || gap.is_zero() {
             return;
         }
         let ratio = gap.as_secs_f64() / allowed.as_secs_f64().max(1e-9);
@@ -80,7 +80,7 @@
         } else {
             return;
         };
-        let cap = self.cap.filter(|cap| now < cap.since + CAP_KEPT);
+        let cap = self.cap.filter(|cap| now < cap.since + CAP_LIFETIME);
         let most = cap.map_or(self.most, |cap| cap.value);
         self.value = next.clamp(f64::from(self.least), f64::from(most));
         self.changed = now;
--- a/crates/policy/src/packing.rs
+++ b/crates/policy/src/packing.rs
@@ -16,7 +16,7 @@
 
 /// What runs on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Packing {
+pub struct Occupancy {
     /// Requests that run or wait.
     pub busy: f64,
     /// Requests that can run at once.
@@ -26,7 +26,10 @@
 /// How many of the endpoints, in their order, are used, of which the first `quick`
 /// are not slow: these, and as many of the others as are needed so that together
 /// they are not filled beyond their share.
-pub fn used(endpoints: impl ExactSizeIterator<Item = Packing>, quick: usize) -> usize {
+pub fn endpoints_used(
+    endpoints: impl ExactSizeIterator<Item = Occupancy>,
+    quick: usize,
+) -> usize {
     let all = endpoints.len();
     let mut room = 0.0;
     for (at, endpoint) in endpoints.enumerate() {
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/placement.rs
@@ -11,17 +11,17 @@
 use rand::RngExt;
 
 /// Random candidates that are compared for one request.
-pub const CANDIDATES: usize = 3;
+pub const MAX_CANDIDATES: usize = 3;
 /// Most endpoints that are looked at for one request and stage. It bounds the
 /// cost of a decision whatever the number of endpoints; where all of them are
 /// full the request waits, and the next freed slot is offered to it directly.
-pub const PROBES: usize = 48;
+pub const MAX_PROBES: usize = 48;
 /// An endpoint slower than this many times the median of its peers is a
 /// straggler. It is used only while so much waits that a request is done
 /// sooner on it than after waiting for another: with `n` requests running and
 /// `w` waiting, the queue is worked off in `w/n` times a request's length, so
 /// an endpoint `r` times slower is worth it while `r - 1 < w/n`.
-pub const STRAGGLER: f64 = 3.0;
+pub const STRAGGLER_FACTOR: f64 = 3.0;
 /// A straggler of which nothing was heard for this long gets one request that
 /// is not of the most urgent tier, so that it can show it recovered.
 const PROBE_AFTER: Moment = Moment::from_secs(3);
@@ -30,7 +30,7 @@
 
 /// What a choice depends on besides the views.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
+pub struct PlacementRequest {
     /// Present time.
     pub now: Moment,
     /// Tier of the request.
@@ -50,7 +50,7 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &Wish,
+        wish: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize>;
@@ -79,7 +79,7 @@
 }
 
 impl Policy {
-    /// All policies, in the order of [`Self::WORDS`].
+    /// All policies, in the order of [`Self::NAMES`].
     pub const ALL: [Self; 4] = [
         Self::Predicted,
         Self::Random,
@@ -87,7 +87,7 @@
         Self::LeastLoad,
     ];
     /// Their names in settings.
-    pub const WORDS: [&'static str; 4] =
+    pub const NAMES: [&'static str; 4] =
         ["predicted", "random", "round-robin", "least-load"];
 
     /// Makes the policy for an entry in `domain`.
@@ -118,7 +118,7 @@
     fn sample(
         &self,
         views: &[View],
-        wish: &Wish,
+        wish: &PlacementRequest,
         random: &mut dyn Rng,
         fits: impl Fn(usize) -> bool,
     ) -> Option<usize> {
@@ -127,10 +127,10 @@
         // A random start and a stride that has no common divisor with the
         // count visit every view once, in an order that differs per request.
         let stride = coprime(count, random.random_range(1..=count));
-        let free = |i: usize| fits(i) && views[i].room(wish.now, wish.tier, wish.due);
+        let free = |i: usize| fits(i) && views[i].has_room(wish.now, wish.tier, wish.due);
         let mut best = wish.freed.filter(|i| free(*i));
         let mut found = 0;
-        for step in 0..count.min(PROBES) {
+        for step in 0..count.min(MAX_PROBES) {
             let i = (start + step * stride) % count;
             if !free(i) {
                 continue;
@@ -141,7 +141,7 @@
                 best = Some(i);
             }
             found += 1;
-            if found == CANDIDATES {
+            if found == MAX_CANDIDATES {
                 break;
             }
         }
@@ -153,7 +153,7 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &Wish,
+        wish: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize> {
@@ -161,15 +161,17 @@
             return None;
         }
         let median = median_speed(views);
-        let patient = (1.0 + wish.backlog).max(STRAGGLER);
+        let patient = (1.0 + wish.backlog).max(STRAGGLER_FACTOR);
         let within = |i: usize, factor: f64| {
-            median.is_none_or(|median| views[i].speed() <= median * factor)
+            median.is_none_or(|median| views[i].latency() <= median * factor)
         };
         let fresh = |i: usize| !tried.contains(&i);
         let probed = |i: usize| {
-            wish.tier > 0 && views[i].own() == 0 && views[i].silent(wish.now, PROBE_AFTER)
+            wish.tier > 0
+                && views[i].outstanding() == 0
+                && views[i].stale(wish.now, PROBE_AFTER)
         };
-        let quick = |i: usize| fresh(i) && (within(i, STRAGGLER) || probed(i));
+        let quick = |i: usize| fresh(i) && (within(i, STRAGGLER_FACTOR) || probed(i));
         let near = |i: usize| quick(i) && views[i].domain == self.domain;
         let any = |i: usize| fresh(i) && within(i, patient);
         self.sample(views, wish, random, near)
@@ -190,7 +192,7 @@
     let mut speeds: Vec<f64> = views
         .iter()
         .step_by(step)
-        .map(View::speed)
+        .map(View::latency)
         .filter(|speed| *speed > 0.0)
         .collect();
     if speeds.len() < PEERS {
@@ -216,9 +218,9 @@
 /// What baselines choose from: endpoints believed to have a free slot. Without
 /// this they would send everything that waits to full endpoints over and over,
 /// and be measured for that instead of their choice.
-fn open(views: &[View], wish: &Wish, tried: &[usize]) -> Vec<usize> {
+fn open(views: &[View], wish: &PlacementRequest, tried: &[usize]) -> Vec<usize> {
     (0..views.len())
-        .filter(|i| views[*i].room(wish.now, 0, false) && !tried.contains(i))
+        .filter(|i| views[*i].has_room(wish.now, 0, false) && !tried.contains(i))
         .collect()
 }
 
@@ -230,7 +232,7 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &Wish,
+        wish: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize> {
@@ -256,7 +258,7 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &Wish,
+        wish: &PlacementRequest,
         tried: &[usize],
         _random: &mut dyn Rng,
     ) -> Option<usize> {
@@ -281,7 +283,7 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &Wish,
+        wish: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize> {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -3,7 +3,7 @@
 //! Order: the lowest tier number first; inside a tier the class whose oldest
 //! request has the least slack to its target; inside a class the workspaces
 //! share by weight (stride scheduling); inside a workspace first come, first
-//! served. Beside that order every class is owed a start: once [`OWED`]
+//! served. Beside that order every class is owed a start: once [`STARVATION_LIMIT`]
 //! requests have started since a waiting class last had its turn, it goes
 //! next, whatever its tier. With `k` classes waiting, each of them therefore
 //! starts one request in every `OWED + k` starts, under any load above it.
@@ -23,7 +23,7 @@
 use dogwoodhill_core::ids::{ClassId, TIERS, Tier, WorkspaceId};
 
 /// Starts after which a waiting class gets a turn whatever its tier.
-pub const OWED: u64 = 32;
+pub const STARVATION_LIMIT: u64 = 32;
 /// Stale tickets that a tier's arrival list keeps before it is compacted.
 const STALE: usize = 64;
 
--- a/crates/policy/src/queue/class.rs
+++ b/crates/policy/src/queue/class.rs
@@ -5,7 +5,7 @@
 //! back after it was empty starts at the class's present pass, so idle time
 //! earns it nothing.
 
-use super::{Item, OWED, Ticket, Waiting, live};
+use super::{Item, STARVATION_LIMIT, Ticket, Waiting, live};
 use crate::Moment;
 use dogwoodhill_core::ids::{ClassId, Tier, WorkspaceId};
 use std::cmp::Reverse;
@@ -74,12 +74,12 @@
     }
 
     pub(super) fn owed(&self, starts: u64) -> bool {
-        !self.is_empty() && starts - self.turned >= OWED
+        !self.is_empty() && starts - self.turned >= STARVATION_LIMIT
     }
 
     pub(super) fn push(&mut self, ticket: Ticket, item: &Item, first: bool, starts: u64) {
         if self.is_empty() {
-            self.turned = self.turned.max(starts.saturating_sub(OWED));
+            self.turned = self.turned.max(starts.saturating_sub(STARVATION_LIMIT));
         }
         self.tier = item.tier;
         let lane = self.lane(&item.workspace);
--- a/crates/policy/src/wait.rs
+++ b/crates/policy/src/queue_wait.rs
@@ -17,7 +17,7 @@
 
 /// What one entry knows of the queue at one endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Waits {
+pub struct QueueWait {
     /// Own tokens that are not read, in front and in the background.
     unread: [f64; 2],
     /// When those in front were sent that still wait; sorted.
@@ -27,7 +27,7 @@
     at: Duration,
 }
 
-impl Waits {
+impl QueueWait {
     /// A prompt was sent.
     pub fn sent(&mut self, now: Duration, tokens: f64, background: bool) {
         self.unread[usize::from(background)] += tokens;
@@ -38,7 +38,7 @@
     }
 
     /// A prompt sent at `since` no longer waits.
-    pub fn left(&mut self, since: Duration, tokens: f64, background: bool) {
+    pub fn dequeued(&mut self, since: Duration, tokens: f64, background: bool) {
         let unread = &mut self.unread[usize::from(background)];
         *unread = (*unread - tokens).max(0.0);
         if !background && let Ok(at) = self.since.binary_search(&since) {
@@ -47,14 +47,14 @@
     }
 
     /// A prompt in front was read that waited for `wait`.
-    pub fn learn(&mut self, now: Duration, wait: Duration) {
+    pub fn record(&mut self, now: Duration, wait: Duration) {
         let before = self.learned(now);
         self.learned = before + (wait.as_secs_f64() - before) * NEWEST;
         self.at = now;
     }
 
     /// Own tokens that would be read before a prompt sent now.
-    pub fn ahead(&self, background: bool) -> f64 {
+    pub fn tokens_ahead(&self, background: bool) -> f64 {
         let [front, back] = self.unread;
         if background { front + back } else { front }
     }
--- a/crates/policy/src/lanes.rs
+++ b/crates/policy/src/reservation.rs
@@ -1,14 +1,14 @@
 //! Which endpoints are kept free of long prompts.
 //!
 //! Streams with the shortest pauses of a service get endpoints of their own where
-//! prompts that are read beside them would make them late ([`disturbance`] tells
+//! prompts that are read beside them would make them late ([`interference`] tells
 //! whether they would). How many follows from the share of the work they bring,
 //! which every entry measures by itself; which ones follows from a fixed order of
 //! the endpoints. A dozen requests a second make a poor measure: entries alone
 //! differ by half, and an endpoint that some keep free and others don't serves both
-//! kinds badly. So they tell each other what came, and go by the sums ([`Shares`]).
+//! kinds badly. So they tell each other what came, and go by the sums ([`Reservation`]).
 //!
-//! [`disturbance`]: crate::disturbance
+//! [`interference`]: crate::interference
 
 use std::time::Duration;
 
@@ -34,20 +34,20 @@
 
 /// Work of both kinds that came lately, fading.
 #[derive(Clone, Copy, Debug)]
-pub struct Lanes {
+pub struct WorkMix {
     memory: f64,
     fragile: f64,
     other: f64,
     at: Duration,
 }
 
-impl Default for Lanes {
+impl Default for WorkMix {
     fn default() -> Self {
         Self::fading(MEMORY)
     }
 }
 
-impl Lanes {
+impl WorkMix {
     fn fading(memory: f64) -> Self {
         Self {
             memory,
@@ -69,7 +69,7 @@
     /// urgent, would shrink while they need as much as before. What is in front
     /// is about what the endpoints left to it can do, so the fragile streams
     /// get what they need and a tenth more.
-    pub fn note(&mut self, now: Duration, fragile: bool, work: Duration) {
+    pub fn record(&mut self, now: Duration, fragile: bool, work: Duration) {
         let fade = self.fade(now);
         self.fragile *= fade;
         self.other *= fade;
@@ -103,40 +103,40 @@
 /// The lanes of one service at one entry, by its own count and by that of all
 /// entries together.
 #[derive(Clone, Copy, Debug)]
-pub struct Shares {
-    own: Lanes,
+pub struct Reservation {
+    own: WorkMix,
     /// What is told to the others.
-    told: Lanes,
+    told: WorkMix,
     /// What came at all of them, and when that was heard.
-    agreed: Option<(Lanes, Duration)>,
+    agreed: Option<(WorkMix, Duration)>,
 }
 
-impl Default for Shares {
+impl Default for Reservation {
     fn default() -> Self {
         Self {
-            own: Lanes::default(),
-            told: Lanes::fading(SHARED_MEMORY),
+            own: WorkMix::default(),
+            told: WorkMix::fading(SHARED_MEMORY),
             agreed: None,
         }
     }
 }
 
-impl Shares {
+impl Reservation {
     /// A request came that will take an endpoint `work` of its time.
-    pub fn note(&mut self, now: Duration, fragile: bool, work: Duration) {
-        self.own.note(now, fragile, work);
-        self.told.note(now, fragile, work);
+    pub fn record(&mut self, now: Duration, fragile: bool, work: Duration) {
+        self.own.record(now, fragile, work);
+        self.told.record(now, fragile, work);
     }
 
     /// Work of fragile streams and of others for the other entries to know, in
     /// seconds of an endpoint's time.
-    pub fn told(&self, now: Duration) -> (f64, f64) {
+    pub fn local_work(&self, now: Duration) -> (f64, f64) {
         self.told.work(now)
     }
 
     /// Takes in the sums of what all entries told.
-    pub fn agree(&mut self, now: Duration, fragile: f64, other: f64) {
-        let lanes = Lanes {
+    pub fn set_total(&mut self, now: Duration, fragile: f64, other: f64) {
+        let lanes = WorkMix {
             memory: SHARED_MEMORY,
             fragile,
             other,
@@ -148,7 +148,7 @@
     /// How many of `endpoints` fragile streams have for themselves: by the sums,
     /// or by the entry's own count where it hears of none.
     pub fn reserved(&self, now: Duration, endpoints: usize) -> usize {
-        let fresh = |(_, at): &(Lanes, Duration)| now.saturating_sub(*at) < AGREED;
+        let fresh = |(_, at): &(WorkMix, Duration)| now.saturating_sub(*at) < AGREED;
         let agreed = self.agreed.filter(fresh);
         agreed
             .map_or(self.own, |(lanes, _)| lanes)
--- a/crates/policy/src/sightings.rs
+++ b/crates/policy/src/sightings.rs
@@ -39,7 +39,7 @@
 /// 14 in 100, so that three of ten are rare by chance.
 const ENOUGH: f64 = 10.0;
 /// Share of failures from which an endpoint counts as failing, as in an entry's own
-/// record ([`crate::trust`]).
+/// record ([`crate::health`]).
 const FAILING: f64 = 0.3;
 /// The same as a multiple of the share of the other endpoints of its service. Where all endpoints fail
 /// alike nothing is gained by leaving one for another, and its prompts would be read
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -6,33 +6,33 @@
 //! part of them, chosen by rendezvous hashing of both names: the same entry
 //! always chooses the same part, a joining or leaving endpoint changes it by
 //! one place, and the parts of different entries are independent, so every
-//! endpoint is used by about [`COVER`] entries. Half of the part comes from the
+//! endpoint is used by about [`COVERAGE`] entries. Half of the part comes from the
 //! entry's own failure domain where that has as many.
 
-use crate::dispatch::Listed;
+use crate::dispatch::ListedEndpoint;
 use sha2::{Digest, Sha256};
 
 /// Entries that should use each endpoint, on average. The chance that an
 /// endpoint is used by none is e^-24; that it is used by fewer than 10 is
 /// under 0.1% (Poisson).
-pub const COVER: usize = 24;
+pub const COVERAGE: usize = 24;
 /// Smallest part, so that tail waits stay near those of the whole: with 64
 /// endpoints of 90% load the chance that none of 3 probes has room is small.
-pub const LEAST: usize = 64;
+pub const MIN_SIZE: usize = 64;
 
 /// Number of endpoints an entry uses out of `endpoints`, with `entries` around.
 pub fn size(endpoints: usize, entries: usize) -> usize {
-    let fair = (endpoints * COVER).div_ceil(entries.max(1));
-    fair.max(LEAST).min(endpoints)
+    let fair = (endpoints * COVERAGE).div_ceil(entries.max(1));
+    fair.max(MIN_SIZE).min(endpoints)
 }
 
 /// The part that `entry` in `domain` uses.
 pub fn choose(
     entry: &str,
     domain: &str,
-    listed: &[Listed],
+    listed: &[ListedEndpoint],
     entries: usize,
-) -> Vec<Listed> {
+) -> Vec<ListedEndpoint> {
     let size = size(listed.len(), entries);
     if size == listed.len() {
         return listed.to_vec();
@@ -60,7 +60,7 @@
 
 struct Ranked<'l> {
     rank: u128,
-    endpoint: &'l Listed,
+    endpoint: &'l ListedEndpoint,
 }
 
 fn rank(entry: &str, endpoint: &str) -> u128 {
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -65,17 +65,17 @@
     }
 
     /// Whether nothing was heard of the endpoint for `time`.
-    pub fn silent(&self, now: Moment, time: Moment) -> bool {
+    pub fn stale(&self, now: Moment, time: Moment) -> bool {
         now >= self.told + time
     }
 
     /// Requests of this entry on the endpoint.
-    pub fn own(&self) -> u32 {
+    pub fn outstanding(&self) -> u32 {
         self.own
     }
 
     /// Whether the endpoint may get new work at all.
-    pub fn open(&self, now: Moment) -> bool {
+    pub fn available(&self, now: Moment) -> bool {
         self.listed && !self.leaving && now >= self.paused
     }
 
@@ -91,8 +91,8 @@
     }
 
     /// Whether a request of `tier` is believed to find a free slot.
-    pub fn room(&self, now: Moment, tier: Tier, due: bool) -> bool {
-        if !self.open(now) {
+    pub fn has_room(&self, now: Moment, tier: Tier, due: bool) -> bool {
+        if !self.available(now) {
             return false;
         }
         let tier = if due { 0 } else { usize::from(tier) };
@@ -103,12 +103,12 @@
     /// seen lately, scaled by how full the endpoint would be.
     pub fn cost(&self, now: Moment) -> f64 {
         let fill = (self.running(now) + 1.0) / f64::from(self.limit.max(1));
-        (self.speed() + f64::EPSILON) * (0.5 + fill)
+        (self.latency() + f64::EPSILON) * (0.5 + fill)
     }
 
     /// Seconds per token where known, else seconds to the first byte; 0
     /// before the first sample.
-    pub fn speed(&self) -> f64 {
+    pub fn latency(&self) -> f64 {
         if self.gap > 0.0 { self.gap } else { self.first }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Puts the endpoint on or off the list of the document in force.
-    pub fn list(&mut self, listed: bool) {
+    pub fn set_listed(&mut self, listed: bool) {
         self.listed = listed;
     }
 }
--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -10,29 +10,29 @@
 #[test]
 fn left_until_the_end_that_was_asked() {
     let mut backoff = Backoff::default();
-    assert_eq!(backoff.left(ms(0)), None);
-    backoff.ask(ms(1_000), Retry::After(ms(3_000)));
-    assert_eq!(backoff.left(ms(1_500)), Some(ms(2_500)));
-    assert_eq!(backoff.left(ms(4_000)), None);
+    assert_eq!(backoff.remaining(ms(0)), None);
+    backoff.record(ms(1_000), Retry::After(ms(3_000)));
+    assert_eq!(backoff.remaining(ms(1_500)), Some(ms(2_500)));
+    assert_eq!(backoff.remaining(ms(4_000)), None);
 }
 
 /// A refusal that was under way tells a shorter time.
 #[test]
 fn left_shorter_time_takes_nothing_back() {
     let mut backoff = Backoff::default();
-    backoff.ask(ms(1_000), Retry::After(ms(3_000)));
-    backoff.ask(ms(1_100), Retry::After(ms(100)));
-    backoff.ask(ms(1_100), Retry::Unsaid);
-    backoff.ask(ms(1_100), Retry::Unreadable);
-    assert_eq!(backoff.left(ms(2_000)), Some(ms(2_000)));
-    backoff.ask(ms(2_000), Retry::After(ms(3_000)));
-    assert_eq!(backoff.left(ms(2_000)), Some(ms(3_000)));
+    backoff.record(ms(1_000), Retry::After(ms(3_000)));
+    backoff.record(ms(1_100), Retry::After(ms(100)));
+    backoff.record(ms(1_100), Retry::Unspecified);
+    backoff.record(ms(1_100), Retry::Unreadable);
+    assert_eq!(backoff.remaining(ms(2_000)), Some(ms(2_000)));
+    backoff.record(ms(2_000), Retry::After(ms(3_000)));
+    assert_eq!(backoff.remaining(ms(2_000)), Some(ms(3_000)));
 }
 
 #[test]
 fn left_bounded_where_a_day_is_asked() {
     let mut backoff = Backoff::default();
-    backoff.ask(ms(0), Retry::After(Duration::from_hours(24)));
-    let left = backoff.left(ms(0)).expect("it asked");
+    backoff.record(ms(0), Retry::After(Duration::from_hours(24)));
+    let left = backoff.remaining(ms(0)).expect("it asked");
     assert!(left <= Duration::from_hours(1), "{left:?}");
 }
--- a/crates/policy/tests/direct.rs
+++ b/crates/policy/tests/direct.rs
@@ -4,10 +4,10 @@
 use dogwoodhill_policy::affinity::{Candidate, choose, hash};
 use dogwoodhill_policy::backlog::Backlog;
 use dogwoodhill_policy::budget::{Allowance, Budget};
-use dogwoodhill_policy::lanes::{Lanes, Shares};
-use dogwoodhill_policy::pace::{Pace, slow_from};
-use dogwoodhill_policy::packing::{Packing, used};
-use dogwoodhill_policy::wait::Waits;
+use dogwoodhill_policy::event_gap::{EventGap, slow_threshold};
+use dogwoodhill_policy::packing::{Occupancy, endpoints_used};
+use dogwoodhill_policy::queue_wait::QueueWait;
+use dogwoodhill_policy::reservation::{Reservation, WorkMix};
 use proptest::prelude::*;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,9 +21,9 @@
         hash: hash(format!("endpoint-{at}").as_bytes()),
         wait: Duration::ZERO,
         // 3,780 shared tokens at 30 a millisecond.
-        reading: ms(126),
+        prefill: ms(126),
         distance: Duration::ZERO,
-        seen: None,
+        last_sent: None,
     }
 }
 
@@ -81,7 +81,7 @@
     let mut all = candidates(9);
     let home = choose(key, &all).expect("some");
     let other = (home + 1) % 9;
-    all[other].seen = Some(ms(1_000));
+    all[other].last_sent = Some(ms(1_000));
     all[home].wait = ms(50);
     assert_eq!(choose(key, &all), Some(other));
 }
@@ -91,7 +91,7 @@
 /// (300 ms) and 28 notes of 2,400 (80 ms), as one of eight entries sees them.
 #[test]
 fn lanes_calm_day_keeps_a_few_endpoints() {
-    let mut lanes = Lanes::default();
+    let mut lanes = WorkMix::default();
     for i in 0..400u64 {
         let now = ms(i * 114);
         let (fragile, work) = match i % 70 {
@@ -99,7 +99,7 @@
             18..42 => (false, ms(300)),
             _ => (false, ms(80)),
         };
-        lanes.note(now, fragile, work);
+        lanes.record(now, fragile, work);
     }
     let reserved = lanes.reserved(12);
     assert!((2..=3).contains(&reserved), "{reserved}");
@@ -107,14 +107,14 @@
 
 #[test]
 fn lanes_never_all_nor_none() {
-    let mut lanes = Lanes::default();
+    let mut lanes = WorkMix::default();
     assert_eq!(lanes.reserved(1), 0, "one endpoint serves both");
     for i in 0..1_000 {
-        lanes.note(ms(i), true, ms(500));
+        lanes.record(ms(i), true, ms(500));
     }
     assert_eq!(lanes.reserved(4), 3);
     for i in 1_000..60_000 {
-        lanes.note(ms(i), false, ms(500));
+        lanes.record(ms(i), false, ms(500));
     }
     assert_eq!(lanes.reserved(4), 1);
 }
@@ -123,8 +123,8 @@
 /// about as many endpoints as the others.
 #[test]
 fn lanes_at_the_start() {
-    assert_eq!(Lanes::default().reserved(12), 4);
-    assert_eq!(Lanes::default().reserved(9), 3);
+    assert_eq!(WorkMix::default().reserved(12), 4);
+    assert_eq!(WorkMix::default().reserved(9), 3);
 }
 
 /// Endpoints that are not slow are all used; slow ones, which come last, only where
@@ -133,11 +133,11 @@
 #[test]
 fn packing_slow_endpoints_last() {
     let with = |busy: &[f64], quick| {
-        let one = |busy: &f64| Packing {
+        let one = |busy: &f64| Occupancy {
             busy: *busy,
             slots: 64.0,
         };
-        used(busy.iter().map(one), quick)
+        endpoints_used(busy.iter().map(one), quick)
     };
     assert_eq!(with(&[0.0; 7], 7), 7);
     assert_eq!(with(&[0.0; 7], 4), 4);
@@ -162,14 +162,14 @@
             let now = stream * 1_000 / 42;
             ends.iter_mut()
                 .for_each(|ends| ends.retain(|end| *end > now));
-            let packings: Vec<Packing> = ends
+            let packings: Vec<Occupancy> = ends
                 .iter()
-                .map(|ends| Packing {
+                .map(|ends| Occupancy {
                     busy: ends.len() as f64,
                     slots: 64.0,
                 })
                 .collect();
-            let most = used(packings.iter().copied(), quick);
+            let most = endpoints_used(packings.iter().copied(), quick);
             let least = (0..most).min_by_key(|at| ends[*at].len()).expect("some");
             ends[least].push(now + 900);
             reads[least] += 30;
@@ -186,22 +186,22 @@
 /// calm hour, the last after a few events.
 #[test]
 fn pace_slow_endpoints_found() {
-    let mut all = [Pace::default(); 9];
+    let mut all = [EventGap::default(); 9];
     for (at, pace) in all.iter_mut().enumerate() {
         let pause = if at < 7 { ms(21) } else { ms(28) };
         for event in 0..81u64 {
-            pace.event(ms(event * 21), pause);
+            pace.record(ms(event * 21), pause);
         }
     }
-    let slow = |all: &[Pace], now| {
-        let from = slow_from(all.iter().filter_map(|pace| pace.known(now)));
-        let slow = |pace: &Pace| pace.known(now).is_some_and(|known| known > from);
+    let slow = |all: &[EventGap], now| {
+        let from = slow_threshold(all.iter().filter_map(|pace| pace.mean(now)));
+        let slow = |pace: &EventGap| pace.mean(now).is_some_and(|known| known > from);
         all.iter().map(slow).collect::<Vec<bool>>()
     };
     let mut found = [vec![false; 7], vec![true; 2]].concat();
     assert_eq!(slow(&all, ms(2_000)), found);
     for event in 0..5 {
-        all[0].event(ms(2_000 + event * 105), ms(105));
+        all[0].record(ms(2_000 + event * 105), ms(105));
     }
     found[0] = true;
     assert_eq!(slow(&all, ms(2_600)), found);
@@ -213,12 +213,12 @@
 #[test]
 fn pace_burst_slows_all_alike() {
     let all = [ms(45), ms(42), ms(48), ms(47), ms(44)];
-    let from = slow_from(all.into_iter());
+    let from = slow_threshold(all.into_iter());
     assert!(all.iter().all(|pace| *pace <= from), "{from:?}");
-    let mut pace = Pace::default();
-    (0..20).for_each(|event| pace.event(ms(event * 45), ms(45)));
-    pace.event(ms(1_000), ms(150));
-    assert!(pace.known(ms(1_000)).expect("fresh") <= from);
+    let mut pace = EventGap::default();
+    (0..20).for_each(|event| pace.record(ms(event * 45), ms(45)));
+    pace.record(ms(1_000), ms(150));
+    assert!(pace.mean(ms(1_000)).expect("fresh") <= from);
 }
 
 /// A beginning that gets much of the traffic through two dozen entries: this
@@ -226,15 +226,15 @@
 /// for two seconds. It knows the queue, and forgets it within seconds.
 #[test]
 fn waits_queue_of_others_seen() {
-    let mut waits = Waits::default();
+    let mut waits = QueueWait::default();
     assert_eq!(waits.predicted(ms(900)), ms(0));
     waits.sent(ms(1_000), 9_000.0, false);
-    waits.left(ms(1_000), 9_000.0, false);
-    waits.learn(ms(3_000), ms(2_000));
-    assert!(waits.ahead(false) < 1.0);
+    waits.dequeued(ms(1_000), 9_000.0, false);
+    waits.record(ms(3_000), ms(2_000));
+    assert!(waits.tokens_ahead(false) < 1.0);
     let now = waits.predicted(ms(3_000));
     assert!(now >= ms(700), "{now:?}");
-    waits.learn(ms(3_300), ms(2_000));
+    waits.record(ms(3_300), ms(2_000));
     assert!(
         waits.predicted(ms(3_300)) > now,
         "the second one confirms it"
@@ -247,16 +247,19 @@
 /// nothing.
 #[test]
 fn waits_oldest_counts_in_front_only() {
-    let mut waits = Waits::default();
+    let mut waits = QueueWait::default();
     waits.sent(ms(1_000), 9_000.0, false);
     waits.sent(ms(2_000), 9_000.0, false);
     assert_eq!(waits.predicted(ms(3_000)), ms(2_000));
-    waits.left(ms(1_000), 9_000.0, false);
+    waits.dequeued(ms(1_000), 9_000.0, false);
     assert_eq!(waits.predicted(ms(3_000)), ms(1_000));
-    waits.left(ms(2_000), 9_000.0, false);
+    waits.dequeued(ms(2_000), 9_000.0, false);
     waits.sent(ms(3_000), 9_000.0, true);
     assert_eq!(waits.predicted(ms(9_000)), ms(0));
-    assert_eq!((waits.ahead(false), waits.ahead(true)), (0.0, 9_000.0));
+    assert_eq!(
+        (waits.tokens_ahead(false), waits.tokens_ahead(true)),
+        (0.0, 9_000.0)
+    );
 }
 
 proptest! {
@@ -306,10 +309,10 @@
 /// nothing more goes back to its own: cut off from control it decides alone.
 #[test]
 fn shares_agreed_then_alone() {
-    let mut shares = Shares::default();
-    (0..100).for_each(|at| shares.note(ms(at * 10), true, ms(100)));
+    let mut shares = Reservation::default();
+    (0..100).for_each(|at| shares.record(ms(at * 10), true, ms(100)));
     let alone = shares.reserved(ms(1_000), 34);
-    shares.agree(ms(1_000), 10.0, 90.0);
+    shares.set_total(ms(1_000), 10.0, 90.0);
     let agreed = shares.reserved(ms(1_000), 34);
     assert!(agreed < alone, "{agreed} of {alone}");
     assert_eq!(shares.reserved(ms(2_500), 34), agreed);
@@ -321,12 +324,12 @@
 /// nothing soon.
 #[test]
 fn shares_told_work_fades() {
-    let mut shares = Shares::default();
-    shares.note(ms(0), true, ms(500));
-    shares.note(ms(0), false, ms(1_500));
-    let (fragile, other) = shares.told(ms(0));
+    let mut shares = Reservation::default();
+    shares.record(ms(0), true, ms(500));
+    shares.record(ms(0), false, ms(1_500));
+    let (fragile, other) = shares.local_work(ms(0));
     assert!((fragile - 0.5).abs() < 1e-9 && (other - 1.5).abs() < 1e-9);
-    let (fragile, other) = shares.told(ms(12_500));
+    let (fragile, other) = shares.local_work(ms(12_500));
     assert!(fragile < 0.01 && other < 0.02);
 }
 
@@ -337,13 +340,13 @@
 #[test]
 fn lanes_under_overload_cover_what_is_urgent() {
     let endpoints = 34;
-    let mut lanes = Lanes::default();
+    let mut lanes = WorkMix::default();
     let mut reserved = lanes.reserved(endpoints);
     for step in 0..200u64 {
         let now = ms(step * 100);
-        lanes.note(now, true, ms(1_000));
+        lanes.record(now, true, ms(1_000));
         let front = (endpoints - reserved) as u64 * 100;
-        lanes.note(now, false, ms(front.min(5_700)));
+        lanes.record(now, false, ms(front.min(5_700)));
         reserved = lanes.reserved(endpoints);
     }
     assert!((11..=15).contains(&reserved), "{reserved}");
@@ -394,14 +397,14 @@
             let (came, entry) = next;
             let waited = ms(now - came);
             if in_front {
-                entries[entry].left(ms(came), 0, TOKENS, false);
-                entries[entry].learn(ms(now), waited);
+                entries[entry].dequeued(ms(came), 0, TOKENS, false);
+                entries[entry].record_wait(ms(now), waited);
             }
             if waited > patience {
                 continue;
             }
             budget -= TOKENS;
-            entries[entry].read(ms(now), TOKENS);
+            entries[entry].prefilled(ms(now), TOKENS);
             all += 1;
             in_time += usize::from(waited <= objective);
         }
@@ -415,7 +418,8 @@
 fn backlog_burst_served_in_time() {
     let least = 20.0 * 30_000.0 / 10.0 * 0.5;
     let (queue, read) = burst(|_, _| true);
-    let (ours, also) = burst(|backlog, now| backlog.hopeful(now, 0, least, ms(1_500)));
+    let (ours, also) =
+        burst(|backlog, now| backlog.can_meet_objective(now, 0, least, ms(1_500)));
     assert!(also + 20 >= read, "{also} read, {read} in one queue");
     assert!(queue * 2 < read, "{queue} of {read} in one queue");
     assert!(ours * 10 > also * 8, "{ours} of {also}");
@@ -434,15 +438,18 @@
         let now = ms(second * 1_000);
         let prompts = if second % 7 == 0 { 3 } else { 1 };
         for _ in 0..prompts {
-            assert!(backlog.hopeful(now, 0, least, objective), "{second}");
+            assert!(
+                backlog.can_meet_objective(now, 0, least, objective),
+                "{second}"
+            );
             backlog.sent(now, 0, 12_000.0, false);
         }
-        queue_suspected |= backlog.wait(now, 0, least) > objective;
+        queue_suspected |= backlog.predicted_wait(now, 0, least) > objective;
         for _ in 0..prompts {
             let read = now + ms(350);
-            backlog.left(now, 0, 12_000.0, false);
-            backlog.read(read, 12_000.0);
-            backlog.learn(read, ms(20));
+            backlog.dequeued(now, 0, 12_000.0, false);
+            backlog.prefilled(read, 12_000.0);
+            backlog.record_wait(read, ms(20));
         }
     }
     assert!(queue_suspected, "the rate alone would have sent some back");
@@ -455,8 +462,12 @@
     let mut backlog = Backlog::default();
     backlog.sent(ms(0), 2, 90_000.0, false);
     backlog.sent(ms(0), 1, 3_000.0, false);
-    assert_eq!(backlog.wait(ms(0), 1, 30_000.0), ms(100));
-    assert_eq!(backlog.wait(ms(0), 2, 30_000.0), ms(3_100));
-    backlog.left(ms(0), 2, 90_000.0, false);
-    assert_eq!(backlog.wait(ms(0), 9, 30_000.0), ms(100), "shares the last");
+    assert_eq!(backlog.predicted_wait(ms(0), 1, 30_000.0), ms(100));
+    assert_eq!(backlog.predicted_wait(ms(0), 2, 30_000.0), ms(3_100));
+    backlog.dequeued(ms(0), 2, 90_000.0, false);
+    assert_eq!(
+        backlog.predicted_wait(ms(0), 9, 30_000.0),
+        ms(100),
+        "shares the last"
+    );
 }
--- a/crates/policy/tests/disturbance.rs
+++ b/crates/policy/tests/interference.rs
@@ -1,6 +1,6 @@
 //! Whether streams with short pauses are kept apart, on engines of many kinds.
 
-use dogwoodhill_policy::disturbance::Disturbance;
+use dogwoodhill_policy::interference::Interference;
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
     Duration::from_millis(millis)
 }
 
-fn seen(pauses: impl IntoIterator<Item = u64>) -> Disturbance {
-    let mut disturbance = Disturbance::default();
+fn seen(pauses: impl IntoIterator<Item = u64>) -> Interference {
+    let mut disturbance = Interference::default();
     for (at, pause) in pauses.into_iter().enumerate() {
-        disturbance.ended(ms(at as u64 * 100), ms(pause));
+        disturbance.record_stream(ms(at as u64 * 100), ms(pause));
     }
     disturbance
 }
@@ -22,10 +22,10 @@
 fn decide_apart_until_shown_otherwise() {
     let mut disturbance = seen(std::iter::repeat_n(30, 29));
     assert!(!disturbance.decide(ms(3_000), ms(300)));
-    assert!(disturbance.apart(), "twenty-nine are not enough");
-    disturbance.ended(ms(3_000), ms(30));
+    assert!(disturbance.separate(), "twenty-nine are not enough");
+    disturbance.record_stream(ms(3_000), ms(30));
     assert!(disturbance.decide(ms(3_100), ms(300)));
-    assert!(!disturbance.apart());
+    assert!(!disturbance.separate());
 }
 
 /// An engine reads parts of 2,048 tokens in 42 ms and tells six tokens at a time:
@@ -36,9 +36,9 @@
     let pauses = (0..60).map(|stream| [20, 60, 250, 330, 400][stream % 5]);
     let mut disturbance = seen(pauses);
     disturbance.decide(ms(4_000), ms(300));
-    assert!(disturbance.apart());
+    assert!(disturbance.separate());
     disturbance.decide(ms(4_000), ms(900));
-    assert!(!disturbance.apart());
+    assert!(!disturbance.separate());
 }
 
 /// Between the two bounds nothing changes, so that entries whose estimates differ
@@ -47,10 +47,10 @@
 fn decide_holds_between_bounds() {
     let mut disturbance = seen(std::iter::repeat_n(200, 40));
     assert!(!disturbance.decide(ms(4_000), ms(290)));
-    assert!(disturbance.apart());
+    assert!(disturbance.separate());
     assert!(disturbance.decide(ms(4_000), ms(330)));
     assert!(!disturbance.decide(ms(4_000), ms(290)));
-    assert!(!disturbance.apart());
+    assert!(!disturbance.separate());
     assert!(disturbance.decide(ms(4_000), ms(240)));
 }
 
@@ -60,19 +60,19 @@
 fn known_frozen_endpoint_moves_nothing() {
     let pauses = (0..60).map(|stream| if stream % 30 == 0 { 6_000 } else { 90 });
     let disturbance = seen(pauses);
-    assert_eq!(disturbance.known(ms(4_000)), Some(ms(90)));
+    assert_eq!(disturbance.estimate(ms(4_000)), Some(ms(90)));
 }
 
 /// What all entries saw goes before what one of them saw, while it is fresh.
 #[test]
 fn known_of_all_entries_first() {
     let mut disturbance = seen(std::iter::repeat_n(90, 40));
-    disturbance.agree(ms(4_000), ms(200), 500);
-    assert_eq!(disturbance.known(ms(4_100)), Some(ms(200)));
-    assert_eq!(disturbance.known(ms(5_600)), Some(ms(90)));
-    disturbance.agree(ms(6_000), ms(1), 3);
+    disturbance.set_shared_estimate(ms(4_000), ms(200), 500);
+    assert_eq!(disturbance.estimate(ms(4_100)), Some(ms(200)));
+    assert_eq!(disturbance.estimate(ms(5_600)), Some(ms(90)));
+    disturbance.set_shared_estimate(ms(6_000), ms(1), 3);
     assert_eq!(
-        disturbance.known(ms(6_100)),
+        disturbance.estimate(ms(6_100)),
         Some(ms(90)),
         "too few streams"
     );
@@ -83,11 +83,11 @@
 #[test]
 fn known_old_engines_forgotten() {
     let mut disturbance = seen(std::iter::repeat_n(400, 40));
-    assert_eq!(disturbance.known(ms(63_800)), None);
+    assert_eq!(disturbance.estimate(ms(63_800)), None);
     for stream in 0..60 {
-        disturbance.ended(ms(4_000 + stream * 50), ms(40));
+        disturbance.record_stream(ms(4_000 + stream * 50), ms(40));
     }
-    assert_eq!(disturbance.known(ms(7_000)), Some(ms(40)));
+    assert_eq!(disturbance.estimate(ms(7_000)), Some(ms(40)));
 }
 
 proptest! {
@@ -98,15 +98,15 @@
         pauses in proptest::collection::vec(0u64..u64::MAX / 2_000_000, 30..90),
         told in any::<u32>(),
     ) {
-        let mut disturbance = Disturbance::default();
+        let mut disturbance = Interference::default();
         for pause in &pauses {
-            disturbance.ended(ms(1_000), ms(*pause));
+            disturbance.record_stream(ms(1_000), ms(*pause));
         }
-        let known = disturbance.known(ms(1_000)).expect("enough");
+        let known = disturbance.estimate(ms(1_000)).expect("enough");
         let bound = ms(10_000);
         let least = ms(*pauses.iter().min().unwrap()).min(bound);
         prop_assert!(known >= least && known <= bound);
-        disturbance.agree(ms(1_000), ms(u64::from(told)), usize::MAX);
-        prop_assert!(disturbance.known(ms(1_000)).expect("told") <= bound);
+        disturbance.set_shared_estimate(ms(1_000), ms(u64::from(told)), usize::MAX);
+        prop_assert!(disturbance.estimate(ms(1_000)).expect("told") <= bound);
     }
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -2,11 +2,11 @@
 
 use dogwoodhill_core::load::Load;
 use dogwoodhill_policy::Moment;
-use dogwoodhill_policy::budget::{Budget, CAP};
-use dogwoodhill_policy::dispatch::Listed;
-use dogwoodhill_policy::gate::{Ask, Gate, Refusal};
-use dogwoodhill_policy::limit::{CAP_KEPT, HOLD, Limit};
-use dogwoodhill_policy::place::{Policy, Wish};
+use dogwoodhill_policy::budget::{Budget, MAX_UNITS};
+use dogwoodhill_policy::dispatch::ListedEndpoint;
+use dogwoodhill_policy::gate::{AdmissionRequest, Gate, Refusal};
+use dogwoodhill_policy::limit::{CAP_LIFETIME, Limit, MIN_HOLD};
+use dogwoodhill_policy::placement::{PlacementRequest, Policy};
 use dogwoodhill_policy::quota::{Excess, Limits, Quota};
 use dogwoodhill_policy::subset;
 use dogwoodhill_policy::view::View;
@@ -14,8 +14,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn ask(attempt: u128, tier: u8) -> Ask {
-    Ask {
+fn ask(attempt: u128, tier: u8) -> AdmissionRequest {
+    AdmissionRequest {
         attempt,
         tier,
         due: false,
@@ -36,7 +36,7 @@
         next += 1;
     }
     assert_eq!(gate.running(), 17, "5 steps of 3% of 20 stay free");
-    let owed = Ask {
+    let owed = AdmissionRequest {
         due: true,
         ..ask(100, 5)
     };
@@ -70,7 +70,7 @@
 #[test]
 fn admit_leaving_refused() {
     let mut gate = fixed(20);
-    gate.leave(true);
+    gate.set_leaving(true);
     assert_eq!(gate.admit(Moment::ZERO, &ask(1, 0)), Err(Refusal::Leaving));
 }
 
@@ -82,7 +82,7 @@
     }
     // All ten break together: one pause, not ten.
     for _ in 0..10 {
-        gate.saw_broken(Moment::ZERO);
+        gate.record_broken(Moment::ZERO);
         gate.end();
     }
     let early = Moment::from_millis(199);
@@ -95,7 +95,7 @@
         Err(Refusal::Full),
         "one at a time"
     );
-    gate.saw_broken(late);
+    gate.record_broken(late);
     gate.end();
     let still = Moment::from_millis(599);
     assert_eq!(
@@ -105,7 +105,7 @@
     );
     let alone = Moment::from_millis(3_600);
     gate.admit(alone, &ask(25, 0)).unwrap();
-    gate.saw_whole();
+    gate.record_complete();
     gate.admit(alone, &ask(26, 0)).unwrap();
 }
 
@@ -115,15 +115,15 @@
     let allowed = Moment::from_millis(40);
     let mut now = Moment::ZERO;
     for _ in 0..10 {
-        now += HOLD;
+        now += MIN_HOLD;
         limit.learn(now, Moment::from_millis(20), allowed, limit.value());
     }
     assert_eq!(limit.value(), 20);
-    limit.learn(now + HOLD / 2, Moment::from_millis(90), allowed, 20);
+    limit.learn(now + MIN_HOLD / 2, Moment::from_millis(90), allowed, 20);
     assert_eq!(limit.value(), 20, "held for a minimum time");
-    limit.learn(now + HOLD, Moment::from_millis(90), allowed, 20);
+    limit.learn(now + MIN_HOLD, Moment::from_millis(90), allowed, 20);
     assert_eq!(limit.value(), 17);
-    limit.learn(now + HOLD * 2, Moment::from_millis(20), allowed, 3);
+    limit.learn(now + MIN_HOLD * 2, Moment::from_millis(20), allowed, 3);
     assert_eq!(limit.value(), 17, "an idle endpoint proves nothing");
 }
 
@@ -132,9 +132,9 @@
     let mut limit = Limit::new(30, 1, 100);
     limit.cap(Moment::ZERO, 16);
     let (gap, allowed) = (Moment::from_millis(1), Moment::from_millis(40));
-    limit.learn(HOLD, gap, allowed, 16);
+    limit.learn(MIN_HOLD, gap, allowed, 16);
     assert_eq!(limit.value(), 16);
-    limit.learn(CAP_KEPT + HOLD, gap, allowed, 16);
+    limit.learn(CAP_LIFETIME + MIN_HOLD, gap, allowed, 16);
     assert_eq!(limit.value(), 17);
 }
 
@@ -179,9 +179,9 @@
             } else {
                 retries += u32::from(budget.spend());
             }
-            prop_assert!((0.0..=CAP).contains(&budget.units()));
+            prop_assert!((0.0..=MAX_UNITS).contains(&budget.units()));
         }
-        prop_assert!(f64::from(retries) <= CAP + f64::from(firsts) * 0.1 + 1e-6);
+        prop_assert!(f64::from(retries) <= MAX_UNITS + f64::from(firsts) * 0.1 + 1e-6);
     }
 
     #[test]
@@ -194,7 +194,7 @@
             if end && gate.running() > 0 {
                 gate.end();
             }
-            let ask = Ask { attempt: number as u128, tier, due };
+            let ask = AdmissionRequest { attempt: number as u128, tier, due };
             let running = gate.running();
             let admitted = gate.admit(Moment::from_millis(number as u64), &ask).is_ok();
             prop_assert!(gate.running() <= limit);
@@ -224,7 +224,7 @@
     }
 }
 
-const WISH: Wish = Wish {
+const WISH: PlacementRequest = PlacementRequest {
     now: Moment::ZERO,
     tier: 0,
     due: false,
@@ -247,7 +247,7 @@
     // Six times slower: worth it only with more than five waiting for each
     // running one.
     assert_eq!(policy.pick(&views, &WISH, &[], &mut random), None);
-    let backlog = Wish {
+    let backlog = PlacementRequest {
         backlog: 5.1,
         ..WISH
     };
@@ -262,7 +262,7 @@
     for view in &mut views[1..] {
         (0..8).for_each(|_| view.start());
     }
-    let later = Wish {
+    let later = PlacementRequest {
         now: Moment::from_secs(4),
         ..WISH
     };
@@ -273,7 +273,7 @@
         None,
         "not tier 0"
     );
-    let patient = Wish { tier: 3, ..later };
+    let patient = PlacementRequest { tier: 3, ..later };
     assert_eq!(policy.pick(&views, &patient, &[], &mut random), Some(0));
     views[0].start();
     assert_eq!(
@@ -304,7 +304,7 @@
     let mut random = SmallRng::seed_from_u64(1);
     views[0].failed(Moment::ZERO);
     assert_eq!(policy.pick(&views, &WISH, &[], &mut random), None);
-    let later = Wish {
+    let later = PlacementRequest {
         now: Moment::from_millis(200),
         ..WISH
     };
@@ -319,12 +319,12 @@
         ..report(1)
     };
     view.report(Moment::ZERO, &full, 0);
-    assert!(!view.room(Moment::ZERO, 0, false));
-    assert!(view.room(Moment::from_secs(1), 0, false));
+    assert!(!view.has_room(Moment::ZERO, 0, false));
+    assert!(view.has_room(Moment::from_secs(1), 0, false));
 }
 
-fn listed(count: usize) -> Vec<Listed> {
-    let one = |n: usize| Listed {
+fn listed(count: usize) -> Vec<ListedEndpoint> {
+    let one = |n: usize| ListedEndpoint {
         name: format!("endpoint-{n}"),
         domain: format!("domain-{}", n % 4),
     };
@@ -366,7 +366,7 @@
     let all = listed(1_200);
     let before = subset::choose("entry-1", "domain-0", &all, 450);
     let gone = before[5].clone();
-    let rest: Vec<Listed> = all.into_iter().filter(|one| *one != gone).collect();
+    let rest: Vec<ListedEndpoint> = all.into_iter().filter(|one| *one != gone).collect();
     let after = subset::choose("entry-1", "domain-0", &rest, 450);
     let new = after.iter().filter(|one| !before.contains(one)).count();
     assert_eq!(new, 1);
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -2,9 +2,9 @@
 
 use dogwoodhill_core::load::Load;
 use dogwoodhill_policy::Moment;
-use dogwoodhill_policy::dispatch::{Action, Dispatcher, Listed};
-use dogwoodhill_policy::place::Policy;
-use dogwoodhill_policy::queue::{Bounds, Item, OWED, Queue};
+use dogwoodhill_policy::dispatch::{Action, Dispatcher, ListedEndpoint};
+use dogwoodhill_policy::placement::Policy;
+use dogwoodhill_policy::queue::{Bounds, Item, Queue, STARVATION_LIMIT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::SeedableRng;
@@ -85,7 +85,10 @@
         // waiting class.
         for (waiting, last) in last.iter().enumerate() {
             if queue.waiting(waiting as u8) > 0 {
-                assert!(start - last <= OWED + 6, "tier {waiting} at start {start}");
+                assert!(
+                    start - last <= STARVATION_LIMIT + 6,
+                    "tier {waiting} at start {start}"
+                );
             }
         }
         last[tier] = start;
@@ -161,8 +164,8 @@
     ]
 }
 
-fn listed(count: u8) -> Vec<Listed> {
-    let one = |n| Listed {
+fn listed(count: u8) -> Vec<ListedEndpoint> {
+    let one = |n| ListedEndpoint {
         name: format!("endpoint-{n}"),
         domain: format!("domain-{}", n % 2),
     };
@@ -186,7 +189,7 @@
         let mut random = SmallRng::seed_from_u64(1);
         let policy = Policy::Predicted.build("domain-0".to_string());
         let mut machine = Dispatcher::new(BOUNDS, policy);
-        machine.list(&listed(3));
+        machine.set_endpoints(&listed(3));
         let mut now = Moment::ZERO;
         let mut next = 0usize;
         let mut running = Vec::new();
@@ -228,7 +231,7 @@
                     machine.tick(now, |_| false, &mut random)
                 }
                 Event::List(count) => {
-                    machine.list(&listed(count));
+                    machine.set_endpoints(&listed(count));
                     Vec::new()
                 }
                 _ => Vec::new(),
@@ -243,7 +246,7 @@
             }
             let known = running.len() + ended.len() + machine.queue().len();
             prop_assert_eq!(known, arrived, "every request is somewhere, once");
-            let own: u32 = machine.views().iter().map(|view| view.own()).sum();
+            let own: u32 = machine.views().iter().map(|view| view.outstanding()).sum();
             prop_assert_eq!(own as usize, running.len());
         }
         Ok(())
@@ -256,8 +259,8 @@
     let mut random = SmallRng::seed_from_u64(1);
     let policy = Policy::Predicted.build("domain-0".to_string());
     let mut machine = Dispatcher::new(BOUNDS, policy);
-    machine.list(&listed(2));
-    machine.list(&listed(1));
+    machine.set_endpoints(&listed(2));
+    machine.set_endpoints(&listed(1));
     for n in 0..8 {
         for action in machine.arrive(Moment::ZERO, item(0, 0, 1), n, &mut random) {
             if let Action::Start(started) = action {
--- a/crates/policy/tests/sightings.rs
+++ b/crates/policy/tests/sightings.rs
@@ -1,7 +1,7 @@
 //! What all entries together see of each endpoint.
 
+use dogwoodhill_policy::health::{Health, HealthRecord};
 use dogwoodhill_policy::sightings::{Kept, Sight, Sightings, Verdict};
-use dogwoodhill_policy::trust::{Record, Trust};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -111,10 +111,14 @@
 /// endpoint fails.
 #[test]
 fn sight_timeouts_are_no_failures() {
-    let mut record = Record::default();
+    let mut record = HealthRecord::default();
     (0..20).for_each(|at| record.timed_out(ms(at * 10), true));
-    assert_eq!(record.trust(ms(200)), Trust::Failing, "here it is weighed");
-    assert_eq!(record.sight(ms(200)), None);
+    assert_eq!(
+        record.health(ms(200)),
+        Health::Failing,
+        "here it is weighed"
+    );
+    assert_eq!(record.take_sighting(ms(200)), None);
 }
 
 #[test]
@@ -207,38 +211,41 @@
 /// endpoint; who waits there leaves once it is quiet.
 #[test]
 fn trust_told_silent() {
-    let mut record = Record::default();
+    let mut record = HealthRecord::default();
     record.sent(ms(1_000));
-    assert_eq!(record.trust(ms(1_100)), Trust::Sound);
-    assert!(!record.deserted(ms(1_400), ms(1_000)));
-    record.told(ms(1_400), Some(Verdict::Silent));
-    assert_eq!(record.trust(ms(1_400)), Trust::Silent);
-    assert!(record.deserted(ms(1_400), ms(1_000)));
-    assert!(!record.deserted(ms(1_400), ms(1_300)), "sent a moment ago");
-    record.heard(ms(1_500));
-    assert_eq!(record.trust(ms(1_500)), Trust::Sound, "it speaks here");
-    record.told(ms(1_600), Some(Verdict::Failing));
-    assert_eq!(record.trust(ms(1_600)), Trust::Failing);
-    assert_eq!(record.trust(ms(3_300)), Trust::Sound, "old news");
-    record.told(ms(3_400), None);
-    assert_eq!(record.trust(ms(3_400)), Trust::Sound);
+    assert_eq!(record.health(ms(1_100)), Health::Sound);
+    assert!(!record.should_abandon(ms(1_400), ms(1_000)));
+    record.set_verdict(ms(1_400), Some(Verdict::Silent));
+    assert_eq!(record.health(ms(1_400)), Health::Silent);
+    assert!(record.should_abandon(ms(1_400), ms(1_000)));
+    assert!(
+        !record.should_abandon(ms(1_400), ms(1_300)),
+        "sent a moment ago"
+    );
+    record.received(ms(1_500));
+    assert_eq!(record.health(ms(1_500)), Health::Sound, "it speaks here");
+    record.set_verdict(ms(1_600), Some(Verdict::Failing));
+    assert_eq!(record.health(ms(1_600)), Health::Failing);
+    assert_eq!(record.health(ms(3_300)), Health::Sound, "old news");
+    record.set_verdict(ms(3_400), None);
+    assert_eq!(record.health(ms(3_400)), Health::Sound);
 }
 
 /// What an entry met is told once; that it hears from an endpoint, for a moment.
 #[test]
 fn sight_told_once() {
-    let mut record = Record::default();
-    assert_eq!(record.sight(ms(900)), None, "nothing was met");
-    record.heard(ms(1_000));
-    record.judged(ms(1_000), true);
-    let sight = record.sight(ms(1_100)).expect("an answer");
+    let mut record = HealthRecord::default();
+    assert_eq!(record.take_sighting(ms(900)), None, "nothing was met");
+    record.received(ms(1_000));
+    record.record_outcome(ms(1_000), true);
+    let sight = record.take_sighting(ms(1_100)).expect("an answer");
     assert_eq!((sight.heard, sight.answered, sight.failed), (true, 1, 1));
-    let sight = record.sight(ms(1_200));
+    let sight = record.take_sighting(ms(1_200));
     assert_eq!(sight, Some(HEARD));
-    assert_eq!(record.sight(ms(1_300)), None);
-    record.unanswered(ms(2_000));
+    assert_eq!(record.take_sighting(ms(1_300)), None);
+    record.connect_timed_out(ms(2_000));
     record.replaced();
-    let sight = record.sight(ms(2_010)).expect("it is lost");
+    let sight = record.take_sighting(ms(2_010)).expect("it is lost");
     assert!(sight.unreached && sight.replaced && !sight.heard);
 }
 
@@ -265,7 +272,7 @@
     let mut sightings = Sightings::default();
     sightings.relist(fresh(ENDPOINTS));
     let mut gone = vec![vec![false; ENDPOINTS]; ENTRIES];
-    let mut records = vec![vec![Record::default(); ENDPOINTS]; ENTRIES];
+    let mut records = vec![vec![HealthRecord::default(); ENDPOINTS]; ENTRIES];
     // When each entry tells next: twice a second, and soon after it lost an endpoint.
     let mut due: Vec<u64> = (0..ENTRIES as u64).map(|at| at * 5).collect();
     let mut met = 0;
@@ -278,7 +285,7 @@
             records[entry][at].replaced();
             due[entry] = due[entry].min(now + 150);
         } else if at >= REPLACED {
-            records[entry][at].heard(ms(now));
+            records[entry][at].received(ms(now));
         }
         for entry in 0..ENTRIES {
             if !told || due[entry] > now {
@@ -286,8 +293,9 @@
             }
             due[entry] = now + 500;
             let sights = records[entry].iter_mut().enumerate();
-            let sights = sights
-                .filter_map(|(at, record)| Some((at as u32, record.sight(ms(now))?)));
+            let sights = sights.filter_map(|(at, record)| {
+                Some((at as u32, record.take_sighting(ms(now))?))
+            });
             let sights: Vec<_> = sights.collect();
             sightings.tell(ms(now), entry as u64, sights.into_iter());
             for (place, verdict) in sightings.verdicts(ms(now)) {
--- a/crates/policy/tests/urgency.rs
+++ b/crates/policy/tests/urgency.rs
@@ -128,7 +128,8 @@
                 let beginning = random.random_range(0..BEGINNINGS);
                 let endpoint = mix(beginning) as usize % ENDPOINTS;
                 let objective = ms(kind.objective);
-                let hopeful = entries[entry].hopeful(ms(now), tier, least, objective);
+                let hopeful =
+                    entries[entry].can_meet_objective(ms(now), tier, least, objective);
                 let background = !hopeful;
                 entries[entry].sent(ms(now), tier, kind.tokens, background);
                 served[tier].came += usize::from(in_burst);
@@ -150,16 +151,16 @@
                 let kind = &KINDS[next.tier];
                 let waited = now - next.came;
                 let backlog = &mut entries[next.entry];
-                backlog.left(ms(next.came), next.tier, kind.tokens, next.background);
+                backlog.dequeued(ms(next.came), next.tier, kind.tokens, next.background);
                 if waited > kind.patience {
                     let counts = (2_000..10_000).contains(&next.came);
                     served[next.tier].nothing += usize::from(counts);
                     continue;
                 }
                 if !next.background {
-                    backlog.learn(ms(now), ms(waited));
+                    backlog.record_wait(ms(now), ms(waited));
                 }
-                backlog.read(ms(now), kind.tokens);
+                backlog.prefilled(ms(now), kind.tokens);
                 *free = now + (kind.tokens / RATE) as u64;
             }
         }
--- a/tests/all/burst.rs
+++ b/tests/all/burst.rs
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn urgent_never_gives_way_and_patient_ends() {
     let suite = Suite::parse("small", SUITE).unwrap();
-    let policy = dogwoodhill::policy::place::Policy::Predicted;
+    let policy = dogwoodhill::policy::placement::Policy::Predicted;
     let bench = Bench::start(&suite, policy).await;
     let entry = bench.entries()[0];
     // Two long ones run, five wait.
