--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -11,8 +11,8 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
-use dogwoodhill_policy::endpoint_health::{
-    EndpointHealth, EndpointIndex, HealthReport, ListedEndpoint,
+use dogwoodhill_policy::shared_health::{
+    EndpointIndex, HealthReport, ListSlot, SharedHealth,
 };
 use dogwoodhill_wire::demand::{Echo, EndpointVerdict, Stamp, TellDemand};
 use dogwoodhill_wire::list::{Contents, ListRead, Listed, Mark};
@@ -85,7 +85,7 @@
     /// When it was read, and how long that took.
     read: Option<(Duration, Duration)>,
     whole: Allowance,
-    sightings: EndpointHealth,
+    sightings: SharedHealth,
     /// What is told of them, and when it was worked out.
     verdicts: Option<(Duration, Vec<EndpointVerdict>)>,
 }
@@ -356,7 +356,7 @@
         let old = &self.contents.newest().endpoints;
         let kept = content.endpoints.iter().map(|listed| {
             let found = old.binary_search_by(|known| known.run.cmp(&listed.run));
-            ListedEndpoint {
+            ListSlot {
                 previous: found.ok(),
                 service: hash(listed.service.as_bytes()),
             }
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -11,10 +11,10 @@
 use dogwoodhill_core::fingerprint::shown;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
-use dogwoodhill_policy::endpoint_health::RECENT_WINDOW;
 use dogwoodhill_policy::quarantine::{
     LostRequest, NewQuarantine, Quarantine, SuspectNotice,
 };
+use dogwoodhill_policy::shared_health::RECENT_WINDOW;
 use dogwoodhill_wire::demand::{RequestStanding, Suspects, TellDemand};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -22,7 +22,7 @@
 use dogwoodhill_policy::affinity::{self, Candidate};
 use dogwoodhill_policy::event_gap;
 use dogwoodhill_policy::health::Health;
-use dogwoodhill_policy::incarnations::{Age, Incarnations};
+use dogwoodhill_policy::incarnations::{Incarnations, RunAge};
 use dogwoodhill_policy::packing;
 use endpoint::Look;
 use limits::ControlContact;
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -5,7 +5,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backlog::Backlog;
 use dogwoodhill_policy::interference::Interference;
-use dogwoodhill_policy::rate::ReadRate;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use dogwoodhill_policy::reservation::Reservation;
 use dogwoodhill_wire::demand::{ServiceDemand, Totals};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -14,9 +14,9 @@
 use dogwoodhill_policy::event_gap::EventGap;
 use dogwoodhill_policy::health::{Health, HealthRecord};
 use dogwoodhill_policy::packing::Occupancy;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use dogwoodhill_policy::queue_wait::QueueWait;
-use dogwoodhill_policy::rate::ReadRate;
-use dogwoodhill_policy::sightings::{Sight, Verdict};
+use dogwoodhill_policy::shared_health::{HealthReport, Verdict};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -108,7 +108,7 @@
     }
 
     /// Time until a prompt sent now would begin to be read.
-    fn wait(&self, now: Duration, rate: ReadRate, background: bool) -> Duration {
+    fn wait(&self, now: Duration, rate: PrefillRate, background: bool) -> Duration {
         let own = self.reading(rate, self.waits.tokens_ahead(background));
         own.max(self.waits.predicted(now))
     }
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/lists.rs
@@ -5,10 +5,10 @@
 use crate::directory::{Directory, Endpoint};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_policy::endpoint_health::Verdict;
 use dogwoodhill_policy::list_reads::{
     CONNECT_TIMEOUT, DEFAULT_LEAVING_WITHIN, ListReads, STALE_AFTER, ShrinkGuard,
 };
+use dogwoodhill_policy::shared_health::Verdict;
 use dogwoodhill_wire::demand::{EndpointSight, EndpointVerdict, Totals};
 use dogwoodhill_wire::list::{Content, Contents, ListRead, Mark};
 use std::pin::pin;
--- a/crates/direct/tests/all/dialect.rs
+++ b/crates/direct/tests/all/dialect.rs
@@ -55,7 +55,7 @@
             retry: Retry::parse_seconds(
                 text(headers, "retry-after").as_deref().into_iter(),
             ),
-            limit: Limit::named(text(headers, "x-limit").as_deref().into_iter()),
+            limit: Limit::from_values(text(headers, "x-limit").as_deref().into_iter()),
         }
     }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -4,9 +4,9 @@
 //! while they call themselves healthy, or stop answering on all connections at
 //! once. An entry learns that from its own requests: what came back lately, and for how
 //! long nothing did. Beside that it goes by what all entries together see
-//! ([`crate::endpoint_health`]), as long as that is fresh and nothing here disproves it.
+//! ([`crate::shared_health`]), as long as that is fresh and nothing here disproves it.
 
-use crate::endpoint_health::{HealthReport, RECENT_WINDOW, Verdict};
+use crate::shared_health::{HealthReport, RECENT_WINDOW, Verdict};
 use std::time::Duration;
 
 /// Weight of the newest outcome in the share of failures: about the last ten
@@ -146,7 +146,7 @@
     }
 
     /// What this entry met since it told the others last, if anything.
-    pub fn take_sighting(&mut self, now: Duration) -> Option<Sight> {
+    pub fn take_sighting(&mut self, now: Duration) -> Option<HealthReport> {
         let news = std::mem::take(&mut self.news);
         let alive = self.heard > Duration::ZERO;
         let alive = alive && now.saturating_sub(self.heard) < RECENT_WINDOW;
--- a/crates/policy/src/endpoint_health.rs
+++ b/crates/policy/src/shared_health.rs
@@ -172,7 +172,7 @@
 
 /// An endpoint on a list that has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListedEndpoint {
+pub struct ListSlot {
     /// The place that it had before, if it had one.
     pub previous: Option<usize>,
     /// Hash of the name of its service.
@@ -181,16 +181,16 @@
 
 /// What all entries see of the endpoints of one list.
 #[derive(Clone, Debug, Default)]
-pub struct EndpointHealth {
+pub struct SharedHealth {
     /// By place in the list.
     seen: Vec<Seen>,
     /// The same places' services.
     services: Vec<u64>,
 }
 
-impl EndpointHealth {
+impl SharedHealth {
     /// The list has changed. What was seen of those that stay is kept.
-    pub fn update_list(&mut self, endpoints: impl Iterator<Item = ListedEndpoint>) {
+    pub fn update_list(&mut self, endpoints: impl Iterator<Item = ListSlot>) {
         let old = std::mem::take(&mut self.seen);
         self.services.clear();
         for endpoint in endpoints {
--- a/crates/policy/tests/endpoint_health.rs
+++ b/crates/policy/tests/shared_health.rs
@@ -1,7 +1,7 @@
 //! What all entries together see of each endpoint.
 
 use dogwoodhill_policy::health::{Health, HealthRecord};
-use dogwoodhill_policy::sightings::{Kept, Sight, Sightings, Verdict};
+use dogwoodhill_policy::shared_health::{HealthReport, ListSlot, SharedHealth, Verdict};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -33,7 +33,7 @@
 
 /// Two endpoints, of which entries tell something about the second, in this order.
 fn verdict(told: &[(u64, u64, HealthReport)], now: u64) -> Option<Verdict> {
-    let mut sightings = EndpointHealth::default();
+    let mut sightings = SharedHealth::default();
     sightings.update_list(fresh(2));
     for (at, entry, sight) in told {
         sightings.record(ms(*at), *entry, std::iter::once((1, *sight)));
@@ -47,8 +47,8 @@
 }
 
 /// Endpoints of one service that were not on the list before.
-fn fresh(count: usize) -> impl Iterator<Item = ListedEndpoint> {
-    (0..count).map(|_| ListedEndpoint {
+fn fresh(count: usize) -> impl Iterator<Item = ListSlot> {
+    (0..count).map(|_| ListSlot {
         previous: None,
         service: 1,
     })
@@ -152,8 +152,8 @@
 /// sound, fails as much: that one is told, since only there others do better.
 #[test]
 fn verdict_failing_only_above_its_service() {
-    let mut sightings = EndpointHealth::default();
-    let kept = |at: usize| ListedEndpoint {
+    let mut sightings = SharedHealth::default();
+    let kept = |at: usize| ListSlot {
         previous: None,
         service: if at < 10 { 1 } else { 2 },
     };
@@ -196,13 +196,13 @@
 
 #[test]
 fn relist_keeps_what_is_known_of_those_that_stay() {
-    let mut sightings = EndpointHealth::default();
+    let mut sightings = SharedHealth::default();
     sightings.update_list(fresh(3));
     for entry in 0..2 {
         let told = [(2, REPLACED), (9, REPLACED), (u32::MAX, UNREACHED)];
         sightings.record(ms(0), entry, told.into_iter());
     }
-    let kept = |previous| ListedEndpoint {
+    let kept = |previous| ListSlot {
         previous,
         service: 1,
     };
@@ -242,14 +242,14 @@
     record.received(ms(1_000));
     record.record_outcome(ms(1_000), true);
     let sight = record.take_sighting(ms(1_100)).expect("an answer");
-    assert_eq!((sight.heard, sight.answered, sight.failed), (true, 1, 1));
+    assert_eq!((sight.alive, sight.answered, sight.failed), (true, 1, 1));
     let sight = record.take_sighting(ms(1_200));
     assert_eq!(sight, Some(HEARD));
     assert_eq!(record.take_sighting(ms(1_300)), None);
     record.connect_timed_out(ms(2_000));
     record.replaced();
     let sight = record.take_sighting(ms(2_010)).expect("it is lost");
-    assert!(sight.unreached && sight.replaced && !sight.heard);
+    assert!(sight.unreached && sight.replaced && !sight.alive);
 }
 
 /// A hundred entries before 180 endpoints, of which thirty are replaced at once while
@@ -272,7 +272,7 @@
     const ENDPOINTS: usize = 180;
     const REPLACED: usize = 30;
     let mut random = StdRng::seed_from_u64(7);
-    let mut sightings = EndpointHealth::default();
+    let mut sightings = SharedHealth::default();
     sightings.update_list(fresh(ENDPOINTS));
     let mut gone = vec![vec![false; ENDPOINTS]; ENTRIES];
     let mut records = vec![vec![HealthRecord::default(); ENDPOINTS]; ENTRIES];
--- a/crates/wire/src/demand.rs
+++ b/crates/wire/src/demand.rs
@@ -4,7 +4,7 @@
 use crate::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use crate::list::ListRead;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::endpoint_health::Verdict;
+use dogwoodhill_policy::shared_health::Verdict;
 use serde::{Deserialize, Serialize};
 
 /// Path of [`TellDemand`].
