--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -5,8 +5,8 @@
 use crate::replica::Replica;
 use dogwoodhill_consensus::Index;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::control::{Answered, Unable};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::time::{Instant, sleep, timeout_at};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Service {
     replica: Replica,
-    caller: Caller,
+    caller: PeerClient,
 }
 
 impl Service {
@@ -49,7 +49,7 @@
         let end = Instant::now() + PATIENCE;
         loop {
             match timeout_at(end, self.submit_once(action)).await {
-                Err(_) => return Err(Unable::NoMajority),
+                Err(_) => return Err(ControlUnavailable::NoMajority),
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(_)) => sleep(PAUSE).await,
             }
@@ -61,26 +61,26 @@
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`PATIENCE`].
-    pub async fn confirm(&self) -> Answered<Index> {
+    /// [`ControlUnavailable::NoMajority`] after [`PATIENCE`].
+    pub async fn confirm(&self) -> ControlReply<Index> {
         let end = Instant::now() + PATIENCE;
         loop {
             match timeout_at(end, self.confirm_once()).await {
-                Err(_) => return Err(Unable::NoMajority),
+                Err(_) => return Err(ControlUnavailable::NoMajority),
                 Ok(Ok(index)) => return Ok(index),
                 Ok(Err(_)) => sleep(PAUSE).await,
             }
         }
     }
 
-    async fn submit_once(&self, action: &Action) -> Answered<Reply> {
+    async fn submit_once(&self, action: &Action) -> ControlReply<Reply> {
         if self.replica.standing.borrow().leads {
             return self.replica.propose(action.clone()).await;
         }
         self.pass_on(SUBMIT_PATH, action).await
     }
 
-    async fn confirm_once(&self) -> Answered<Index> {
+    async fn confirm_once(&self) -> ControlReply<Index> {
         let leads = self.replica.standing.borrow().leads;
         let index = if leads {
             self.replica.confirm().await?
@@ -89,7 +89,9 @@
         };
         let mut applied = self.replica.applied.clone();
         let reached = applied.wait_for(|applied| *applied >= index).await;
-        reached.map(|_| index).map_err(|_| Unable::NoMajority)
+        reached
+            .map(|_| index)
+            .map_err(|_| ControlUnavailable::NoMajority)
     }
 
     /// Forwards a message to the leader.
@@ -99,8 +101,10 @@
         A: DeserializeOwned,
     {
         let leader = self.replica.standing.borrow().leader;
-        let address = leader.ok_or(Unable::NoMajority)?;
-        let call = self.caller.call::<M, Answered<A>>(address, path, message);
-        call.await.unwrap_or(Err(Unable::NoMajority))
+        let address = leader.ok_or(ControlUnavailable::NoMajority)?;
+        let call = self
+            .caller
+            .call::<M, ControlReply<A>>(address, path, message);
+        call.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 }
--- a/crates/control/src/sets.rs
+++ b/crates/control/src/sets.rs
@@ -4,7 +4,7 @@
 //! retains some sets that newer ones have replaced.
 
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::routes::HeldRoutes;
+use dogwoodhill_wire::routes::StoredRoutes;
 use std::sync::Arc;
 
 /// Changes within some 10 ms of each other come in series of a few dozen, and a transfer
@@ -15,7 +15,7 @@
 
 /// The newest route set and some previous ones, oldest first. Clones share the contents.
 #[derive(Clone, Debug, Default)]
-pub struct Sets(Vec<Arc<HeldRoutes>>);
+pub struct Sets(Vec<Arc<StoredRoutes>>);
 
 impl Sets {
     /// Adds a set if it is newer than all others. Returns whether it was added.
@@ -23,7 +23,7 @@
         let Some(held) = held.filter(|held| Some(held.version) > self.version()) else {
             return false;
         };
-        let replaced = |sets: &[Arc<HeldRoutes>]| -> usize {
+        let replaced = |sets: &[Arc<StoredRoutes>]| -> usize {
             sets.iter().map(|held| held.source.len()).sum()
         };
         while self.0.len() >= MOST || replaced(&self.0) > MOST_BYTES {
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -5,7 +5,9 @@
 use crate::service::Service;
 use crate::state::Documents;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{Accepted, Answered, News, Unable, Update, Watch};
+use dogwoodhill_wire::control::{
+    AcceptedDocument, ControlReply, ControlUnavailable, DocumentChange, Update, Watch,
+};
 use std::sync::Arc;
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep_until};
@@ -27,7 +29,7 @@
     service: &Service,
     presence: &Presence,
     watch: Watch,
-) -> Answered<Update> {
+) -> ControlReply<Update> {
     let _polling = watch.entry.then(|| presence.poll(&watch.daemon));
     service.confirm().await?;
     let mut applied = service.replica().applied.clone();
@@ -40,29 +42,29 @@
         applied.mark_unchanged();
         let entries = *count.borrow_and_update();
         let changes = changes(service, &watch, entries);
-        let news = !changes.news.is_empty() || changes.revision < watch.revision;
+        let news = !changes.changes.is_empty() || changes.revision < watch.revision;
         let counted = watch.entry && entries != watch.entries;
         if news || counted || Instant::now() >= end {
             return Ok(changes);
         }
         tokio::select! {
-            changed = applied.changed() => changed.map_err(|_| Unable::NoMajority)?,
-            changed = count.changed() => changed.map_err(|_| Unable::NoMajority)?,
+            changed = applied.changed() => changed.map_err(|_| ControlUnavailable::NoMajority)?,
+            changed = count.changed() => changed.map_err(|_| ControlUnavailable::NoMajority)?,
             () = sleep_until(end) => {}
-            () = &mut lost => return Err(Unable::NoMajority),
+            () = &mut lost => return Err(ControlUnavailable::NoMajority),
         }
     }
 }
 
 fn changes(service: &Service, watch: &Watch, entries: u32) -> Update {
     let documents = service.replica().documents.load();
-    let news = match watch.entry {
+    let changes = match watch.entry {
         true => documents.since(watch.revision, watch.service.as_deref()),
         false => own_part(&documents, watch),
     };
     Update {
         revision: documents.revision,
-        news,
+        changes,
         entries,
     }
 }
@@ -82,7 +84,7 @@
     document
         .endpoints
         .retain(|endpoint| endpoint.name == watch.daemon);
-    vec![News::Whole(Accepted {
+    vec![DocumentChange::Whole(AcceptedDocument {
         revision: history.revision(),
         document: Arc::new(document),
     })]
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -31,7 +31,7 @@
 
 /// How news of an endpoint compare with what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Age {
+pub enum RunAge {
     /// They are of a run that was not known, and that is the newest now.
     Newer,
     /// They are of the newest run.
@@ -57,7 +57,7 @@
 
 impl Incarnations {
     /// Takes in that `run` is listed; `leaving`: as one that is about to stop.
-    pub fn told(&mut self, now: Duration, run: &Incarnation, leaving: bool) -> Age {
+    pub fn record(&mut self, now: Duration, run: &Incarnation, leaving: bool) -> RunAge {
         let new = Known {
             run: run.clone(),
             leaving,
@@ -67,21 +67,21 @@
             Ok(at) => at,
             Err(at) => {
                 self.known.insert(at, new);
-                return Age::Newer;
+                return RunAge::Newer;
             }
         };
         let known = &mut self.known[at];
         match run.cmp_start(&known.run) {
-            Ordering::Less => Age::Older,
+            Ordering::Less => RunAge::Older,
             Ordering::Greater => {
                 *known = new;
-                Age::Newer
+                RunAge::Newer
             }
             Ordering::Equal => {
-                known.run.born = known.run.born.or(run.born);
+                known.run.start = known.run.start.or(run.start);
                 known.leaving |= leaving;
                 known.seen = now;
-                Age::Current
+                RunAge::Current
             }
         }
     }
@@ -96,7 +96,7 @@
     /// endpoints that are not on it.
     pub fn forget(&mut self, now: Duration) {
         self.known.retain(|known| {
-            let kept = known.run.born.map_or(Duration::ZERO, |_| KEPT);
+            let kept = known.run.start.map_or(Duration::ZERO, |_| KEPT);
             now.saturating_sub(known.seen) <= kept
         });
         let excess = self.known.len().saturating_sub(MOST);
