--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -107,7 +107,7 @@
     }
 
     /// Forwards a message to each instance in turn until one answers.
-    async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
+    async fn pass_on<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -29,7 +29,7 @@
     #[display("{source}")]
     Invalid {
         /// First fault of the set.
-        source: Invalid,
+        source: InvalidRouteSet,
     },
     /// No majority answered; the set may or may not have taken effect.
     #[display("no majority confirmed in time; send the same set again")]
@@ -38,7 +38,7 @@
     #[display("{source}")]
     Unreadable {
         /// Cause reported by the decoder.
-        source: PackError,
+        source: DecompressError,
     },
     /// No set has been accepted yet.
     #[display("no route set was accepted yet; send one")]
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -30,7 +30,7 @@
 impl Service {
     /// A service that submits commands through `replica` or, if another instance leads,
     /// through `caller`.
-    pub fn new(replica: Replica, caller: Caller) -> Self {
+    pub fn new(replica: Replica, caller: PeerClient) -> Self {
         Self { replica, caller }
     }
 
@@ -44,8 +44,9 @@
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`PATIENCE`]; the command may have taken effect.
-    pub async fn submit(&self, action: &Action) -> Answered<Reply> {
+    /// [`Unable::NoMajority`] after [`REQUEST_TIMEOUT`]; the command may have taken
+    /// effect.
+    pub async fn submit(&self, action: &Action) -> ControlReply<Reply> {
         let end = Instant::now() + PATIENCE;
         loop {
             match timeout_at(end, self.submit_once(action)).await {
@@ -61,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable::NoMajority`] after [`PATIENCE`].
+    /// [`Unable::NoMajority`] after [`REQUEST_TIMEOUT`].
     pub async fn confirm(&self) -> ControlReply<Index> {
         let end = Instant::now() + PATIENCE;
         loop {
@@ -95,7 +96,7 @@
     }
 
     /// Forwards a message to the leader.
-    pub(crate) async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
+    pub(crate) async fn pass_on<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
--- a/crates/control/src/sets.rs
+++ b/crates/control/src/sets.rs
@@ -19,7 +19,7 @@
 
 impl Sets {
     /// Adds a set if it is newer than all others. Returns whether it was added.
-    pub fn take(&mut self, held: Option<&Arc<HeldRoutes>>) -> bool {
+    pub fn take(&mut self, held: Option<&Arc<StoredRoutes>>) -> bool {
         let Some(held) = held.filter(|held| Some(held.version) > self.version()) else {
             return false;
         };
@@ -34,7 +34,7 @@
     }
 
     /// The set with the highest version.
-    pub fn newest(&self) -> Option<&Arc<HeldRoutes>> {
+    pub fn newest(&self) -> Option<&Arc<StoredRoutes>> {
         self.0.last()
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// The set with this version, if it is still retained.
-    pub fn find(&self, version: Version) -> Option<&Arc<HeldRoutes>> {
+    pub fn find(&self, version: Version) -> Option<&Arc<StoredRoutes>> {
         let found = self.0.binary_search_by_key(&version, |held| held.version);
         found.ok().map(|at| &self.0[at])
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// All faults of the text, not only the first.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -71,7 +71,7 @@
 
 /// The part of the service's document that an agent needs: workspaces and the endpoints
 /// of other agents are left out.
-fn own_part(documents: &Documents, watch: &Watch) -> Vec<News> {
+fn own_part(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
     let history = watch
         .service
         .as_ref()
