--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,6 +1,8 @@
-//! Commands of the replicated state machine and what they answer.
+//! Commands of the replicated state machine and their replies.
 
-use crate::state::{FixUsage, GiveUp, Hold, Holds, Quarantined, UsageOwed};
+use crate::state::{
+    AcquireDuty, AcquireOutcome, CommitUsage, PendingUsage, Quarantined, ReleaseDuty,
+};
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::control::{
@@ -9,52 +11,52 @@
 use dogwoodhill_wire::routes::StoredRoutes;
 use serde::{Deserialize, Serialize};
 
-/// A command with the time at which the leader took it.
+/// A log entry of the state machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// The cluster's own time, see [`crate::state::State::now`].
+    /// Cluster time on the leader, see [`crate::state::State::now`].
     pub now: Duration,
-    /// Milliseconds since the Unix epoch by the leader's clock, for people.
-    pub wall: u64,
-    /// What to do.
+    /// Wall clock of the leader, in milliseconds since the Unix epoch. For display only.
+    pub wall_ms: u64,
+    /// The change to apply.
     pub action: Action,
 }
 
-/// What a command does.
+/// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Puts a document in force.
+    /// Replaces a service document.
     Put(Put),
-    /// Claims a request.
+    /// Claims a non-idempotent request.
     Take(TakeClaim),
-    /// Ends a claimed request.
+    /// Records the outcome of a claimed request.
     Finish(FinishClaim),
-    /// Takes or prolongs a lease.
+    /// Acquires or renews the lease of an endpoint.
     Acquire(Acquire),
-    /// Puts a route set in force, unless a newer one is.
+    /// Replaces the route set unless a newer one is in force.
     Routes(StoredRoutes),
-    /// Keeps a request from being sent on.
+    /// Quarantines a request.
     Quarantine(Quarantined),
-    /// Takes or prolongs the lease of a duty.
-    Hold(Hold),
-    /// Gives the lease of a duty up.
-    GiveUp(GiveUp),
-    /// Fixes the usage of windows.
-    FixUsage(FixUsage),
+    /// Acquires or renews the lease of a duty.
+    Hold(AcquireDuty),
+    /// Releases the lease of a duty.
+    GiveUp(ReleaseDuty),
+    /// Commits the usage of closed windows.
+    FixUsage(CommitUsage),
 }
 
-/// A document that an operator wants in force.
+/// A new version of a service document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Put {
-    /// Team the operator's key belongs to.
+    /// Team that the operator's key belongs to.
     pub team: TeamId,
-    /// Text, as it was written.
+    /// Text as submitted.
     pub text: String,
-    /// What the text says.
+    /// The parsed text.
     pub document: ServiceDocument,
 }
 
-/// What a command answers.
+/// Reply of the state machine to a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Action::Put`].
@@ -65,52 +67,52 @@
     Finished,
     /// To [`Action::Acquire`].
     Lease(LeaseReply),
-    /// To [`Action::Routes`]: the version in force now.
+    /// To [`Action::Routes`]: the current version.
     Routes(Version),
     /// To [`Action::Quarantine`].
     Quarantined,
     /// To [`Action::Hold`].
-    Holds(Holds),
+    Holds(AcquireOutcome),
     /// To [`Action::GiveUp`].
     GivenUp,
-    /// To [`Action::FixUsage`]: what is owed, or how long another machine holds the duty.
-    Usage(Result<UsageOwed, Duration>),
+    /// To [`Action::FixUsage`]: the backlog, or how long another machine holds the duty.
+    Usage(Result<PendingUsage, Duration>),
 }
 
-/// A document is in force.
+/// Record of an accepted document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acceptance {
-    /// Service.
+    /// Service that the document describes.
     pub service: ServiceId,
-    /// Version.
+    /// Version of the document.
     pub version: Version,
     /// Revision at which it was accepted.
     pub revision: Revision,
-    /// Team that put it in force.
+    /// Team that submitted it.
     pub team: TeamId,
-    /// When, in milliseconds since the Unix epoch.
+    /// Wall clock of the leader, in milliseconds since the Unix epoch.
     pub wall: u64,
 }
 
-/// Why a document was not accepted.
+/// Why a document was rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PutError {
-    /// The version was accepted with other content.
+    /// The version was already accepted with different content.
     #[display("version {} of {} was accepted with other content from team {}; get it, merge, and apply version {next}", won.version, won.service, won.team)]
     Conflict {
-        /// The acceptance that won.
+        /// The earlier acceptance.
         won: Acceptance,
-        /// Version to use next.
+        /// The next free version.
         next: Version,
     },
-    /// The version is not the next one.
+    /// The version does not follow the current one.
     #[display(
         "version {given} is not the next one; get the current document and apply version {next}"
     )]
     Sequence {
-        /// Version that was sent.
+        /// Submitted version.
         given: Version,
-        /// Version to use.
+        /// Expected version.
         next: Version,
     },
     /// The service belongs to another team.
@@ -118,7 +120,7 @@
         "the service belongs to team {owner}; ask that team, or use one of its keys"
     )]
     Owner {
-        /// Owner.
+        /// Team that owns the service.
         owner: TeamId,
     },
 }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,20 +1,22 @@
-//! A control instance's life from start to drain.
+//! Life cycle of a control instance, from start to drain.
 
 use crate::demand::Demand;
-use crate::forward::{self, ANNOUNCE_PATH, Announced};
+use crate::forward::{self, ANNOUNCE_PATH, Announcement};
 use crate::internal;
-use crate::internal::{CLUSTER_PATH, Inside, JOIN_PATH, MEMBER_PATH};
-use crate::limits::Limits as EndpointLimits;
-use crate::lists::Lists;
-use crate::operators::{self, Outside};
+use crate::internal::{CLUSTER_PATH, InternalApi, JOIN_PATH, MEMBER_PATH};
+use crate::limits::LimitTracker;
+use crate::lists::EndpointLists;
+use crate::operators::{self, OperatorApi};
 use crate::peers::Peers;
 use crate::presence::{INTERVAL, PRESENCE_PATH, Presence};
-use crate::quarantine::Quarantines;
-use crate::replica::{Driver, Input, Limits, Made, Replica, Standing, make};
-use crate::reporter::{Reporter, Stats, UsageSink};
+use crate::quarantine::QuarantineTracker;
+use crate::replica::{
+    Driver, Input, Replica, ReplicaConfig, ReplicaParts, ReplicaStatus, build_replica,
+};
+use crate::reporter::{Reporter, ReporterMetrics, UsageSink};
 use crate::service::Service;
 use crate::settings::{Settings, Start};
-use crate::usage::Usage;
+use crate::usage::UsageTracker;
 use axum::Router;
 use derive_more::{Display, Error};
 use dogwoodhill_consensus::NodeId;
@@ -33,50 +35,50 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-/// Longest time a joining instance looks for its cluster.
-const JOIN_PATIENCE: Duration = Duration::from_secs(60);
-/// Pause between tries to join. A founding deployment has to take its first
-/// change within seconds of its start.
-const JOIN_PAUSE: Duration = Duration::from_millis(200);
-/// Time without contact after which an instance asks whether it is a member
-/// still; longer than an election usually takes.
-const DOUBT: Duration = Duration::from_millis(1_500);
-/// Longest wait for one peer.
+/// Longest time for which a joining instance looks for its cluster.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
+/// Delay between attempts to join. A new deployment must accept its first change within
+/// seconds of its start.
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time without contact after which an instance checks whether it is still a member;
+/// longer than a typical election.
+const MEMBERSHIP_CHECK_DELAY: Duration = Duration::from_millis(1_500);
+/// Time-out of a call to one peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for another instance to take leadership over.
-const HAND_OVER: Duration = Duration::from_secs(2);
+/// Longest wait for another instance to become leader.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an instance can't run.
 #[derive(Debug, Display, Error)]
 pub enum ControlError {
-    /// An address can't be bound.
+    /// A listener address can't be bound.
     #[display("an address can't be bound")]
     Listen,
-    /// The data folder can't be used.
+    /// The data folder can't be opened or created.
     #[display("the data folder can't be used")]
     Store,
-    /// A peer belongs to a cluster already.
+    /// Bootstrapping was refused because a peer already belongs to a cluster.
     #[display(
         "{address} belongs to a cluster already; start with --join instead of --bootstrap"
     )]
     #[error(ignore)]
-    Formed {
-        /// The peer.
+    AlreadyInCluster {
+        /// Address of the peer.
         address: SocketAddr,
     },
-    /// No peer answered.
+    /// No peer answered while the instance looked for a cluster to join.
     #[display(
         "no peer answered; check `peers` and that one instance was started with --bootstrap"
     )]
-    Alone,
+    NoPeerAnswered,
 }
 
-/// What a platform adds to an instance.
+/// Platform-specific additions to an instance.
 #[derive(Clone, Debug)]
 pub struct Extensions {
-    /// Routes for operators.
+    /// Additional routes of the operator API.
     pub routes: fn(Service) -> Router,
-    /// Whom usage is reported to.
+    /// Receiver of usage reports.
     pub usage: Option<Arc<dyn UsageSink>>,
 }
 
@@ -89,16 +91,17 @@
     }
 }
 
-/// Pause before an instance whose disk failed opens its folder again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(700);
+/// Delay before the data folder is reopened after a disk failure.
+const REOPEN_DELAY: Duration = Duration::from_millis(700);
 
-/// Runs an instance until its drain is complete. One whose disk fails takes no
-/// part until the folder can be opened again; what is on disk then decides, as
+/// Runs an instance until its drain is complete. After a disk failure, the instance does
+/// not take part until its data folder can be reopened, and then restarts from disk as
 /// after a crash.
 ///
 /// # Errors
 ///
-/// Text that says why the instance can't run.
+/// A message that says why the instance stopped during a drain or, without a disk, why it
+/// can't start.
 pub async fn run_until_drained(
     mut settings: Settings,
     drain: Drain,
@@ -108,10 +111,10 @@
     if settings.data.as_os_str().is_empty() {
         return forward::run(settings, drain).await;
     }
-    let known = watch::Sender::new(addresses(&settings));
-    let _refresh = helper(follow_seeds(changed, known.clone()));
+    let peer_addresses = watch::Sender::new(configured_addresses(&settings));
+    let _refresh = spawn_task(publish_addresses(changed, peer_addresses.clone()));
     loop {
-        settings.known = Some(known.subscribe());
+        settings.address_updates = Some(peer_addresses.subscribe());
         let started = tokio::select! {
             bound = Control::bind(settings.clone(), drain.clone()) => bound,
             () = drain.wait() => break,
@@ -127,27 +130,27 @@
                 Event::new("control-restarts")
                     .field("reason", error)
                     .error();
-                sleep(REOPEN_PAUSE).await;
+                sleep(REOPEN_DELAY).await;
             }
         }
     }
     Ok(())
 }
 
-/// Takes addresses of other instances out of settings that changed.
-async fn follow_seeds(
+/// Publishes the addresses of other instances whenever the settings change.
+async fn publish_addresses(
     mut changed: Changed<Settings>,
-    known: watch::Sender<Vec<SocketAddr>>,
+    peer_addresses: watch::Sender<Vec<SocketAddr>>,
 ) {
     while changed.changed().await.is_ok() {
         let settings = changed.borrow_and_update().clone();
         if let Some(settings) = settings {
-            known.send_replace(addresses(&settings));
+            peer_addresses.send_replace(configured_addresses(&settings));
         }
     }
 }
 
-/// A control instance that is listening.
+/// A control instance with bound listeners.
 #[derive(Debug)]
 pub struct Control {
     operators: Listener,
@@ -155,14 +158,14 @@
     settings: Settings,
     member: Member,
     cluster: u128,
-    caller: PeerClient,
+    client: PeerClient,
     replica: Replica,
     driver: Driver,
     drain: Drain,
 }
 
 impl Control {
-    /// Opens the data folder and binds the addresses.
+    /// Opens the data folder and binds the listeners.
     ///
     /// # Errors
     ///
@@ -171,10 +174,10 @@
         settings: Settings,
         drain: Drain,
     ) -> Result<Self, Report<ControlError>> {
-        let caller = PeerClient::new(settings.secret.clone());
-        // Until the folder is open there is nothing to answer: who calls
-        // meanwhile is better refused than kept waiting.
-        let opened = open(&settings, &caller).await?;
+        let client = PeerClient::new(settings.secret.clone());
+        // Opened before the listeners are bound: a refused connection is better for
+        // callers than one that nobody serves yet.
+        let opened = open_store(&settings, &client).await?;
         let operators = Listener::bind(settings.listen)
             .await
             .change_context(ControlError::Listen)?;
@@ -190,13 +193,13 @@
             voter: false,
             seat: fresh && (settings.start != Start::Seeded || settings.seeds.founding),
         };
-        let peers = Peers::new(identity.cluster, caller.clone());
+        let peers = Peers::new(identity.cluster, client.clone());
         let seed = rand::rng().random();
-        let Made {
+        let ReplicaParts {
             replica,
             mut driver,
-        } = make(opened, peers, limits(&settings), seed);
-        if fresh && founds(&settings) {
+        } = build_replica(opened, peers, replica_config(&settings), seed);
+        if fresh && creates_cluster(&settings) {
             driver.bootstrap(member.clone());
         }
         Ok(Self {
@@ -205,42 +208,42 @@
             settings,
             member,
             cluster: identity.cluster,
-            caller,
+            client,
             replica,
             driver,
             drain,
         })
     }
 
-    /// Address for operators.
+    /// Address of the operator API.
     pub fn operators(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Address for the router's own processes.
+    /// Address for other processes of the router.
     pub fn internal(&self) -> SocketAddr {
         self.internal.address()
     }
 
-    /// The cluster as this instance offers it.
+    /// Access to the cluster through this instance.
     pub fn service(&self) -> Service {
-        Service::new(self.replica.clone(), self.caller.clone())
+        Service::new(self.replica.clone(), self.client.clone())
     }
 
     /// Serves until the drain is complete or the disk fails.
     ///
     /// # Errors
     ///
-    /// Text that says why the instance stopped.
+    /// A message that says why the instance stopped.
     pub async fn run(self) -> Result<(), String> {
         self.run_with(Extensions::default()).await
     }
 
-    /// Serves like [`Control::run`], with what a platform adds.
+    /// Like [`Control::run`], with platform-specific additions.
     ///
     /// # Errors
     ///
-    /// Text that says why the instance stopped.
+    /// A message that says why the instance stopped.
     pub async fn run_with(self, extensions: Extensions) -> Result<(), String> {
         Event::new("control-started")
             .field("name", &self.settings.name)
@@ -249,19 +252,19 @@
             .field("internal", self.internal())
             .info();
         let service = self.service();
-        let quarantines = Quarantines::following(self.replica.quarantined.clone());
+        let quarantine = QuarantineTracker::with_log(self.replica.quarantined.clone());
         let presence = Presence::default();
-        let usage = Usage::new(self.replica.clone());
-        let extra = (extensions.routes)(service.clone());
-        let outside =
-            Outside::new(service.clone(), presence.clone(), &self.settings.teams);
-        let inside = Inside {
+        let usage = UsageTracker::new(self.replica.clone());
+        let platform_routes = (extensions.routes)(service.clone());
+        let operator_api =
+            OperatorApi::new(service.clone(), presence.clone(), &self.settings.teams);
+        let internal_api = InternalApi {
             service: service.clone(),
             presence: presence.clone(),
             demand: Demand::default(),
-            lists: Lists::default(),
-            limits: EndpointLimits::default(),
-            quarantines,
+            lists: EndpointLists::default(),
+            limits: LimitTracker::default(),
+            quarantine,
             usage: usage.clone(),
             cluster: self.cluster,
             secret: Arc::new(self.settings.secret.clone()),
@@ -271,41 +274,60 @@
         let reporter = reporter.map(|(sink, settings)| {
             let machine = self.member.address;
             let entries = presence.count();
-            let stats = Stats::new(&metrics);
-            let reporter =
-                Reporter::new(settings, machine, usage, service, sink, entries, stats);
+            let reporter_metrics = ReporterMetrics::new(&metrics);
+            let reporter = Reporter::new(
+                settings,
+                machine,
+                usage,
+                service,
+                sink,
+                entries,
+                reporter_metrics,
+            );
             AbortOnDropHandle::new(tokio::spawn(reporter.run(self.drain.clone())))
         });
         let health =
-            health::routes(&self.drain, &metrics, ready(&self.replica, &metrics));
-        let public = operators::routes(outside)
+            health::routes(&self.drain, &metrics, readiness(&self.replica, &metrics));
+        let public = operators::routes(operator_api)
             .merge(health.clone())
-            .merge(extra);
-        let private =
-            internal::ending_polls(internal::routes(inside), self.drain.clone());
+            .merge(platform_routes);
+        let private = internal::end_polls_on_drain(
+            internal::routes(internal_api),
+            self.drain.clone(),
+        );
         let private = private.merge(health);
         let replica = self.replica.clone();
-        let stop = hand_over(replica.clone(), self.drain.clone(), reporter);
+        let stop = shut_down(replica.clone(), self.drain.clone(), reporter);
         let drain = self.drain.clone();
         let linger = self.settings.linger;
         let handle = replica.clone();
-        let known = self.settings.known();
-        let announced = Announced {
+        let peer_addresses = self.settings.peer_addresses();
+        let announcement = Announcement {
             cluster: self.cluster,
             internal: self.internal(),
             operators: self.operators(),
         };
-        // Tasks end with this one, however it ends.
+        // Aborted when this future is dropped.
         let mut driver = AbortOnDropHandle::new(tokio::spawn(self.driver.run()));
-        let _helpers = [
-            helper(tell(replica.clone(), presence, self.caller.clone())),
-            helper(announce(
+        let _tasks = [
+            spawn_task(broadcast_presence(
                 replica.clone(),
-                announced,
-                known.clone(),
-                self.caller.clone(),
+                presence,
+                self.client.clone(),
+            )),
+            spawn_task(announce(
+                replica.clone(),
+                announcement,
+                peer_addresses.clone(),
+                self.client.clone(),
+            )),
+            spawn_task(maintain_membership(
+                replica,
+                self.member,
+                peer_addresses,
+                self.client,
+                drain,
             )),
-            helper(stay_member(replica, self.member, known, self.caller, drain)),
         ];
         let stopping = Drain::default();
         let serve = async {
@@ -329,25 +351,25 @@
         match ended {
             Ok(Ok(())) => Ok(()),
             Ok(Err(stopped)) => Err(stopped.to_string()),
-            Err(_) => Err("the replica's task failed; report this fault".to_string()),
+            Err(_) => Err("the replica task panicked; this is a bug".to_string()),
         }
     }
 }
 
-fn ready(replica: &Replica, metrics: &Metrics) -> health::Ready {
-    let standing = replica.standing.clone();
+fn readiness(replica: &Replica, metrics: &Metrics) -> health::Ready {
+    let status = replica.status.clone();
     let gauges = metrics.gauges(
         "dogwoodhill_control_standing",
         "Term, leadership, contact, log bytes and claims of this instance",
         &["what"],
     );
     Arc::new(move || {
-        let now = standing.borrow().clone();
+        let now = status.borrow().clone();
         let values = [
             ("term", now.term as i64),
             ("leads", i64::from(now.leads)),
             ("contact", i64::from(now.contact)),
-            ("log_bytes", now.size as i64),
+            ("log_bytes", now.log_bytes as i64),
             ("claims", now.claims as i64),
         ];
         for (what, value) in values {
@@ -357,52 +379,52 @@
     })
 }
 
-fn limits(settings: &Settings) -> Limits {
-    Limits {
-        compact: settings.compact,
-        copies: settings.losses * 2 + 1,
+fn replica_config(settings: &Settings) -> ReplicaConfig {
+    ReplicaConfig {
+        compact_after: settings.compact_after,
+        min_voters: settings.tolerated_losses * 2 + 1,
     }
 }
 
-/// Addresses at which other instances may answer.
-pub(crate) fn addresses(settings: &Settings) -> Vec<SocketAddr> {
+/// Configured addresses of other instances.
+pub(crate) fn configured_addresses(settings: &Settings) -> Vec<SocketAddr> {
     let all = settings.peers.iter().chain(&settings.seeds.addresses);
     let others = all.copied().filter(|address| *address != settings.internal);
     others.collect()
 }
 
-/// Whether an instance without state is the one that makes a new cluster.
-fn founds(settings: &Settings) -> bool {
+/// Whether an instance without state creates the cluster.
+fn creates_cluster(settings: &Settings) -> bool {
     let seeds = &settings.seeds;
     let first = seeds.addresses.iter().min() == Some(&settings.internal);
     match settings.start {
         Start::Bootstrap => true,
         Start::Seeded => seeds.founding && first,
-        Start::Again | Start::Join => false,
+        Start::Existing | Start::Join => false,
     }
 }
 
-async fn open(
+async fn open_store(
     settings: &Settings,
-    caller: &PeerClient,
+    client: &PeerClient,
 ) -> Result<Opened, Report<ControlError>> {
     let fault = ControlError::Store;
     let files = DiskFiles::open(&settings.data).change_context(fault)?;
     let vacant = Store::vacant(&files).change_context(ControlError::Store)?;
     let opened = match (vacant, settings.start) {
-        (true, Start::Again) => Err(StoreError::Empty),
+        (true, Start::Existing) => Err(StoreError::Empty),
         (false, Start::Bootstrap) => Err(StoreError::Occupied),
         (false, _) => Store::open(Box::new(files)),
-        (true, _) if founds(settings) => {
-            refuse_second_cluster(settings, caller).await?;
-            create(files, rand::rng().random())
+        (true, _) if creates_cluster(settings) => {
+            refuse_second_cluster(settings, client).await?;
+            create_store(files, rand::rng().random())
         }
-        (true, _) => create(files, find_cluster(settings, caller).await?),
+        (true, _) => create_store(files, find_cluster_id(settings, client).await?),
     };
     opened.change_context(ControlError::Store)
 }
 
-fn create(files: DiskFiles, cluster: u128) -> Result<Opened, StoreError> {
+fn create_store(files: DiskFiles, cluster: u128) -> Result<Opened, StoreError> {
     let identity = Identity {
         cluster,
         node: rand::rng().random(),
@@ -410,92 +432,94 @@
     Store::create(Box::new(files), identity)
 }
 
-/// A new cluster beside an existing one would put older documents in force.
+/// Refuses to create a second cluster next to an existing one; it would serve older
+/// documents.
 async fn refuse_second_cluster(
     settings: &Settings,
-    caller: &PeerClient,
+    client: &PeerClient,
 ) -> Result<(), Report<ControlError>> {
-    for address in addresses(settings) {
-        if cluster_of(caller, address).await.is_some() {
-            return Err(Report::new(ControlError::Formed { address }));
+    for address in configured_addresses(settings) {
+        if fetch_cluster_id(client, address).await.is_some() {
+            return Err(Report::new(ControlError::AlreadyInCluster { address }));
         }
     }
     Ok(())
 }
 
-async fn find_cluster(
+async fn find_cluster_id(
     settings: &Settings,
-    caller: &PeerClient,
+    client: &PeerClient,
 ) -> Result<u128, Report<ControlError>> {
-    let end = Instant::now() + JOIN_PATIENCE;
+    let end = Instant::now() + JOIN_TIMEOUT;
     while Instant::now() < end {
-        let known = settings.known().borrow().clone();
-        for address in known {
-            if let Some(cluster) = cluster_of(caller, address).await {
+        let peer_addresses = settings.peer_addresses().borrow().clone();
+        for address in peer_addresses {
+            if let Some(cluster) = fetch_cluster_id(client, address).await {
                 return Ok(cluster);
             }
         }
-        sleep(JOIN_PAUSE).await;
+        sleep(JOIN_RETRY_DELAY).await;
     }
-    Err(Report::new(ControlError::Alone))
+    Err(Report::new(ControlError::NoPeerAnswered))
 }
 
-async fn cluster_of(caller: &PeerClient, address: SocketAddr) -> Option<u128> {
-    let call = caller.call::<(), u128>(address, CLUSTER_PATH, &());
+async fn fetch_cluster_id(client: &PeerClient, address: SocketAddr) -> Option<u128> {
+    let call = client.call::<(), u128>(address, CLUSTER_PATH, &());
     timeout(PEER_TIMEOUT, call).await.ok()?.ok()
 }
 
-/// Asks to be added whenever this instance is no member: because it is new, or
-/// because it was taken for gone and removed. One that stops does not: the cluster
-/// would count on it.
-async fn stay_member(
+/// Requests to be added whenever this instance is not a member, either because it is new
+/// or because it was removed as failed. An instance that is stopping does not, since the
+/// cluster would rely on it.
+async fn maintain_membership(
     replica: Replica,
     mut member: Member,
-    known: watch::Receiver<Vec<SocketAddr>>,
-    caller: PeerClient,
+    peer_addresses: watch::Receiver<Vec<SocketAddr>>,
+    client: PeerClient,
     drain: Drain,
 ) {
     let mut contact = Instant::now();
     while !drain.begun() {
-        let standing = replica.standing.borrow().clone();
-        let listed = standing.members.get(member.id).is_some();
-        // Where it was a member, its seat went to whoever replaced it: with a second
-        // one the cluster would keep a place that nobody fills, and could replace
-        // nobody else.
-        member.seat &= !(listed && standing.contact);
-        if standing.contact {
+        let status = replica.status.borrow().clone();
+        let is_member = status.members.get(member.id).is_some();
+        // A removed member has lost its seat to its replacement. With a second seat, the
+        // cluster would reserve a place that is never filled and could not replace
+        // another member.
+        member.seat &= !(is_member && status.contact);
+        if status.contact {
             contact = Instant::now();
-        } else if !listed || contact.elapsed() >= DOUBT {
-            let known = known.borrow().clone();
-            for address in others(&standing, &known) {
-                let absent = !listed || removed(&caller, address, member.id).await;
-                if absent && ask_to_join(&caller, address, &member).await {
+        } else if !is_member || contact.elapsed() >= MEMBERSHIP_CHECK_DELAY {
+            let peer_addresses = peer_addresses.borrow().clone();
+            for address in others(&status, &peer_addresses) {
+                let not_member =
+                    !is_member || is_removed(&client, address, member.id).await;
+                if not_member && request_join(&client, address, &member).await {
                     break;
                 }
             }
         }
-        sleep(JOIN_PAUSE).await;
+        sleep(JOIN_RETRY_DELAY).await;
     }
 }
 
 /// Addresses of other instances, from the log and from the settings.
-fn others(standing: &Standing, known: &[SocketAddr]) -> Vec<SocketAddr> {
-    let members = standing.members.iter().filter(|m| m.id != standing.node);
+fn others(status: &ReplicaStatus, peer_addresses: &[SocketAddr]) -> Vec<SocketAddr> {
+    let members = status.members.iter().filter(|m| m.id != status.node);
     let mut all: Vec<SocketAddr> = members.map(|member| member.address).collect();
-    all.extend(known);
+    all.extend(peer_addresses);
     all.sort_unstable();
     all.dedup();
     all
 }
 
-/// Whether the instance at `address` confirms that `id` is no member.
-async fn removed(caller: &PeerClient, address: SocketAddr, id: NodeId) -> bool {
-    let call = caller.call::<_, ControlReply<bool>>(address, MEMBER_PATH, &id);
+/// Whether the instance at `address` confirms that `id` is not a member.
+async fn is_removed(client: &PeerClient, address: SocketAddr, id: NodeId) -> bool {
+    let call = client.call::<_, ControlReply<bool>>(address, MEMBER_PATH, &id);
     matches!(timeout(PEER_TIMEOUT, call).await, Ok(Ok(Ok(false))))
 }
 
-async fn ask_to_join(caller: &PeerClient, address: SocketAddr, member: &Member) -> bool {
-    let call = caller.call::<_, ControlReply<()>>(address, JOIN_PATH, member);
+async fn request_join(client: &PeerClient, address: SocketAddr, member: &Member) -> bool {
+    let call = client.call::<_, ControlReply<()>>(address, JOIN_PATH, member);
     let answer = timeout(PEER_TIMEOUT, call).await;
     let joined = matches!(answer, Ok(Ok(Ok(()))));
     Event::new("join-asked")
@@ -505,82 +529,85 @@
     joined
 }
 
-/// Tells the other instances which entries poll here.
-async fn tell(replica: Replica, presence: Presence, caller: PeerClient) {
+/// Sends the entries that poll this instance to the other instances.
+async fn broadcast_presence(replica: Replica, presence: Presence, client: PeerClient) {
     loop {
         sleep(INTERVAL).await;
         let names = presence.refresh();
-        let standing = replica.standing.borrow().clone();
-        let others = standing.members.iter().filter(|m| m.id != standing.node);
+        let status = replica.status.borrow().clone();
+        let others = status.members.iter().filter(|m| m.id != status.node);
         for address in others.map(|member| member.address) {
-            let caller = caller.clone();
+            let client = client.clone();
             let names = names.clone();
             tokio::spawn(async move {
-                let call = caller.call::<_, ()>(address, PRESENCE_PATH, &names);
-                // What is not told now is told a second later.
+                let call = client.call::<_, ()>(address, PRESENCE_PATH, &names);
+                // A lost message is superseded one second later.
                 let _ = timeout(PEER_TIMEOUT, call).await;
             });
         }
     }
 }
 
-/// Announces this instance to seeds that are no members: they have no disk, but
-/// may be all that an entry or a new instance knows.
+/// Announces this instance to seeds that are not members. These have no disk, but may be
+/// the only address that an entry or a new instance has.
 async fn announce(
     replica: Replica,
-    own: Announced,
-    known: watch::Receiver<Vec<SocketAddr>>,
-    caller: PeerClient,
+    announcement: Announcement,
+    peer_addresses: watch::Receiver<Vec<SocketAddr>>,
+    client: PeerClient,
 ) {
     loop {
-        let standing = replica.standing.borrow().clone();
+        let status = replica.status.borrow().clone();
         let member = |address: &SocketAddr| {
-            standing
+            status
                 .members
                 .iter()
                 .any(|member| member.address == *address)
         };
-        let known = known.borrow().clone();
-        for address in known.into_iter().filter(|address| !member(address)) {
-            let caller = caller.clone();
+        let peer_addresses = peer_addresses.borrow().clone();
+        for address in peer_addresses
+            .into_iter()
+            .filter(|address| !member(address))
+        {
+            let client = client.clone();
             tokio::spawn(async move {
-                let call = caller.call::<_, ()>(address, ANNOUNCE_PATH, &own);
-                // What is not told now is told soon after.
+                let call = client.call::<_, ()>(address, ANNOUNCE_PATH, &announcement);
+                // A lost message is superseded by the next announcement.
                 let _ = timeout(PEER_TIMEOUT, call).await;
             });
         }
-        // While nobody leads, everything may have started at once, and others
-        // wait to hear of this instance.
-        let settled = if standing.contact {
+        // Without contact, all instances may have just started, and others may be waiting
+        // for this announcement.
+        let interval = if status.contact {
             INTERVAL
         } else {
-            JOIN_PAUSE
+            JOIN_RETRY_DELAY
         };
-        sleep(settled).await;
+        sleep(interval).await;
     }
 }
 
-fn helper(task: impl Future<Output = ()> + Send + 'static) -> AbortOnDropHandle<()> {
+fn spawn_task(task: impl Future<Output = ()> + Send + 'static) -> AbortOnDropHandle<()> {
     AbortOnDropHandle::new(tokio::spawn(task))
 }
 
-/// Waits for the drain, then for the duty of reporting to be given up, then for another
-/// instance to lead.
-async fn hand_over(
+/// Waits for the drain, then for the release of the reporting duty, then for another
+/// instance to become leader.
+async fn shut_down(
     replica: Replica,
     drain: Drain,
     reporter: Option<AbortOnDropHandle<()>>,
 ) {
     drain.wait().await;
     if let Some(reporter) = reporter {
-        // A lease that is not given up in time ends by itself.
+        // A lease that is not released in time expires.
         let _ = timeout(PEER_TIMEOUT, reporter).await;
     }
-    let mut standing = replica.standing.clone();
-    if !standing.borrow().leads {
+    let mut status = replica.status.clone();
+    if !status.borrow().leads {
         return;
     }
     replica.input(Input::HandOver).await;
-    let other = standing.wait_for(|standing| !standing.leads);
-    let _ = timeout(HAND_OVER, other).await;
+    let other = status.wait_for(|status| !status.leads);
+    let _ = timeout(HAND_OVER_TIMEOUT, other).await;
 }
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -1,68 +1,68 @@
-//! What comes for each service at all entries together.
+//! Demand per service, summed over all entries.
 //!
-//! Entries decide by themselves how many endpoints they keep free of long
-//! prompts. Each of them alone counts a few dozen requests, and their counts
-//! differ by half; endpoints that some keep free and others don't serve both
-//! kinds badly. So every entry tells one control instance twice a second what
-//! came, and is told the sums. Nothing here is durable, and nobody waits for
-//! it: an entry without an answer goes by its own count.
+//! Entries decide locally how many endpoints to keep free of long prompts. A single entry
+//! sees only a few dozen requests, and the counts of different entries differ by half.
+//! Endpoints that some entries keep free and others do not serve both kinds of requests
+//! poorly. Every entry therefore reports its demand to one control instance twice a
+//! second and receives the sums. Nothing here is durable and nothing blocks on it: an
+//! entry without a response uses its own counts.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::demand::{DemandReply, DemandReport, ServiceDemand};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::time::Instant;
 
-/// How long an entry counts that tells nothing more: four of its intervals.
-const KEPT: Duration = Duration::from_secs(2);
-/// Most entries, and most services of one, that are held; what is beyond them is
-/// not counted. Five times the size that the design is made for.
-const MOST: usize = 2_500;
+/// How long an entry counts after its last report; four reporting intervals.
+const ENTRY_TTL: Duration = Duration::from_secs(2);
+/// Most entries, and most services per entry, that are counted; five times the design
+/// size.
+const MAX_ENTRIES: usize = 2_500;
 
-/// What one entry told.
+/// Last report of an entry.
 #[derive(Debug)]
-struct Told {
+struct EntryDemand {
     entry: String,
     at: Instant,
     services: Vec<ServiceDemand>,
 }
 
-/// What entries told one instance; sorted by entry. Clones share it.
+/// Demand reported to one instance, sorted by entry. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    told: Arc<Mutex<Vec<Told>>>,
+    reports: Arc<Mutex<Vec<EntryDemand>>>,
 }
 
 impl Demand {
-    /// Takes in what an entry tells; returns the sums.
-    pub fn tell(&self, now: Instant, mut tell: DemandReport) -> DemandReply {
-        tell.services.truncate(MOST);
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        told.retain(|told| now.duration_since(told.at) < KEPT);
-        let new = Told {
+    /// Records a report and returns the sums.
+    pub fn report(&self, now: Instant, mut tell: DemandReport) -> DemandReply {
+        tell.services.truncate(MAX_ENTRIES);
+        let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
+        reports.retain(|report| now.duration_since(report.at) < ENTRY_TTL);
+        let new = EntryDemand {
             entry: tell.entry,
             at: now,
             services: tell.services,
         };
-        match told.binary_search_by(|told| told.entry.cmp(&new.entry)) {
-            Ok(at) => told[at] = new,
-            Err(at) if told.len() < MOST => told.insert(at, new),
+        match reports.binary_search_by(|report| report.entry.cmp(&new.entry)) {
+            Ok(at) => reports[at] = new,
+            Err(at) if reports.len() < MAX_ENTRIES => reports.insert(at, new),
             Err(_) => {}
         }
-        sum(&told)
+        sum(&reports)
     }
 }
 
-fn sum(told: &[Told]) -> DemandReply {
+fn sum(reports: &[EntryDemand]) -> DemandReply {
     let mut services: Vec<ServiceDemand> = Vec::new();
-    for one in told.iter().flat_map(|told| &told.services) {
-        match services.binary_search_by(|sum| sum.service.cmp(&one.service)) {
+    for demand in reports.iter().flat_map(|report| &report.services) {
+        match services.binary_search_by(|sum| sum.service.cmp(&demand.service)) {
             Ok(at) => {
-                services[at].latency_sensitive += one.latency_sensitive;
-                services[at].other += one.other;
-                services[at].pauses += one.pauses;
-                services[at].streams += one.streams;
+                services[at].latency_sensitive += demand.latency_sensitive;
+                services[at].other += demand.other;
+                services[at].pauses += demand.pauses;
+                services[at].streams += demand.streams;
             }
-            Err(at) => services.insert(at, one.clone()),
+            Err(at) => services.insert(at, demand.clone()),
         }
     }
     DemandReply {
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -35,15 +35,15 @@
 /// Path on which instances send [`Announced`].
 pub const ANNOUNCE_PATH: &str = "/internal/announce";
 /// How long an instance counts after its last announcement; a few announcement intervals.
-const KEPT: Duration = Duration::from_secs(4);
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(4);
 /// Time-out for a forwarded message.
-const PASS_ON: Duration = Duration::from_millis(900);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
 /// Shortest time between two responses to an entry that has no routes.
-const PACE: Duration = Duration::from_millis(50);
+const MIN_RESPONSE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Announcement of an instance that keeps the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Announced {
+pub struct Announcement {
     /// Id of its cluster.
     pub cluster: u128,
     /// Its internal address.
@@ -54,69 +54,71 @@
 
 /// Instances with a recent announcement. Clones share them.
 #[derive(Clone, Debug)]
-struct Known {
-    seen: Arc<Mutex<Vec<(Announced, Instant)>>>,
+struct AnnouncedInstances {
+    seen: Arc<Mutex<Vec<(Announcement, Instant)>>>,
     next: Arc<AtomicUsize>,
-    heard: watch::Sender<()>,
-    caller: PeerClient,
+    updated: watch::Sender<()>,
+    client: PeerClient,
     secret: Arc<String>,
 }
 
-impl Known {
-    fn lock(&self) -> MutexGuard<'_, Vec<(Announced, Instant)>> {
+impl AnnouncedInstances {
+    fn lock(&self) -> MutexGuard<'_, Vec<(Announcement, Instant)>> {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn hear(&self, announced: Announced) {
+    fn record(&self, announcement: Announcement) {
         let mut seen = self.lock();
         let fresh = !seen
             .iter()
-            .any(|(known, _)| known.internal == announced.internal);
-        seen.retain(|(known, _)| known.internal != announced.internal);
-        seen.push((announced, Instant::now()));
+            .any(|(known, _)| known.internal == announcement.internal);
+        seen.retain(|(known, _)| known.internal != announcement.internal);
+        seen.push((announcement, Instant::now()));
         drop(seen);
         if fresh {
-            self.heard.send_replace(());
+            self.updated.send_replace(());
             Event::new("control-announced")
-                .field("internal", announced.internal)
-                .field("operators", announced.operators)
+                .field("internal", announcement.internal)
+                .field("operators", announcement.operators)
                 .info();
         }
     }
 
-    fn all(&self) -> Vec<Announced> {
+    fn all(&self) -> Vec<Announcement> {
         let mut seen = self.lock();
-        seen.retain(|(_, at)| at.elapsed() < KEPT);
-        seen.iter().map(|(announced, _)| *announced).collect()
+        seen.retain(|(_, at)| at.elapsed() < ANNOUNCEMENT_TTL);
+        seen.iter().map(|(announcement, _)| *announcement).collect()
     }
 
     /// Waits up to `most` until at least one instance is known.
-    async fn some(&self, most: Duration) {
-        let mut heard = self.heard.subscribe();
+    async fn wait_for_any(&self, most: Duration) {
+        let mut updated = self.updated.subscribe();
         if self.all().is_empty() {
             // After a time-out the caller finds the list still empty.
-            let _ = timeout(most, heard.changed()).await;
+            let _ = timeout(most, updated.changed()).await;
         }
     }
 
     /// Picks an instance in round-robin order.
-    fn pick(&self) -> Option<Announced> {
+    fn next_instance(&self) -> Option<Announcement> {
         let all = self.all();
         let at = self.next.fetch_add(1, Ordering::Relaxed);
         all.get(at % all.len().max(1)).copied()
     }
 
     /// Forwards a message to each instance in turn until one answers.
-    async fn pass_on<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
+    async fn forward<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
     {
-        for announced in self.all() {
-            let call =
-                self.caller
-                    .call::<M, ControlReply<A>>(announced.internal, path, message);
-            if let Ok(Ok(Ok(answer))) = timeout(PASS_ON, call).await {
+        for announcement in self.all() {
+            let call = self.client.call::<M, ControlReply<A>>(
+                announcement.internal,
+                path,
+                message,
+            );
+            if let Ok(Ok(Ok(answer))) = timeout(FORWARD_TIMEOUT, call).await {
                 return Ok(answer);
             }
         }
@@ -134,71 +136,75 @@
         let bound = Listener::bind(address).await;
         bound.map_err(|error| format!("{error:#}"))
     };
-    let outside = bind(settings.listen).await?;
-    let inside = bind(settings.internal).await?;
+    let operator_listener = bind(settings.listen).await?;
+    let internal_listener = bind(settings.internal).await?;
     Event::new("control-forwards")
         .field("name", &settings.name)
-        .field("operators", outside.address())
-        .field("internal", inside.address())
+        .field("operators", operator_listener.address())
+        .field("internal", internal_listener.address())
         .field("reason", "no-disk")
         .info();
-    let known = Known {
+    let instances = AnnouncedInstances {
         seen: Arc::default(),
         next: Arc::new(AtomicUsize::new(usize::from(settings.listen.port()))),
-        heard: watch::Sender::new(()),
-        caller: PeerClient::new(settings.secret.clone()),
+        updated: watch::Sender::new(()),
+        client: PeerClient::new(settings.secret.clone()),
         secret: Arc::new(settings.secret),
     };
     let metrics = Metrics::default();
     let health = health::routes(&drain, &metrics, Arc::new(|| true));
-    let public = Router::new().fallback(redirect).with_state(known.clone());
-    let private = internal::ending_polls(private(known), drain.clone());
-    let private = private.merge(health.clone());
+    let public = Router::new()
+        .fallback(redirect)
+        .with_state(instances.clone());
+    let internal_routes =
+        internal::end_polls_on_drain(internal_routes(instances), drain.clone());
+    let internal_routes = internal_routes.merge(health.clone());
     tokio::join!(
-        outside.serve(public.merge(health), drain.clone(), settings.linger),
-        inside.serve(private, drain, settings.linger),
+        operator_listener.serve(public.merge(health), drain.clone(), settings.linger),
+        internal_listener.serve(internal_routes, drain, settings.linger),
     );
     Event::new("control-stopped").info();
     Ok(())
 }
 
 /// Routes for other processes of the router; all require the cluster key.
-fn private(known: Known) -> Router {
-    let secret = Arc::clone(&known.secret);
+fn internal_routes(instances: AnnouncedInstances) -> Router {
+    let secret = Arc::clone(&instances.secret);
     let routes = Router::new()
         .route(ANNOUNCE_PATH, post(announce))
         .route(CLUSTER_PATH, post(cluster))
         .route(ROUTES_PATH, post(routes))
         .route(JOIN_PATH, post(join))
         .route(MEMBER_PATH, post(member))
-        .with_state(known);
-    internal::guarded(routes, secret)
+        .with_state(instances);
+    internal::require_key(routes, secret)
 }
 
-async fn announce(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |announced: Announced| async move {
-        known.hear(announced);
+async fn announce(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |announcement: Announcement| async move {
+        instances.record(announcement);
     })
     .await
 }
 
-async fn cluster(State(known): State<Known>) -> Response {
-    match known.pick() {
-        Some(announced) => internal::write(&announced.cluster),
+async fn cluster(State(instances): State<AnnouncedInstances>) -> Response {
+    match instances.next_instance() {
+        Some(announcement) => internal::encode_reply(&announcement.cluster),
         None => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
 /// Returns the addresses of the control instances to an entry.
-async fn routes(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |follow: WatchRoutes| async move {
+async fn routes(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |follow: WatchRoutes| async move {
         if follow.known.is_some() {
             sleep(follow.wait).await;
         } else {
-            sleep(PACE).await;
-            known.some(follow.wait).await;
+            sleep(MIN_RESPONSE_INTERVAL).await;
+            instances.wait_for_any(follow.wait).await;
         }
-        let control: Vec<SocketAddr> = known.all().iter().map(|a| a.internal).collect();
+        let control: Vec<SocketAddr> =
+            instances.all().iter().map(|a| a.internal).collect();
         if control.is_empty() {
             return Err(ControlUnavailable::NoMajority);
         }
@@ -211,30 +217,33 @@
     .await
 }
 
-async fn join(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |member: Member| async move {
-        let answer: ControlReply<()> = known.pass_on(JOIN_PATH, &member).await;
+async fn join(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |member: Member| async move {
+        let answer: ControlReply<()> = instances.forward(JOIN_PATH, &member).await;
         answer
     })
     .await
 }
 
-async fn member(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |id: NodeId| async move {
-        let answer: ControlReply<bool> = known.pass_on(MEMBER_PATH, &id).await;
+async fn member(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |id: NodeId| async move {
+        let answer: ControlReply<bool> = instances.forward(MEMBER_PATH, &id).await;
         answer
     })
     .await
 }
 
-async fn redirect(State(known): State<Known>, request: Request) -> Response {
+async fn redirect(
+    State(instances): State<AnnouncedInstances>,
+    request: Request,
+) -> Response {
     let path = request
         .uri()
         .path_and_query()
         .map_or("/", |path| path.as_str());
-    let location = known
-        .pick()
-        .map(|announced| format!("http://{}{path}", announced.operators));
+    let location = instances
+        .next_instance()
+        .map(|announcement| format!("http://{}{path}", announcement.operators));
     let value = location.and_then(|text| HeaderValue::from_str(&text).ok());
     match value {
         Some(value) => {
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -1,15 +1,15 @@
-//! What the router's own processes ask a control instance.
+//! HTTP API for the other processes of the router.
 
 use crate::command::{Action, Reply};
 use crate::demand::Demand;
-use crate::limits::Limits;
-use crate::lists::Lists;
+use crate::limits::LimitTracker;
+use crate::lists::EndpointLists;
 use crate::peers::{Envelope, LOG_PATH};
-use crate::presence::{Names, PRESENCE_PATH, Presence};
-use crate::quarantine::{self, Quarantines};
+use crate::presence::{EntryNames, PRESENCE_PATH, Presence};
+use crate::quarantine::{self, QuarantineTracker};
 use crate::replica::Input;
 use crate::service::{CONFIRM_PATH, SUBMIT_PATH, Service};
-use crate::usage::Usage;
+use crate::usage::UsageTracker;
 use crate::{routes, watch};
 use axum::Router;
 use axum::extract::{DefaultBodyLimit, Request, State};
@@ -36,43 +36,43 @@
 use subtle::ConstantTimeEq;
 use tokio::time::Instant;
 
-/// Path that tells which cluster an instance belongs to.
+/// Returns the id of the cluster that an instance belongs to.
 pub const CLUSTER_PATH: &str = "/internal/cluster";
-/// Path on which a new instance asks to be added.
+/// Adds a new instance to the cluster.
 pub const JOIN_PATH: &str = "/internal/join";
-/// Path that tells whether an instance is a member.
+/// Returns whether an instance is a member.
 pub const MEMBER_PATH: &str = "/internal/member";
-/// Path on which the leader is told of a new instance.
+/// Adds a new instance; served by the leader only.
 const ADD_PATH: &str = "/internal/add";
 /// Largest message: a snapshot.
 const MAX_MESSAGE: usize = 1 << 30;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone, Debug)]
-pub struct Inside {
-    /// The cluster.
+pub struct InternalApi {
+    /// Access to the cluster.
     pub service: Service,
-    /// Entries.
+    /// Entries that poll this instance or others.
     pub presence: Presence,
-    /// What comes at them.
+    /// Demand per service.
     pub demand: Demand,
-    /// What entries read of the list of endpoints.
-    pub lists: Lists,
-    /// Limits that endpoints name.
-    pub limits: Limits,
-    /// Requests that crash their endpoints.
-    pub quarantines: Quarantines,
-    /// Usage that entries told.
-    pub usage: Usage,
-    /// Cluster's id.
+    /// Endpoint lists and observations from entries.
+    pub lists: EndpointLists,
+    /// Limits that endpoints declare.
+    pub limits: LimitTracker,
+    /// Requests that crash endpoints.
+    pub quarantine: QuarantineTracker,
+    /// Usage reported by entries.
+    pub usage: UsageTracker,
+    /// Id of the cluster.
     pub cluster: u128,
-    /// Key shared by the router's processes.
+    /// Cluster key, required of all callers.
     pub secret: Arc<String>,
 }
 
-/// Routes for the router's own processes. Every one needs the cluster key.
-pub fn routes(inside: Inside) -> Router {
-    let secret = Arc::clone(&inside.secret);
+/// Routes for other processes of the router; all require the cluster key.
+pub fn routes(api: InternalApi) -> Router {
+    let secret = Arc::clone(&api.secret);
     let routes = Router::new()
         .route(LOG_PATH, post(log))
         .route(SUBMIT_PATH, post(submit))
@@ -91,23 +91,27 @@
         .route(DEMAND_PATH, post(demand))
         .route(USAGE_PATH, post(usage))
         .layer(DefaultBodyLimit::max(MAX_MESSAGE))
-        .with_state(inside);
-    guarded(routes, secret)
+        .with_state(api);
+    require_key(routes, secret)
 }
 
-/// Refuses calls that don't bear the cluster key.
-pub(crate) fn guarded(routes: Router, secret: Arc<String>) -> Router {
-    routes.layer(from_fn_with_state(secret, guard))
+/// Rejects calls without the cluster key.
+pub(crate) fn require_key(routes: Router, secret: Arc<String>) -> Router {
+    routes.layer(from_fn_with_state(secret, check_key))
 }
 
-/// Ends polls when the instance begins to stop. A poll waits for seconds with nothing
-/// to say; an instance that waited for it would stand with its listeners closed until
-/// the others take it for gone.
-pub(crate) fn ending_polls(routes: Router, drain: Drain) -> Router {
-    routes.layer(from_fn_with_state(drain, end_poll))
+/// Ends long polls when the drain begins. A poll may wait for seconds. An instance that
+/// waited for its polls would stay up with its listeners closed until the others remove
+/// it as failed.
+pub(crate) fn end_polls_on_drain(routes: Router, drain: Drain) -> Router {
+    routes.layer(from_fn_with_state(drain, end_poll_on_drain))
 }
 
-async fn end_poll(State(drain): State<Drain>, request: Request, next: Next) -> Response {
+async fn end_poll_on_drain(
+    State(drain): State<Drain>,
+    request: Request,
+    next: Next,
+) -> Response {
     if ![ROUTES_PATH, WATCH_PATH].contains(&request.uri().path()) {
         return next.run(request).await;
     }
@@ -120,30 +124,30 @@
     }
 }
 
-async fn guard(
+async fn check_key(
     State(secret): State<Arc<String>>,
     request: Request,
     next: Next,
 ) -> Response {
     let given = request.headers().get(http::header::AUTHORIZATION);
     let given = given.and_then(|given| given.as_bytes().strip_prefix(b"Bearer "));
-    let right = given.is_some_and(|given| given.ct_eq(secret.as_bytes()).into());
-    if right {
+    let valid = given.is_some_and(|given| given.ct_eq(secret.as_bytes()).into());
+    if valid {
         return next.run(request).await;
     }
     let text = "wrong cluster key; set the same cluster_key everywhere\n";
     (StatusCode::UNAUTHORIZED, text).into_response()
 }
 
-/// Reads a message, answers it, and writes the answer.
-pub(crate) async fn serve<M, A, F>(bytes: Bytes, answer: impl FnOnce(M) -> F) -> Response
+/// Decodes a message, handles it and encodes the reply.
+pub(crate) async fn handle<M, A, F>(bytes: Bytes, answer: impl FnOnce(M) -> F) -> Response
 where
     M: DeserializeOwned,
     A: Serialize,
     F: Future<Output = A>,
 {
     match decode(&bytes) {
-        Ok(message) => write(&answer(message).await),
+        Ok(message) => encode_reply(&answer(message).await),
         Err(_) => {
             let text = "unreadable message; run one version everywhere\n";
             (StatusCode::BAD_REQUEST, text).into_response()
@@ -151,19 +155,19 @@
     }
 }
 
-/// Writes an answer.
-pub(crate) fn write<A: Serialize>(answer: &A) -> Response {
+/// Encodes a reply.
+pub(crate) fn encode_reply<A: Serialize>(answer: &A) -> Response {
     match rmp_serde::to_vec(answer) {
         Ok(bytes) => bytes.into_response(),
         Err(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
 
-async fn log(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |envelope: Envelope| async move {
-        if envelope.cluster == inside.cluster {
+async fn log(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |envelope: Envelope| async move {
+        if envelope.cluster == api.cluster {
             let input = Input::Messages(envelope.messages);
-            inside.service.replica().input(input).await;
+            api.service.replica().input(input).await;
         } else {
             Event::new("foreign-cluster-refused").warn();
         }
@@ -171,30 +175,30 @@
     .await
 }
 
-async fn submit(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |action: Action| async move {
-        inside.service.replica().propose(action).await
+async fn submit(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |action: Action| async move {
+        api.service.replica().propose(action).await
     })
     .await
 }
 
-async fn confirm(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |(): ()| async move {
-        inside.service.replica().confirm().await
+async fn confirm(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |(): ()| async move {
+        api.service.replica().confirm().await
     })
     .await
 }
 
-async fn watch_documents(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |message: Watch| async move {
-        watch::answer(&inside.service, &inside.presence, message).await
+async fn watch_documents(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |message: Watch| async move {
+        watch::answer(&api.service, &api.presence, message).await
     })
     .await
 }
 
-async fn take(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |take: TakeClaim| async move {
-        match inside.service.submit(&Action::Take(take)).await? {
+async fn take(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |take: TakeClaim| async move {
+        match api.service.submit(&Action::Take(take)).await? {
             Reply::Taken(taken) => Ok(taken),
             _ => Err(ControlUnavailable::NoMajority),
         }
@@ -202,17 +206,17 @@
     .await
 }
 
-async fn finish(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |finish: FinishClaim| async move {
-        let submitted = inside.service.submit(&Action::Finish(finish)).await;
+async fn finish(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |finish: FinishClaim| async move {
+        let submitted = api.service.submit(&Action::Finish(finish)).await;
         submitted.map(|_| ())
     })
     .await
 }
 
-async fn lease(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |acquire: Acquire| async move {
-        match inside.service.submit(&Action::Acquire(acquire)).await? {
+async fn lease(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |acquire: Acquire| async move {
+        match api.service.submit(&Action::Acquire(acquire)).await? {
             Reply::Lease(lease) => Ok(lease),
             _ => Err(ControlUnavailable::NoMajority),
         }
@@ -220,96 +224,96 @@
     .await
 }
 
-async fn presence(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |names: Names| async move {
-        inside.presence.hear(&names);
+async fn presence(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |names: EntryNames| async move {
+        api.presence.merge(&names);
     })
     .await
 }
 
-async fn cluster(State(inside): State<Inside>) -> Response {
-    write(&inside.cluster)
+async fn cluster(State(api): State<InternalApi>) -> Response {
+    encode_reply(&api.cluster)
 }
 
 /// Adds a new instance, through the leader.
-async fn join(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |member: Member| async move {
-        let service = &inside.service;
-        let leads = service.replica().standing.borrow().leads;
+async fn join(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |member: Member| async move {
+        let service = &api.service;
+        let leads = service.replica().status.borrow().leads;
         if leads {
             return service.replica().add(member).await;
         }
-        service.pass_on::<_, ()>(ADD_PATH, &member).await
+        service.forward::<_, ()>(ADD_PATH, &member).await
     })
     .await
 }
 
-async fn add(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |member: Member| async move {
-        let added: ControlReply<()> = inside.service.replica().add(member).await;
+async fn add(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |member: Member| async move {
+        let added: ControlReply<()> = api.service.replica().add(member).await;
         added
     })
     .await
 }
 
-/// Tells whether an instance is a member, as a majority has it now.
-async fn member(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |id: NodeId| async move {
-        inside.service.confirm().await?;
-        let standing = inside.service.replica().standing.borrow().clone();
-        let answer: ControlReply<bool> = Ok(standing.members.get(id).is_some());
+/// Returns whether an instance is a member, confirmed by a majority.
+async fn member(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |id: NodeId| async move {
+        api.service.confirm().await?;
+        let status = api.service.replica().status.borrow().clone();
+        let answer: ControlReply<bool> = Ok(status.members.get(id).is_some());
         answer
     })
     .await
 }
 
-async fn demand(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |tell: DemandReport| async move {
+async fn demand(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |tell: DemandReport| async move {
         let now = uptime();
         let mut tell = tell;
-        let list = inside.lists.dated(now, tell.echo, tell.list.take());
-        let news = inside.lists.tell(now, &tell.entry, tell.list_mark, list);
-        inside.lists.sighted(now, &tell);
-        let heard = inside
+        let list = api.lists.add_transit_time(now, tell.echo, tell.list.take());
+        let update = api.lists.report(now, &tell.entry, tell.list_mark, list);
+        api.lists.record_sightings(now, &tell);
+        let heard = api
             .lists
-            .heard_of(now, &tell, &inside.quarantines.gone());
-        let under_way = inside.lists.under_way(now, tell.echo);
-        let found = inside.quarantines.tell(now, under_way, &tell, &heard);
-        quarantine::keep(&inside.service, found);
-        let permits = inside.limits.tell(now, under_way, &tell);
+            .heard_runs(now, &tell, &api.quarantine.lost_endpoints());
+        let transit = api.lists.transit_time(now, tell.echo);
+        let found = api.quarantine.report(now, transit, &tell, &heard);
+        quarantine::commit_findings(&api.service, found);
+        let permits = api.limits.report(now, transit, &tell);
         DemandReply {
-            limits: inside.limits.news(now, tell.limits_mark),
+            limits: api.limits.current(now, tell.limits_mark),
             permits,
-            reader: news.reader,
-            list: news.newest,
-            verdicts: inside.lists.verdicts(now),
-            stamp: inside.lists.stamp(uptime()),
-            suspects: inside.quarantines.news(now, tell.suspects_mark),
-            ..inside.demand.tell(Instant::now(), tell)
+            reader: update.reader,
+            list: update.newest,
+            verdicts: api.lists.verdicts(now),
+            stamp: api.lists.stamp(uptime()),
+            suspects: api.quarantine.suspects(now, tell.suspects_mark),
+            ..api.demand.report(Instant::now(), tell)
         }
     })
     .await
 }
 
-async fn usage(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(
+async fn usage(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(
         bytes,
-        |tell: EntryUsage| async move { inside.usage.tell(tell) },
+        |tell: EntryUsage| async move { api.usage.report(tell) },
     )
     .await
 }
 
-async fn fetch_routes(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |fetch: FetchRoutes| async move {
-        let sets = inside.service.replica().routes.borrow().clone();
+async fn fetch_routes(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |fetch: FetchRoutes| async move {
+        let sets = api.service.replica().routes.borrow().clone();
         sets.find(fetch.version).map(|held| held.piece(&fetch))
     })
     .await
 }
 
-async fn follow_routes(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |follow: WatchRoutes| async move {
-        routes::answer(&inside.service, &inside.presence, follow).await
+async fn follow_routes(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |follow: WatchRoutes| async move {
+        routes::answer(&api.service, &api.presence, follow).await
     })
     .await
 }
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -1,7 +1,8 @@
-//! Limits that endpoints name, as entries tell of them, and permits to send there.
+//! Rate limits that endpoints declare, as reported by entries, and send permits under
+//! them.
 //!
-//! Nothing here is durable: entries tell what they know whenever they could use a permit, so
-//! another instance knows as much as soon as it is asked.
+//! Nothing here is durable: entries repeat what they know whenever they need a permit, so
+//! another instance has the same information as soon as it is asked.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
@@ -11,55 +12,57 @@
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Endpoints of one message that are taken in: what a message of 100 KB holds.
-const MOST_TOLD: usize = 2_048;
+/// Endpoints accepted per message: as many as fit into 100 KB.
+const MAX_LIMITS: usize = 2_048;
 
-/// What entries told one instance. Clones share it.
+/// Limits reported to one instance. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Limits {
-    known: Arc<Mutex<permits::Limits>>,
+pub struct LimitTracker {
+    limits: Arc<Mutex<permits::Limits>>,
 }
 
-impl Limits {
-    /// Takes in what an entry told, in a message that was under way for `under_way`; the
-    /// permits that it gets.
-    pub fn tell(
+impl LimitTracker {
+    /// Records a report whose message was in transit for `transit`, and returns the
+    /// permits granted to the entry.
+    pub fn report(
         &self,
         now: Duration,
-        under_way: Duration,
+        transit: Duration,
         tell: &DemandReport,
     ) -> Vec<EndpointPermits> {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let sent = now.saturating_sub(under_way);
+        let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
+        let sent = now.saturating_sub(transit);
         let choice = if tell.preferred {
             ControlChoice::First
         } else {
             ControlChoice::Second
         };
-        let told = tell.limits.iter().take(MOST_TOLD);
-        let granted = told.filter_map(|told| {
-            let permits = known.apply_report(now, &told.run, told.read(sent)?, choice);
-            let run = told.run.clone();
+        let reported = tell.limits.iter().take(MAX_LIMITS);
+        let granted = reported.filter_map(|reported| {
+            let permits =
+                limits.apply_report(now, &reported.run, reported.read(sent)?, choice);
+            let run = reported.run.clone();
             (permits > 0).then_some(EndpointPermits { run, permits })
         });
         granted.collect()
     }
 
-    /// What an entry is told that knows the limits of `mark`.
-    pub fn news(&self, now: Duration, mark: u64) -> Option<EndpointLimits> {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let limits = known.observations(now).map(|(run, observed)| {
+    /// The current limits, unless the entry already has the version with the hash
+    /// `known`.
+    pub fn current(&self, now: Duration, known: u64) -> Option<EndpointLimits> {
+        let mut tracked = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
+        let limits = tracked.observations(now).map(|(run, observed)| {
             let wanted = 0;
             EndpointLimit::new(now, run.clone(), LimitReport { observed, wanted })
         });
         let limits: Vec<EndpointLimit> = limits.collect();
-        let news = marked(&limits);
-        (news != mark).then_some(EndpointLimits { mark: news, limits })
+        let hash = content_hash(&limits);
+        (hash != known).then_some(EndpointLimits { mark: hash, limits })
     }
 }
 
-/// A mark that differs where endpoints or their limits differ.
-fn marked(limits: &[EndpointLimit]) -> u64 {
+/// Hash over endpoints and their limits; 0 for an empty list.
+fn content_hash(limits: &[EndpointLimit]) -> u64 {
     if limits.is_empty() {
         return 0;
     }
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -1,13 +1,15 @@
-//! The newest read of the list of endpoints, passed on from the entries that read
-//! it to all others, and what entries met at its endpoints.
+//! Distribution of the endpoint list: the newest read of the list is passed from the
+//! entries that read it to all others, together with the combined observations of its
+//! endpoints.
 //!
-//! Times are those of a clock that goes on while the machine is suspended
+//! Times are those of a clock that keeps running while the machine is suspended
 //! ([`dogwoodhill_daemon::clock`]).
 //!
-//! Nothing here is durable, and nobody waits for it: an entry that hears of no
-//! fresh read reads by itself. Two entries are asked to read for all, those first by
-//! name among the ones that lately could; so a reader that dies, freezes or is cut
-//! off from the list is replaced as soon as another one had to read by itself.
+//! Nothing here is durable and nothing blocks on it: an entry that receives no recent
+//! read fetches the list itself. Two entries are asked to fetch it for all, namely the
+//! first two by name among those that succeeded recently. A reader that dies, hangs or
+//! loses access to the list is therefore replaced as soon as another entry had to fetch
+//! the list itself.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
@@ -18,57 +20,58 @@
 use dogwoodhill_wire::list::{EndpointRecord, ListHistory, ListRead, Mark};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Entries that are asked to read. One may be lost at any moment.
+/// Entries that are asked to fetch the list; two, since one may fail at any time.
 const READERS: usize = 2;
-/// How long an entry counts that tells nothing more: four of its intervals.
-const KEPT: Duration = Duration::from_secs(2);
-/// How long an entry counts as one that can read: three intervals of a reader.
-const READS: Duration = Duration::from_secs(3);
-/// How long verdicts are told to all that ask before they are worked out anew: a tenth of
-/// the interval at which an entry asks.
-const FRESH: Duration = Duration::from_millis(50);
-/// Time under way from which what an entry met counts for nothing: the interval at which
-/// entries tell, so that what is missed is told anew as soon as it is met again.
-const LATE: Duration = Duration::from_millis(500);
-/// Bytes of whole lists that are told in a second. A control instance has a
-/// link of 100 Mbit/s; hundreds of entries that start together and were all told at once
-/// would share it, so that none of them has its list before it gives up and asks again.
-/// One after the other, each has it within some 100 ms of its turn.
-const WHOLE_BYTES: f64 = 10_000_000.0;
-/// Bytes of whole lists that are told at the same moment: what the link carries within the
-/// interval at which entries without a list ask.
-const WHOLE_BURST: f64 = 1_000_000.0;
-/// Most entries that are held: five times the size that the design is made for.
-const MOST: usize = 2_500;
-/// Most endpoints of a list that is passed on: eight times that size.
-const MOST_ENDPOINTS: usize = 10_000;
+/// How long an entry counts after its last report; four reporting intervals.
+const ENTRY_TTL: Duration = Duration::from_secs(2);
+/// How long an entry counts as able to fetch the list; three intervals of a reader.
+const READER_TTL: Duration = Duration::from_secs(3);
+/// How long computed verdicts are reused; a tenth of an entry's reporting interval.
+const VERDICT_CACHE_TTL: Duration = Duration::from_millis(50);
+/// Transit time beyond which reported observations are ignored: the reporting interval of
+/// entries, so that whatever still applies is reported again.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
+/// Rate limit for full lists, in bytes per second. A control instance has a link of 100
+/// Mbit/s. If hundreds of entries that start together were all served at once, they would
+/// share the link, and none would receive its list before its time-out and retry. Served
+/// one after the other, each has its list within some 100 ms of its turn.
+const FULL_LIST_BYTES_PER_S: f64 = 10_000_000.0;
+/// Bytes of full lists that may be sent at once: what the link carries within the polling
+/// interval of entries without a list.
+const FULL_LIST_BURST_BYTES: f64 = 1_000_000.0;
+/// Most entries that are tracked: five times the design size.
+const MAX_ENTRIES: usize = 2_500;
+/// Most endpoints of a list that is passed on: eight times the design size.
+const MAX_ENDPOINTS: usize = 10_000;
 
-/// An entry that told lately.
+/// An entry that reported recently.
 #[derive(Debug)]
-struct Teller {
-    entry: String,
-    told: Duration,
-    /// When it asked for the read that it told last.
-    read: Option<Duration>,
+struct TrackedEntry {
+    name: String,
+    last_report: Duration,
+    /// When it requested the list that it reported last.
+    last_read: Option<Duration>,
 }
 
-/// Bytes of whole lists that may be told.
+/// Leaky bucket that limits the rate of full lists.
 #[derive(Clone, Copy, Debug, Default)]
-struct Allowance {
-    /// Bytes told lately that count still; they fade by [`WHOLE_BYTES`] a second.
-    told: f64,
-    at: Duration,
+struct RateLimiter {
+    /// Bytes sent recently; drains at [`FULL_LIST_BYTES_PER_S`].
+    level: f64,
+    updated: Duration,
 }
 
-impl Allowance {
-    /// Whether `bytes` may be told at `now`; one list always may, however large it is.
+impl RateLimiter {
+    /// Returns whether `bytes` may be sent at `now`. An idle bucket admits a list of any
+    /// size.
     fn take(&mut self, now: Duration, bytes: usize) -> bool {
-        let faded = now.saturating_sub(self.at).as_secs_f64() * WHOLE_BYTES;
-        self.told = (self.told - faded).max(0.0);
-        self.at = now;
-        let allowed = self.told < WHOLE_BURST;
+        let drained =
+            now.saturating_sub(self.updated).as_secs_f64() * FULL_LIST_BYTES_PER_S;
+        self.level = (self.level - drained).max(0.0);
+        self.updated = now;
+        let allowed = self.level < FULL_LIST_BURST_BYTES;
         if allowed {
-            self.told += bytes as f64;
+            self.level += bytes as f64;
         }
         allowed
     }
@@ -76,29 +79,30 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Sorted by entry.
-    tellers: Vec<Teller>,
-    /// When any entry told last.
-    told: Duration,
-    /// The newest list that was read, and earlier ones.
+    /// Sorted by entry name.
+    entries: Vec<TrackedEntry>,
+    /// Time of the last report from any entry.
+    last_report: Duration,
+    /// The newest list and some previous ones.
     contents: ListHistory,
-    /// When it was read, and how long that took.
+    /// When the newest list was requested, and how long the request took.
     read: Option<(Duration, Duration)>,
-    whole: Allowance,
+    full_lists: RateLimiter,
     sightings: SharedHealth,
-    /// What is told of them, and when it was worked out.
+    /// Cached verdicts and when they were computed.
     verdicts: Option<(Duration, Vec<EndpointVerdict>)>,
 }
 
-/// What entries told one instance of the list. Clones share it.
+/// The endpoint lists and observations that entries reported to one instance. Clones
+/// share them.
 #[derive(Clone, Debug)]
-pub struct Lists {
-    /// Names this run of the instance.
+pub struct EndpointLists {
+    /// Id of this run of the instance.
     run: u64,
     state: Arc<Mutex<State>>,
 }
 
-impl Default for Lists {
+impl Default for EndpointLists {
     fn default() -> Self {
         Self {
             run: rand::random::<u64>().max(1),
@@ -107,17 +111,17 @@
     }
 }
 
-/// What an entry is told of the list.
+/// Reply to an entry's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ListNews {
-    /// Whether it reads for the others.
+pub struct ListUpdate {
+    /// Whether the entry is asked to fetch the list for the others.
     pub reader: bool,
-    /// The newest read, if one is known.
+    /// The newest list, if one is known and its turn has come.
     pub newest: Option<ListRead>,
 }
 
-impl Lists {
-    /// The time of an answer.
+impl EndpointLists {
+    /// Timestamp for a response sent at `now`.
     pub fn stamp(&self, now: Duration) -> Stamp {
         Stamp {
             run: self.run,
@@ -125,9 +129,9 @@
         }
     }
 
-    /// How long a message was under way at least that has this echo and arrived at `now`.
-    /// Without an echo of this run nothing is known, and nothing is assumed.
-    pub fn under_way(&self, now: Duration, echo: Option<Echo>) -> Duration {
+    /// Lower bound on the transit time of a message with this echo that arrived at `now`.
+    /// Zero for a message without an echo of this run.
+    pub fn transit_time(&self, now: Duration, echo: Option<Echo>) -> Duration {
         let own = echo.filter(|echo| echo.stamp.run == self.run);
         let passed = own.map(|echo| {
             let since = self.stamp(now).at.saturating_sub(echo.stamp.at);
@@ -136,52 +140,53 @@
         passed.unwrap_or_default()
     }
 
-    /// The read that an entry tells, with the time that it was under way added to its age.
-    /// A message that lay before an instance which stood still would look as fresh
-    /// otherwise as when it was written, and put an old list in place of a newer one.
-    pub fn dated(
+    /// Adds the transit time of the message to the age of the list in it. Otherwise a
+    /// message that was queued while the instance was suspended would appear as recent as
+    /// when it was written, and an old list would replace a newer one.
+    pub fn add_transit_time(
         &self,
         now: Duration,
         echo: Option<Echo>,
         list: Option<ListRead>,
     ) -> Option<ListRead> {
-        let under_way = self.under_way(now, echo);
+        let transit_time = self.transit_time(now, echo);
         list.map(|list| ListRead {
-            age: list.age.saturating_add(under_way),
+            age: list.age.saturating_add(transit_time),
             ..list
         })
     }
 
-    /// Takes in what `entry` read, if it did; `held` is the mark of the content that
-    /// it has.
-    pub fn tell(
+    /// Records the report of `entry`, with the list if it fetched one; `held` is the
+    /// content hash of the list that it has.
+    pub fn report(
         &self,
         now: Duration,
         entry: &str,
         held: Mark,
         list: Option<ListRead>,
-    ) -> ListNews {
+    ) -> ListUpdate {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.forget_tellers(now);
+        state.expire_entries(now);
         let read = list.as_ref().and_then(|list| now.checked_sub(list.age));
-        state.note(now, entry, read);
+        state.record_entry(now, entry, read);
         if let (Some(list), Some(read)) = (list, read) {
             state.take(&list, read, entry);
         }
-        let reader = state.reads(now, entry);
+        let reader = state.is_reader(now, entry);
         let newest = state.newest(now, held);
-        ListNews { reader, newest }
+        ListUpdate { reader, newest }
     }
 
-    /// Takes in what an entry met at the endpoints of the list that it has, lately: what was
-    /// told long ago, and lay before an instance that stood still, says nothing of now.
-    pub fn sighted(&self, now: Duration, tell: &DemandReport) {
-        if self.under_way(now, tell.echo) > LATE {
+    /// Records the observations in a report. They are ignored if the message was in
+    /// transit for too long, for example while the instance was suspended, since they may
+    /// no longer apply.
+    pub fn record_sightings(&self, now: Duration, tell: &DemandReport) {
+        if self.transit_time(now, tell.echo) > MAX_TRANSIT_TIME {
             return;
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.read.is_none() || state.contents.newest().mark != tell.list_mark {
-            // Its places are those of another list; it will tell again.
+            // The positions refer to another list; the entry will report again.
             return;
         }
         let met = tell.observations.iter().map(|met| {
@@ -198,20 +203,20 @@
             alive: true,
             ..HealthReport::default()
         };
-        let heard = bits(&tell.responding).map(|place| (place, heard));
+        let heard = set_bits(&tell.responding).map(|place| (place, heard));
         let entry = hash(tell.entry.as_bytes());
         state.sightings.record(now, entry, met.chain(heard));
     }
 
-    /// Of some endpoints' runs, those that an entry heard from lately. None where its places
-    /// are those of another list, or its message lay for long.
-    pub fn heard_of(
+    /// Returns those of `runs` that the entry has recently received data from. Empty if
+    /// its report refers to another list or was in transit for too long.
+    pub fn heard_runs(
         &self,
         now: Duration,
         tell: &DemandReport,
         runs: &[Incarnation],
     ) -> Vec<Incarnation> {
-        if runs.is_empty() || self.under_way(now, tell.echo) > LATE {
+        if runs.is_empty() || self.transit_time(now, tell.echo) > MAX_TRANSIT_TIME {
             return Vec::new();
         }
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -231,39 +236,42 @@
         runs.iter().filter(heard).cloned().collect()
     }
 
-    /// What entries together see of the endpoints of the newest read.
+    /// Verdicts on the endpoints of the newest list, combined over all entries.
     pub fn verdicts(&self, now: Duration) -> Vec<EndpointVerdict> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((at, told)) = &state.verdicts
-            && now.saturating_sub(*at) < FRESH
+        if let Some((at, current)) = &state.verdicts
+            && now.saturating_sub(*at) < VERDICT_CACHE_TTL
         {
-            return told.clone();
+            return current.clone();
         }
         let verdicts = state.sightings.verdicts(now);
-        let told = verdicts
+        let current = verdicts
             .into_iter()
             .map(|(list_index, verdict)| EndpointVerdict {
                 list_index,
                 verdict: verdict.into(),
             });
-        let told: Vec<EndpointVerdict> = told.collect();
-        let before = state.verdicts.replace((now, told.clone()));
-        let before = before.map_or_else(Vec::new, |(_, before)| before);
+        let current: Vec<EndpointVerdict> = current.collect();
+        let previous = state.verdicts.replace((now, current.clone()));
+        let previous = previous.map_or_else(Vec::new, |(_, previous)| previous);
         let endpoints = &state.contents.newest().endpoints;
-        for new in told.iter().filter(|new| !before.contains(new)) {
+        for new in current.iter().filter(|new| !previous.contains(new)) {
             log_verdict(endpoints, new.list_index, &format!("{:?}", new.verdict));
         }
         let place = |verdict: &EndpointVerdict| verdict.list_index;
-        for old in before {
-            if told.binary_search_by_key(&old.list_index, place).is_err() {
+        for old in previous {
+            if current
+                .binary_search_by_key(&old.list_index, place)
+                .is_err()
+            {
                 log_verdict(endpoints, old.list_index, "sound");
             }
         }
-        told
+        current
     }
 }
 
-/// Logs what entries together see of an endpoint, where that has changed.
+/// Logs a changed verdict on an endpoint.
 fn log_verdict(endpoints: &[EndpointRecord], place: EndpointIndex, verdict: &str) {
     let Some(listed) = endpoints.get(place as usize) else {
         return;
@@ -275,8 +283,8 @@
         .info();
 }
 
-/// Places of the bits that are set.
-fn bits(bytes: &[u8]) -> impl Iterator<Item = EndpointIndex> {
+/// Positions of the set bits, lowest bit of the first byte first.
+fn set_bits(bytes: &[u8]) -> impl Iterator<Item = EndpointIndex> {
     (0..).zip(bytes).flat_map(|(at, byte)| {
         let set = (0..8).filter(move |bit| byte & (1 << bit) != 0);
         set.map(move |bit| at * 8 + bit)
@@ -284,53 +292,56 @@
 }
 
 impl State {
-    /// The newest read for an entry that has the list of `held`; `None` also where it has to
-    /// wait for its turn.
+    /// The newest list for an entry that has the list with the hash `held`. `None` also
+    /// if the rate limit for full lists is exhausted.
     fn newest(&mut self, now: Duration, held: Mark) -> Option<ListRead> {
         let (read, took) = self.read?;
         let news = self.contents.read_for(held, now.saturating_sub(read), took);
         let bytes = news.whole.as_ref().map_or(0, |whole| whole.size());
-        (bytes == 0 || self.whole.take(now, bytes)).then_some(news)
+        (bytes == 0 || self.full_lists.take(now, bytes)).then_some(news)
     }
 
-    /// Forgets entries that tell nothing more. Where nobody at all was heard for so long that
-    /// all would be forgotten, it is this instance that stood still or was cut off; with all
-    /// forgotten, each entry that tells would be asked to read until two before it by name
-    /// do.
-    fn forget_tellers(&mut self, now: Duration) {
-        let silent = now.saturating_sub(self.told);
-        if silent >= KEPT {
-            self.tellers.iter_mut().for_each(|t| t.told += silent);
+    /// Removes entries that stopped reporting. If no entry at all was heard for that
+    /// long, it was this instance that was suspended or cut off, and their deadlines are
+    /// extended. Otherwise every reporting entry would be asked to fetch the list until
+    /// two that precede it by name have reported.
+    fn expire_entries(&mut self, now: Duration) {
+        let silent = now.saturating_sub(self.last_report);
+        if silent >= ENTRY_TTL {
+            self.entries
+                .iter_mut()
+                .for_each(|entry| entry.last_report += silent);
         }
-        self.tellers.retain(|t| now.saturating_sub(t.told) < KEPT);
-        self.told = now;
+        self.entries
+            .retain(|entry| now.saturating_sub(entry.last_report) < ENTRY_TTL);
+        self.last_report = now;
     }
 
-    fn note(&mut self, now: Duration, entry: &str, read: Option<Duration>) {
+    fn record_entry(&mut self, now: Duration, entry: &str, read: Option<Duration>) {
         match self
-            .tellers
-            .binary_search_by(|teller| teller.entry.as_str().cmp(entry))
+            .entries
+            .binary_search_by(|tracked| tracked.name.as_str().cmp(entry))
         {
             Ok(at) => {
-                let teller = &mut self.tellers[at];
-                teller.told = now;
-                teller.read = teller.read.max(read);
+                let tracked = &mut self.entries[at];
+                tracked.last_report = now;
+                tracked.last_read = tracked.last_read.max(read);
             }
-            Err(at) if self.tellers.len() < MOST => {
-                let entry = entry.to_string();
-                let teller = Teller {
-                    entry,
-                    told: now,
-                    read,
+            Err(at) if self.entries.len() < MAX_ENTRIES => {
+                let name = entry.to_string();
+                let tracked = TrackedEntry {
+                    name,
+                    last_report: now,
+                    last_read: read,
                 };
-                self.tellers.insert(at, teller);
+                self.entries.insert(at, tracked);
             }
             Err(_) => {}
         }
     }
 
-    /// Takes a read that is newer than the one held. One without content counts
-    /// where the content is the one held.
+    /// Stores a list if it is newer than the current one. A report without content counts
+    /// if its hash is that of the current content.
     fn take(&mut self, list: &ListRead, read: Duration, entry: &str) {
         if self.read.is_some_and(|(held, _)| held >= read) {
             return;
@@ -343,7 +354,7 @@
         let Some(content) = self.contents.resolve(list) else {
             return;
         };
-        if content.endpoints.len() > MOST_ENDPOINTS {
+        if content.endpoints.len() > MAX_ENDPOINTS {
             return;
         }
         Event::new("list-told")
@@ -367,15 +378,15 @@
         self.read = read;
     }
 
-    /// Whether `entry` is among those that read.
-    fn reads(&self, now: Duration, entry: &str) -> bool {
-        let can = |teller: &&Teller| {
-            let read = teller.read.map(|read| now.saturating_sub(read));
-            read.is_some_and(|age| age < READS)
+    /// Whether `entry` is among the readers.
+    fn is_reader(&self, now: Duration, entry: &str) -> bool {
+        let can_read = |tracked: &&TrackedEntry| {
+            let read = tracked.last_read.map(|read| now.saturating_sub(read));
+            read.is_some_and(|age| age < READER_TTL)
         };
-        let able = self.tellers.iter().filter(can);
-        let others = self.tellers.iter().filter(|teller| !can(teller));
+        let able = self.entries.iter().filter(can_read);
+        let others = self.entries.iter().filter(|tracked| !can_read(tracked));
         let mut readers = able.chain(others).take(READERS);
-        readers.any(|teller| teller.entry == entry)
+        readers.any(|tracked| tracked.name == entry)
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -23,7 +23,7 @@
 
 /// State shared by the handlers.
 #[derive(Clone, Debug)]
-pub struct Outside {
+pub struct OperatorApi {
     /// Access to the cluster.
     pub service: Service,
     /// Entries that poll the cluster.
@@ -31,7 +31,7 @@
     teams: Arc<KeyRing<TeamId>>,
 }
 
-impl Outside {
+impl OperatorApi {
     /// Handler state that authenticates requests with the keys of `teams`.
     pub fn new(service: Service, presence: Presence, teams: &[Team]) -> Self {
         let keys = teams
@@ -54,7 +54,7 @@
 
 /// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ErrorText {
+pub struct ErrorBody {
     /// What happened and how to resolve it.
     pub error: String,
     /// Faults of a rejected document.
@@ -74,7 +74,7 @@
 
 /// One version in a service's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct HistoryItem {
     /// Who put the version in force, and when.
     pub accepted: Acceptance,
     /// Document text; only the newest versions retain it.
@@ -167,24 +167,24 @@
 
 /// Why an operator's request was refused.
 #[derive(Debug)]
-enum Refused {
-    Key,
-    Unknown(ServiceId),
+enum OperatorError {
+    UnknownKey,
+    UnknownService(ServiceId),
     NoMajority,
-    Faults(Diagnostics),
-    Name { path: ServiceId, text: ServiceId },
+    InvalidDocument(Diagnostics),
+    NameMismatch { path: ServiceId, text: ServiceId },
     Put(PutError),
     Routes(RoutesError),
 }
 
-impl IntoResponse for Refused {
+impl IntoResponse for OperatorError {
     fn into_response(self) -> Response {
         let (status, error) = match &self {
-            Self::Key => (
+            Self::UnknownKey => (
                 StatusCode::UNAUTHORIZED,
                 "unknown key; send Authorization: Bearer and a key of your team".to_string(),
             ),
-            Self::Unknown(service) => (
+            Self::UnknownService(service) => (
                 StatusCode::NOT_FOUND,
                 format!("there is no service {service}; GET /v1/status lists them"),
             ),
@@ -194,10 +194,10 @@
                  send the same document again"
                     .to_string(),
             ),
-            Self::Faults(faults) => {
+            Self::InvalidDocument(faults) => {
                 (StatusCode::BAD_REQUEST, format!("the document has faults:\n{faults}"))
             }
-            Self::Name { path, text } => (
+            Self::NameMismatch { path, text } => (
                 StatusCode::BAD_REQUEST,
                 format!("the path names {path} and the document {text}; make them agree"),
             ),
@@ -208,63 +208,68 @@
             Self::Routes(error) => (error.status(), error.to_string()),
         };
         let faults = match &self {
-            Self::Faults(faults) => faults.0.iter().map(Diagnostic::to_string).collect(),
+            Self::InvalidDocument(faults) => {
+                faults.0.iter().map(Diagnostic::to_string).collect()
+            }
             _ => Vec::new(),
         };
         let won = match self {
             Self::Put(PutError::Conflict { won, .. }) => Some(won),
             _ => None,
         };
-        let text = ErrorText { error, faults, won };
+        let text = ErrorBody { error, faults, won };
         (status, Json(text)).into_response()
     }
 }
 
 /// Routes of the operator API.
-pub fn routes(outside: Outside) -> Router {
+pub fn routes(api: OperatorApi) -> Router {
     Router::new()
         .route("/v1/services/{service}", get(current).put(put))
         .route("/v1/services/{service}/history", get(history))
         .route("/v1/routes", get(current_routes).put(put_routes))
         .route("/v1/status", get(status))
         .layer(DefaultBodyLimit::max(MAX_DOCUMENT))
-        .with_state(outside)
+        .with_state(api)
 }
 
-impl Outside {
-    fn team(&self, headers: &HeaderMap) -> Result<TeamId, Refused> {
+impl OperatorApi {
+    fn team(&self, headers: &HeaderMap) -> Result<TeamId, OperatorError> {
         let value = headers.get(header::AUTHORIZATION);
         let text = value.and_then(|value| value.to_str().ok());
         let key = text.and_then(|text| text.strip_prefix("Bearer "));
-        let hash = key.map(|key| KeyHash::of(key.trim())).ok_or(Refused::Key)?;
+        let hash = key
+            .map(|key| KeyHash::of(key.trim()))
+            .ok_or(OperatorError::UnknownKey)?;
         let team = self.teams.find(&hash).next().cloned();
-        team.ok_or(Refused::Key)
+        team.ok_or(OperatorError::UnknownKey)
     }
 
     /// The documents, confirmed by a majority.
-    async fn documents(&self) -> Result<Arc<Documents>, Refused> {
+    async fn documents(&self) -> Result<Arc<Documents>, OperatorError> {
         let confirmed = self.service.confirm().await;
-        confirmed.map_err(|_| Refused::NoMajority)?;
+        confirmed.map_err(|_| OperatorError::NoMajority)?;
         Ok(self.service.replica().documents.load_full())
     }
 
-    async fn find(&self, service: &str) -> Result<Arc<History>, Refused> {
+    async fn find(&self, service: &str) -> Result<Arc<History>, OperatorError> {
         let documents = self.documents().await?;
         let found = documents.service(service).cloned();
-        found.ok_or_else(|| Refused::Unknown(service.to_string()))
+        found.ok_or_else(|| OperatorError::UnknownService(service.to_string()))
     }
 }
 
 async fn put(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     Path(service): Path<ServiceId>,
     headers: HeaderMap,
     text: String,
-) -> Result<Json<Accepted>, Refused> {
-    let team = outside.team(&headers)?;
-    let document = ServiceDocument::parse(&service, &text).map_err(Refused::Faults)?;
+) -> Result<Json<Accepted>, OperatorError> {
+    let team = api.team(&headers)?;
+    let document = ServiceDocument::parse(&service, &text)
+        .map_err(OperatorError::InvalidDocument)?;
     if document.service != service {
-        return Err(Refused::Name {
+        return Err(OperatorError::NameMismatch {
             path: service,
             text: document.service,
         });
@@ -274,8 +279,8 @@
         text,
         document,
     });
-    let reply = outside.service.submit(&action).await;
-    match reply.map_err(|_| Refused::NoMajority)? {
+    let reply = api.service.submit(&action).await;
+    match reply.map_err(|_| OperatorError::NoMajority)? {
         Reply::Put(Ok(accepted)) => {
             Event::new("document-accepted")
                 .field("service", &accepted.service)
@@ -285,68 +290,68 @@
                 .info();
             Ok(Json(Accepted { accepted }))
         }
-        Reply::Put(Err(error)) => Err(Refused::Put(error)),
-        _ => Err(Refused::NoMajority),
+        Reply::Put(Err(error)) => Err(OperatorError::Put(error)),
+        _ => Err(OperatorError::NoMajority),
     }
 }
 
 async fn current(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     Path(service): Path<ServiceId>,
     headers: HeaderMap,
-) -> Result<Response, Refused> {
-    outside.team(&headers)?;
-    let history = outside.find(&service).await?;
+) -> Result<Response, OperatorError> {
+    api.team(&headers)?;
+    let history = api.find(&service).await?;
     let text = history.entries.last().and_then(|entry| entry.text.clone());
     let kind = [(header::CONTENT_TYPE, "application/json")];
     Ok((kind, text.unwrap_or_default()).into_response())
 }
 
 async fn history(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     Path(service): Path<ServiceId>,
     headers: HeaderMap,
-) -> Result<Json<Vec<Past>>, Refused> {
-    outside.team(&headers)?;
-    let history = outside.find(&service).await?;
-    let past = history.entries.iter().map(|entry| Past {
+) -> Result<Json<Vec<HistoryItem>>, OperatorError> {
+    api.team(&headers)?;
+    let history = api.find(&service).await?;
+    let items = history.entries.iter().map(|entry| HistoryItem {
         accepted: entry.acceptance.clone(),
         text: entry.text.clone(),
     });
-    Ok(Json(past.collect()))
+    Ok(Json(items.collect()))
 }
 
 async fn put_routes(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     headers: HeaderMap,
     source: Bytes,
-) -> Result<Json<RoutesAccepted>, Refused> {
-    outside.team(&headers)?;
-    let put = outside.service.put_routes(&JsonFormat, &source).await;
-    let version = put.map_err(Refused::Routes)?;
+) -> Result<Json<RoutesAccepted>, OperatorError> {
+    api.team(&headers)?;
+    let put = api.service.put_routes(&JsonFormat, &source).await;
+    let version = put.map_err(OperatorError::Routes)?;
     Ok(Json(RoutesAccepted { version }))
 }
 
 async fn current_routes(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     headers: HeaderMap,
-) -> Result<Response, Refused> {
-    outside.team(&headers)?;
-    let text = outside.service.get_routes().await;
-    let text = text.map_err(Refused::Routes)?;
+) -> Result<Response, OperatorError> {
+    api.team(&headers)?;
+    let text = api.service.get_routes().await;
+    let text = text.map_err(OperatorError::Routes)?;
     let kind = [(header::CONTENT_TYPE, "application/json")];
     Ok((kind, text).into_response())
 }
 
 async fn status(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     headers: HeaderMap,
-) -> Result<Json<Status>, Refused> {
-    outside.team(&headers)?;
-    let replica = outside.service.replica();
+) -> Result<Json<Status>, OperatorError> {
+    api.team(&headers)?;
+    let replica = api.service.replica();
     let documents = replica.documents.load_full();
-    let standing = replica.standing.borrow().clone();
-    let members = standing.members.iter().map(|member| MemberStatus {
+    let status = replica.status.borrow().clone();
+    let members = status.members.iter().map(|member| MemberStatus {
         node: format!("{:016x}", member.id),
         name: member.name.clone(),
         address: member.address.to_string(),
@@ -360,29 +365,29 @@
         state: history.document.state.to_string(),
     });
     let view = replica.duties.borrow().clone();
-    let duties = view.held.iter().map(|held| DutyStatus {
-        duty: held.duty.clone(),
-        subject: held.subject.clone(),
-        holder: held.holder.machine.to_string(),
-        fence: held.fence,
+    let duties = view.assignments.iter().map(|duty| DutyStatus {
+        duty: duty.duty.clone(),
+        subject: duty.subject.clone(),
+        holder: duty.holder.machine.to_string(),
+        fence: duty.fence,
     });
     let usage = UsageStatus {
-        next: view.next,
-        owed: view.owed,
-        dropped: view.dropped,
+        next: view.next_window,
+        owed: view.pending,
+        dropped: view.discarded,
     };
     Ok(Json(Status {
         revision: documents.revision,
-        node: format!("{:016x}", standing.node),
-        term: standing.term,
-        leads: standing.leads,
-        contact: standing.contact,
-        entries: *outside.presence.count().borrow(),
-        claims: standing.claims,
-        log_bytes: standing.size,
+        node: format!("{:016x}", status.node),
+        term: status.term,
+        leads: status.leads,
+        contact: status.contact,
+        entries: *api.presence.count().borrow(),
+        claims: status.claims,
+        log_bytes: status.log_bytes,
         members: members.collect(),
         services: services.collect(),
         duties: duties.collect(),
-        usage: (view.next > 0).then_some(usage),
+        usage: (view.next_window > 0).then_some(usage),
     }))
 }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,12 +1,12 @@
-//! Sending the log's messages to the other instances.
+//! Delivery of consensus messages to the other instances.
 //!
-//! Each peer has two tasks with short queues, each with connections of its own: one for
-//! what keeps the cluster in contact, one for entries and snapshots of some size. A
-//! heartbeat therefore never waits for a large text, which on a full link may take
-//! seconds, far longer than followers wait for their leader. What does not fit a queue
-//! is dropped: the log copes with lost messages, and a slow peer must not hold memory
-//! here. What becomes of a large message is reported to the replica, which sends nothing
-//! of it again before that.
+//! Each peer has two tasks with bounded queues and separate connections: one for the
+//! small messages that maintain contact, one for large entries and snapshots. A heartbeat
+//! therefore never waits for a large message, whose transfer may take seconds on a
+//! saturated link, far longer than the election time-out. Messages that do not fit into a
+//! queue are dropped: the consensus protocol tolerates lost messages, and a slow peer
+//! must not consume memory here. The outcome of each large message is reported to the
+//! replica, which does not resend it before.
 
 use dogwoodhill_consensus::NodeId;
 use dogwoodhill_consensus::message::{Message, transfer};
@@ -17,19 +17,19 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-/// Path of [`Envelope`].
+/// Path on which instances send [`Envelope`].
 pub const LOG_PATH: &str = "/internal/log";
-/// Small messages that wait for one peer.
-const QUEUE: usize = 256;
-/// Large messages that wait for one peer: the log has one under way at a time, and one
-/// more may follow a change of leaders.
+/// Queued small messages per peer.
+const SMALL_QUEUE: usize = 256;
+/// Queued large messages per peer. The log has one in flight at a time, and another may
+/// follow a change of leader.
 const LARGE_QUEUE: usize = 2;
-/// Longest time for one delivery, beside the transfer of what it carries.
-const DELIVERY: Duration = Duration::from_secs(1);
-/// Messages of one cluster's log.
+/// Time-out of a delivery, in addition to the transfer time of its content.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Messages between instances of one cluster.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Cluster; another one's messages are refused.
+    /// Id of the cluster; messages of other clusters are refused.
     pub cluster: u128,
     /// Messages, in order.
     pub messages: Vec<Message>,
@@ -43,45 +43,46 @@
     large: mpsc::Sender<Message>,
 }
 
-/// Senders to all peers, sorted by id.
+/// Senders to all peers, sorted by node id.
 #[derive(Debug)]
 pub struct Peers {
     cluster: u128,
-    caller: PeerClient,
-    /// With connections of its own.
-    apart: PeerClient,
+    client: PeerClient,
+    /// Uses separate connections.
+    large_client: PeerClient,
     peers: Vec<Peer>,
-    report: mpsc::UnboundedSender<Delivery>,
-    reports: Option<mpsc::UnboundedReceiver<Delivery>>,
+    sender: mpsc::UnboundedSender<Delivery>,
+    receiver: Option<mpsc::UnboundedReceiver<Delivery>>,
 }
 
-/// What became of a large message.
+/// Outcome of a large message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// To whom it went.
+    /// Recipient.
     pub peer: NodeId,
-    /// Whether it arrived.
+    /// Whether the recipient acknowledged it.
     pub delivered: bool,
 }
 
 impl Peers {
-    /// No peers yet.
-    pub fn new(cluster: u128, caller: PeerClient) -> Self {
-        let (report, reports) = mpsc::unbounded_channel();
+    /// Senders for a cluster; a peer is added with the first message to it.
+    pub fn new(cluster: u128, client: PeerClient) -> Self {
+        let (sender, receiver) = mpsc::unbounded_channel();
         Self {
             cluster,
-            apart: caller.with_own_pool(),
-            caller,
+            large_client: client.with_own_pool(),
+            client,
             peers: Vec::new(),
-            report,
-            reports: Some(reports),
+            sender,
+            receiver: Some(receiver),
         }
     }
 
-    /// What becomes of large messages, as it happens. There is one report of a few bytes
-    /// for each, and one owner: the first who asks.
-    pub fn reports(&mut self) -> Option<mpsc::UnboundedReceiver<Delivery>> {
-        self.reports.take()
+    /// Outcomes of large messages. The first call returns the receiver, later ones return
+    /// `None`. The channel is unbounded, since it carries one small value per large
+    /// message.
+    pub fn deliveries(&mut self) -> Option<mpsc::UnboundedReceiver<Delivery>> {
+        self.receiver.take()
     }
 
     /// Sends a message to the instance at `address`.
@@ -99,12 +100,13 @@
         }
         let peer = &self.peers[at];
         if !message.large() {
-            // A full queue drops the message; the log sends again.
+            // A message that does not fit is dropped and resent by the consensus
+            // protocol.
             let _ = peer.small.try_send(message);
         } else if peer.large.try_send(message).is_err() {
             let delivered = false;
-            // The receiver ends with the replica, which then needs no report.
-            let _ = self.report.send(Delivery {
+            // Fails only after the replica has ended.
+            let _ = self.sender.send(Delivery {
                 peer: id,
                 delivered,
             });
@@ -112,21 +114,21 @@
     }
 
     fn start(&self, id: NodeId, address: SocketAddr) -> Peer {
-        let (small, messages) = mpsc::channel(QUEUE);
-        let lane = Lane {
-            caller: self.caller.clone(),
+        let (small, messages) = mpsc::channel(SMALL_QUEUE);
+        let connection = Connection {
+            client: self.client.clone(),
             cluster: self.cluster,
             address,
         };
-        tokio::spawn(lane.deliver_small(messages));
+        tokio::spawn(connection.deliver_small(messages));
         let (large, messages) = mpsc::channel(LARGE_QUEUE);
-        let lane = Lane {
-            caller: self.apart.clone(),
+        let connection = Connection {
+            client: self.large_client.clone(),
             cluster: self.cluster,
             address,
         };
-        let report = self.report.clone();
-        tokio::spawn(lane.deliver_large(messages, id, report));
+        let sender = self.sender.clone();
+        tokio::spawn(connection.deliver_large(messages, id, sender));
         Peer {
             id,
             address,
@@ -136,40 +138,40 @@
     }
 }
 
-/// One of the two ways to a peer.
+/// One of the two connections to a peer.
 #[derive(Debug)]
-struct Lane {
-    caller: PeerClient,
+struct Connection {
+    client: PeerClient,
     cluster: u128,
     address: SocketAddr,
 }
 
-impl Lane {
-    /// Delivers what is queued, as much as there is in one call.
+impl Connection {
+    /// Delivers queued messages, as many as possible per call.
     async fn deliver_small(self, mut queue: mpsc::Receiver<Message>) {
         let mut messages = Vec::new();
-        while queue.recv_many(&mut messages, QUEUE).await > 0 {
-            // A failed delivery is a lost message; the log sends again.
+        while queue.recv_many(&mut messages, SMALL_QUEUE).await > 0 {
+            // A failed delivery is a lost message, which the consensus protocol resends.
             self.deliver(std::mem::take(&mut messages)).await;
         }
     }
 
-    /// Delivers one message after the other, and reports on each.
+    /// Delivers messages one at a time and reports the outcome of each.
     async fn deliver_large(
         self,
         mut queue: mpsc::Receiver<Message>,
         peer: NodeId,
-        report: mpsc::UnboundedSender<Delivery>,
+        sender: mpsc::UnboundedSender<Delivery>,
     ) {
         while let Some(message) = queue.recv().await {
             let delivered = self.deliver(vec![message]).await;
-            // The receiver ends with the replica, which then needs no report.
-            let _ = report.send(Delivery { peer, delivered });
+            // Fails only after the replica has ended.
+            let _ = sender.send(Delivery { peer, delivered });
         }
     }
 
-    /// Delivers messages; whether they arrived. A connection that went dead is found by
-    /// its pings, long before the time for a large message is over.
+    /// Delivers messages and returns whether they were acknowledged. A dead connection is
+    /// detected by its pings, long before the time-out of a large message.
     async fn deliver(&self, messages: Vec<Message>) -> bool {
         let envelope = Envelope {
             cluster: self.cluster,
@@ -178,17 +180,19 @@
         let bytes = envelope.messages.iter().map(Message::size).sum::<usize>();
         let large = envelope.messages.iter().any(Message::large);
         let begun = Instant::now();
-        let call = self.caller.call::<_, ()>(self.address, LOG_PATH, &envelope);
-        let delivered =
-            matches!(timeout(DELIVERY + transfer(bytes), call).await, Ok(Ok(())));
+        let call = self.client.call::<_, ()>(self.address, LOG_PATH, &envelope);
+        let delivered = matches!(
+            timeout(DELIVERY_TIMEOUT + transfer(bytes), call).await,
+            Ok(Ok(()))
+        );
         if large {
-            report(self.address, bytes, begun.elapsed(), delivered);
+            log_delivery(self.address, bytes, begun.elapsed(), delivered);
         }
         delivered
     }
 }
 
-fn report(address: SocketAddr, bytes: usize, took: Duration, delivered: bool) {
+fn log_delivery(address: SocketAddr, bytes: usize, took: Duration, delivered: bool) {
     let event = Event::new("log-delivery")
         .field("address", address)
         .field("bytes", bytes)
--- a/crates/control/src/presence.rs
+++ b/crates/control/src/presence.rs
@@ -1,10 +1,10 @@
-//! Which entries are there, so that each knows its share of a workspace's
+//! The set of active entries, from which each entry derives its share of a workspace's
 //! limits.
 //!
-//! Every instance knows the entries that poll it and tells the others every
-//! [`INTERVAL`]; a name not heard of for `KEPT` is dropped. The number is
-//! therefore behind by up to `KEPT` after an entry died, which makes the
-//! others' shares too small for that long, never too large.
+//! Every instance tracks the entries that poll it and sends their names to the other
+//! instances every [`INTERVAL`]. A name expires `ENTRY_TTL` after it was last seen. For
+//! up to that long after an entry has died, the count is too high and the shares of the
+//! other entries are too small, but never too large.
 
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -12,100 +12,101 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Path of [`Names`].
+/// Path on which instances send [`EntryNames`].
 pub const PRESENCE_PATH: &str = "/internal/presence";
-/// Interval at which instances tell each other.
+/// Interval between messages to the other instances.
 pub const INTERVAL: Duration = Duration::from_secs(1);
-/// How long a name is kept that is not heard of.
-const KEPT: Duration = Duration::from_secs(5);
+/// How long an entry counts after it was last seen.
+const ENTRY_TTL: Duration = Duration::from_secs(5);
 
 /// Entries that poll one instance.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Names {
-    /// Their names.
+pub struct EntryNames {
+    /// Names of the entries.
     pub names: Vec<String>,
 }
 
 #[derive(Debug)]
-struct Seen {
+struct TrackedEntry {
     name: String,
-    until: Instant,
+    expires_at: Instant,
     polls: u32,
 }
 
 /// Entries known to one instance. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Presence {
-    seen: Arc<Mutex<Vec<Seen>>>,
+    entries: Arc<Mutex<Vec<TrackedEntry>>>,
     count: watch::Sender<u32>,
 }
 
 impl Default for Presence {
     fn default() -> Self {
         Self {
-            seen: Arc::default(),
+            entries: Arc::default(),
             count: watch::Sender::new(0),
         }
     }
 }
 
 impl Presence {
-    /// Number of entries, as it changes.
+    /// Number of active entries, with changes.
     pub fn count(&self) -> watch::Receiver<u32> {
         self.count.subscribe()
     }
 
-    /// Counts an entry in while it polls.
-    pub fn poll(&self, name: &str) -> Polling {
-        self.with(name, |seen| seen.polls += 1);
-        Polling {
+    /// Registers a poll of an entry. The entry counts at least until the guard is
+    /// dropped.
+    pub fn poll(&self, name: &str) -> PollGuard {
+        self.update(name, |entry| entry.polls += 1);
+        PollGuard {
             presence: self.clone(),
             name: name.to_string(),
         }
     }
 
-    /// Notes what another instance tells.
-    pub fn hear(&self, names: &Names) {
+    /// Merges the names received from another instance.
+    pub fn merge(&self, names: &EntryNames) {
         for name in &names.names {
-            self.with(name, |_| {});
+            self.update(name, |_| {});
         }
     }
 
-    /// Drops what was not heard of, and tells which entries poll here.
-    pub fn refresh(&self) -> Names {
+    /// Removes expired entries and returns those that poll this instance.
+    pub fn refresh(&self) -> EntryNames {
         let now = Instant::now();
-        let mut seen = self.lock();
-        for entry in seen.iter_mut().filter(|entry| entry.polls > 0) {
-            entry.until = now + KEPT;
+        let mut entries = self.lock();
+        for entry in entries.iter_mut().filter(|entry| entry.polls > 0) {
+            entry.expires_at = now + ENTRY_TTL;
         }
-        seen.retain(|entry| entry.until > now);
-        let polling = seen.iter().filter(|entry| entry.polls > 0);
+        entries.retain(|entry| entry.expires_at > now);
+        let polling = entries.iter().filter(|entry| entry.polls > 0);
         let names = polling.map(|entry| entry.name.clone()).collect();
-        self.publish(&seen);
-        Names { names }
+        self.publish(&entries);
+        EntryNames { names }
     }
 
-    fn with(&self, name: &str, change: impl FnOnce(&mut Seen)) {
-        let until = Instant::now() + KEPT;
-        let mut seen = self.lock();
-        let found = seen.binary_search_by(|entry| entry.name.as_str().cmp(name));
+    fn update(&self, name: &str, change: impl FnOnce(&mut TrackedEntry)) {
+        let expires_at = Instant::now() + ENTRY_TTL;
+        let mut entries = self.lock();
+        let found = entries.binary_search_by(|entry| entry.name.as_str().cmp(name));
         let at = found.unwrap_or_else(|at| {
             let name = name.to_string();
-            let entry = Seen {
+            let entry = TrackedEntry {
                 name,
-                until,
+                expires_at,
                 polls: 0,
             };
-            seen.insert(at, entry);
+            entries.insert(at, entry);
             at
         });
-        seen[at].until = until;
-        change(&mut seen[at]);
-        self.publish(&seen);
+        entries[at].expires_at = expires_at;
+        change(&mut entries[at]);
+        self.publish(&entries);
     }
 
-    fn publish(&self, seen: &[Seen]) {
-        let count = seen.len() as u32;
+    fn publish(&self, entries: &[TrackedEntry]) {
+        let count = entries.len() as u32;
         self.count.send_if_modified(|old| {
             let changed = *old != count;
             *old = count;
@@ -113,23 +114,23 @@
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Seen>> {
-        // Names stay valid even if a holder panicked.
-        self.seen
+    fn lock(&self) -> MutexGuard<'_, Vec<TrackedEntry>> {
+        // Every update leaves the list consistent, even if a holder of the lock panics.
+        self.entries
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// A poll in progress.
+/// Guard of a poll in progress.
 #[derive(Debug)]
-pub struct Polling {
+pub struct PollGuard {
     presence: Presence,
     name: String,
 }
 
-impl Drop for Polling {
+impl Drop for PollGuard {
     fn drop(&mut self) {
-        self.presence.with(&self.name, |seen| seen.polls -= 1);
+        self.presence.update(&self.name, |entry| entry.polls -= 1);
     }
 }
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Requests that crash the endpoints that run them, as all entries together find them.
+//! Detection of requests that crash the endpoints that run them, over all entries.
 //!
-//! Entries tell one instance which requests they lost with which endpoints. What it finds is
-//! told to all that ask, and put into the log, so that it outlives this instance and all
-//! others. The losses themselves are not durable: entries keep their own, and tell them
-//! again to the next instance.
+//! Entries report to one instance which requests were lost together with which endpoints.
+//! The instance returns its findings to all entries that ask and commits them to the log,
+//! so that they survive the loss of any instance. The reported losses are not durable:
+//! entries retain their own and repeat them to the next instance.
 
 use crate::command::Action;
 use crate::service::Service;
@@ -20,58 +20,58 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Losses of one message that are taken in: more than an entry has under way at the
-/// endpoints that end within one of its intervals.
-const MOST_LOSSES: usize = 1_024;
-/// Tries to put a request into the log, [`KEEP_PAUSE`] apart and two seconds long where there
-/// is no majority. Entries hold it meanwhile.
-const KEEP_TRIES: usize = 20;
-/// Pause between two of them.
-const KEEP_PAUSE: Duration = Duration::from_secs(1);
+/// Losses accepted per message: more than an entry has in flight at the endpoints that
+/// end within one reporting interval.
+const MAX_LOSSES: usize = 1_024;
+/// Tries to commit a finding, [`LOG_RETRY_DELAY`] apart; each takes up to 2 s while there
+/// is no majority. Entries block the request meanwhile.
+const LOG_TRIES: usize = 20;
+/// Delay between two tries.
+const LOG_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What is known, and how far the log has been taken in.
+/// Losses and findings, and the requests quarantined in the log.
 #[derive(Debug, Default)]
 struct State {
     quarantine: Quarantine,
-    logged: Option<watch::Receiver<Vec<(Quarantined, Duration)>>>,
+    log: Option<watch::Receiver<Vec<(Quarantined, Duration)>>>,
 }
 
-/// What entries told one instance. Clones share it.
+/// Request losses reported to one instance, and the findings. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Quarantines {
+pub struct QuarantineTracker {
     state: Arc<Mutex<State>>,
 }
 
-impl Quarantines {
-    /// One that goes by what the log has, too.
-    pub fn following(mut logged: watch::Receiver<Vec<(Quarantined, Duration)>>) -> Self {
-        let quarantines = Self::default();
-        // What is in it already counts as changed.
-        logged.mark_changed();
-        quarantines.state().logged = Some(logged);
-        quarantines
+impl QuarantineTracker {
+    /// Also takes account of the quarantined requests in the log.
+    pub fn with_log(mut log: watch::Receiver<Vec<(Quarantined, Duration)>>) -> Self {
+        let tracker = Self::default();
+        // The initial value has to be processed too.
+        log.mark_changed();
+        tracker.state().log = Some(log);
+        tracker
     }
 
-    /// Endpoints that were told as lost.
-    pub fn gone(&self) -> Vec<Incarnation> {
+    /// Endpoints that were reported lost.
+    pub fn lost_endpoints(&self) -> Vec<Incarnation> {
         self.state().quarantine.lost_endpoints().cloned().collect()
     }
 
-    /// Takes in what an entry told, in a message that was under way for `under_way`, and
-    /// which of the lost endpoints it had heard from lately; returns what was found.
-    pub fn tell(
+    /// Records a report whose message was in transit for `transit`, and which of the lost
+    /// endpoints the entry has recently received data from. Returns new findings.
+    pub fn report(
         &self,
         now: Duration,
-        under_way: Duration,
+        transit: Duration,
         tell: &DemandReport,
         heard: &[Incarnation],
     ) -> Vec<NewQuarantine> {
         let mut state = self.state();
-        state.follow(now);
+        state.apply_log(now);
         let quarantine = &mut state.quarantine;
-        let teller = hash(tell.entry.as_bytes());
-        for loss in tell.losses.iter().take(MOST_LOSSES) {
-            let age = loss.age.saturating_add(under_way);
+        let entry = hash(tell.entry.as_bytes());
+        for loss in tell.losses.iter().take(MAX_LOSSES) {
+            let age = loss.age.saturating_add(transit);
             let Some(at) = now.checked_sub(age) else {
                 continue;
             };
@@ -83,35 +83,36 @@
                 sent: at.saturating_sub(loss.duration),
                 at,
             };
-            quarantine.record_loss(now, teller, &loss);
+            quarantine.record_loss(now, entry, &loss);
         }
-        for served in tell.served.iter().take(MOST_LOSSES) {
-            let age = served.age.saturating_add(under_way);
+        for served in tell.served.iter().take(MAX_LOSSES) {
+            let age = served.age.saturating_add(transit);
             if let Some(at) = now.checked_sub(age) {
                 quarantine.record_served(served.request, at);
             }
         }
         for run in heard {
-            let lately = under_way.saturating_add(RECENT_WINDOW);
+            let lately = transit.saturating_add(RECENT_WINDOW);
             quarantine.record_alive(run, now.saturating_sub(lately));
         }
         quarantine.evaluate(now)
     }
 
-    /// What an entry is told that knows the requests of `mark`.
-    pub fn news(&self, now: Duration, mark: u64) -> Option<Suspects> {
-        let told = self.state().quarantine.notices(now);
-        let news = marked(&told);
-        if news == mark {
+    /// The suspected requests, unless the entry already has the version with the hash
+    /// `known`.
+    pub fn suspects(&self, now: Duration, known: u64) -> Option<Suspects> {
+        let suspects = self.state().quarantine.notices(now);
+        let current = content_hash(&suspects);
+        if current == known {
             return None;
         }
-        let requests = told.iter().map(|told| SuspectRequest {
-            request: told.request,
-            crashes: told.status.crashes as u32,
-            remaining: told.status.remaining,
+        let requests = suspects.iter().map(|suspect| SuspectRequest {
+            request: suspect.request,
+            crashes: suspect.status.crashes as u32,
+            remaining: suspect.status.remaining,
         });
         Some(Suspects {
-            mark: news,
+            mark: current,
             requests: requests.collect(),
         })
     }
@@ -122,57 +123,57 @@
 }
 
 impl State {
-    /// Takes in what was put into the log since.
-    fn follow(&mut self, now: Duration) {
-        let Some(logged) = &mut self.logged else {
+    /// Processes requests that were quarantined in the log since the last call.
+    fn apply_log(&mut self, now: Duration) {
+        let Some(log) = &mut self.log else {
             return;
         };
-        if !logged.has_changed().unwrap_or(false) {
+        if !log.has_changed().unwrap_or(false) {
             return;
         }
-        for (held, left) in logged.borrow_and_update().iter() {
-            let (request, workspace) = (held.request, held.workspace);
+        for (quarantined, left) in log.borrow_and_update().iter() {
+            let (request, workspace) = (quarantined.request, quarantined.workspace);
             self.quarantine
-                .take(now, request, workspace, held.times, *left);
+                .take(now, request, workspace, quarantined.times, *left);
         }
     }
 }
 
-/// A mark that differs where requests, their crashes or what is held differ.
-fn marked(told: &[SuspectNotice]) -> u64 {
-    if told.is_empty() {
+/// Hash over requests, crash counts and quarantine status; 0 for an empty list.
+fn content_hash(suspects: &[SuspectNotice]) -> u64 {
+    if suspects.is_empty() {
         return 0;
     }
-    let mut bytes = Vec::with_capacity(told.len() * 18);
-    for told in told {
-        bytes.extend(told.request.to_be_bytes());
-        bytes.push(told.status.crashes.min(255) as u8);
-        bytes.push(u8::from(told.status.remaining.is_some()));
+    let mut bytes = Vec::with_capacity(suspects.len() * 18);
+    for suspect in suspects {
+        bytes.extend(suspect.request.to_be_bytes());
+        bytes.push(suspect.status.crashes.min(255) as u8);
+        bytes.push(u8::from(suspect.status.remaining.is_some()));
     }
     hash(&bytes).max(1)
 }
 
-/// Logs what was found, and puts it into the cluster's log in the background.
-pub(crate) fn keep(service: &Service, found: Vec<NewQuarantine>) {
-    for found in found {
-        found.event().warn();
-        tokio::spawn(put(service.clone(), found));
+/// Logs findings and commits them to the replicated log in the background.
+pub(crate) fn commit_findings(service: &Service, findings: Vec<NewQuarantine>) {
+    for finding in findings {
+        finding.event().warn();
+        tokio::spawn(commit(service.clone(), finding));
     }
 }
 
-async fn put(service: Service, found: NewQuarantine) {
+async fn commit(service: Service, finding: NewQuarantine) {
     let action = Action::Quarantine(Quarantined {
-        request: found.request,
-        workspace: found.workspace,
-        times: found.times,
+        request: finding.request,
+        workspace: finding.workspace,
+        times: finding.times,
     });
-    for _ in 0..KEEP_TRIES {
+    for _ in 0..LOG_TRIES {
         if service.submit(&action).await.is_ok() {
             return;
         }
-        sleep(KEEP_PAUSE).await;
+        sleep(LOG_RETRY_DELAY).await;
     }
     Event::new("quarantine-not-logged")
-        .field("content", short_form(found.request))
+        .field("content", short_form(finding.request))
         .warn();
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,16 +1,17 @@
-//! One instance's replica: the loop that owns log, disk and state.
+//! A replica of the cluster state: the event loop that owns the consensus node, the store
+//! and the state machine.
 //!
-//! The loop takes everything that has arrived, steps the log, makes the
-//! outcome durable in one sync and only then answers: while a sync runs, the
-//! next batch gathers, so throughput grows with load (group commit).
+//! The loop takes all pending inputs, steps the consensus node, makes the result durable
+//! with a single sync and only then replies. Inputs that arrive during a sync form the
+//! next batch (group commit), so throughput grows with load.
 
 mod handle;
 
-pub use handle::{DutyView, Input, Replica, Standing};
+pub use handle::{DutyView, Input, Replica, ReplicaStatus};
 
 use crate::command::{Action, Command, Reply};
 use crate::peers::{Delivery, Peers};
-use crate::sets::Sets;
+use crate::route_sets::RouteSets;
 use crate::state::{Documents, Quarantined, State};
 use arc_swap::ArcSwap;
 use derive_more::{Display, Error};
@@ -31,30 +32,30 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Interval of the log's clock.
+/// Interval between ticks of the consensus node.
 const TICK: Duration = Duration::from_millis(20);
-/// Bytes in the log on disk after which it is compacted, whatever the number
-/// of its entries: a route set of a few hundred routes takes over 100 KB, and
-/// the smallest disk we run on holds 64 MB.
+/// Log size on disk that triggers compaction regardless of the number of entries. A route
+/// set of a few hundred routes takes over 100 KB, and the smallest supported disk holds
+/// 64 MB.
 const COMPACT_BYTES: usize = 4 * 1024 * 1024;
-/// Inputs taken into one batch.
-const INPUTS: usize = 4096;
+/// Capacity of the input queue, and the most inputs in one batch.
+const MAX_BATCH: usize = 4096;
 
-/// Why the replica stopped.
+/// Why the event loop ended.
 #[derive(Debug, Display, Error)]
-pub enum Stopped {
-    /// The disk failed.
+pub enum DriverError {
+    /// A read or write of the data folder failed.
     #[display("{source}")]
     Disk {
-        /// How.
+        /// Error of the store.
         source: StoreError,
     },
-    /// The thread that writes ended.
-    #[display("the writing thread ended; report this fault")]
+    /// The blocking task that writes to the store panicked or was cancelled.
+    #[display("the task that writes to the store panicked; this is a bug")]
     Writer,
 }
 
-/// The loop, before it runs.
+/// The event loop of a replica, before it runs.
 #[derive(Debug)]
 pub struct Driver {
     node: Node<SmallRng>,
@@ -62,74 +63,79 @@
     state: State,
     peers: Peers,
     inputs: mpsc::Receiver<Input>,
-    /// What became of large messages.
-    reports: mpsc::UnboundedReceiver<Delivery>,
+    /// Outcomes of large messages.
+    deliveries: mpsc::UnboundedReceiver<Delivery>,
     documents: Arc<ArcSwap<Documents>>,
-    routes: watch::Sender<Sets>,
+    routes: watch::Sender<RouteSets>,
     quarantined: watch::Sender<Vec<(Quarantined, Duration)>>,
     duties: watch::Sender<DutyView>,
     applied: watch::Sender<Index>,
-    standing: watch::Sender<Standing>,
-    waiters: VecDeque<Waiter>,
-    reads: Vec<Reading>,
+    status: watch::Sender<ReplicaStatus>,
+    proposals: VecDeque<Proposal>,
+    reads: Vec<PendingRead>,
     next_read: ReadId,
-    compact: u64,
-    copies: usize,
+    compact_after: u64,
+    min_voters: usize,
     start: Instant,
-    led: Option<Led>,
+    leadership: Option<Leadership>,
 }
 
 #[derive(Debug)]
-struct Waiter {
+struct Proposal {
     index: Index,
     term: Term,
     reply: oneshot::Sender<ControlReply<Reply>>,
 }
 
 #[derive(Debug)]
-struct Reading {
+struct PendingRead {
     id: ReadId,
     reply: oneshot::Sender<ControlReply<Index>>,
 }
 
-/// Since when this instance leads, on both clocks.
+/// Start of this instance's current leadership, on both clocks.
 #[derive(Clone, Copy, Debug)]
-struct Led {
+struct Leadership {
     term: Term,
-    now: Duration,
-    since: Instant,
+    start_time: Duration,
+    started: Instant,
 }
 
-/// What a replica keeps to.
+/// Configuration of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ReplicaConfig {
     /// Entries after which the log is compacted.
-    pub compact: u64,
-    /// Fewest voters with which a change is taken: with fewer, an acknowledged
-    /// change would not survive the losses that the settings speak of.
-    pub copies: usize,
+    pub compact_after: u64,
+    /// Fewest voters with which a change is accepted. With fewer, an acknowledged change
+    /// would not survive the number of losses that the settings promise.
+    pub min_voters: usize,
 }
 
-/// A replica and the loop that drives it.
+/// A replica and its event loop.
 #[derive(Debug)]
-pub struct Made {
-    /// Handle.
+pub struct ReplicaParts {
+    /// Handle for the rest of the process.
     pub replica: Replica,
-    /// Loop.
+    /// Event loop; the replica does nothing until it runs.
     pub driver: Driver,
 }
 
-/// Makes a replica of an opened data folder.
+/// Builds a replica from an opened data folder.
 ///
 /// # Panics
 ///
-/// Where the snapshot, whose checksum was right, does not decode, and where `peers`
-/// belong to another replica already.
-pub fn make(opened: Opened, mut peers: Peers, limits: Limits, seed: u64) -> Made {
-    let (sender, inputs) = mpsc::channel(INPUTS);
-    let reports = peers.reports().expect("peers belong to one replica");
+/// If the snapshot does not decode although its checksum is valid, or if `peers` already
+/// belongs to another replica.
+pub fn build_replica(
+    opened: Opened,
+    mut peers: Peers,
+    config: ReplicaConfig,
+    seed: u64,
+) -> ReplicaParts {
+    let (sender, inputs) = mpsc::channel(MAX_BATCH);
+    let deliveries = peers.deliveries().expect("peers belong to one replica");
     let snapshot = &opened.durable.snapshot;
-    let state = decode(&snapshot.data);
+    let state = decode_state(&snapshot.data);
     let applied = snapshot.index;
     let random = SmallRng::seed_from_u64(seed);
     let node = Node::new(
@@ -140,13 +146,13 @@
         random,
     );
     let documents = Arc::new(ArcSwap::from_pointee(state.documents.clone()));
-    let mut sets = Sets::default();
+    let mut sets = RouteSets::default();
     sets.take(state.routes.as_ref());
     let routes = watch::Sender::new(sets);
     let quarantined = watch::Sender::new(state.quarantined());
     let duties = watch::Sender::new(DutyView::of(&state));
     let applied = watch::Sender::new(applied);
-    let standing = watch::Sender::new(Standing::default());
+    let status = watch::Sender::new(ReplicaStatus::default());
     let replica = Replica {
         inputs: sender,
         documents: Arc::clone(&documents),
@@ -154,7 +160,7 @@
         quarantined: quarantined.subscribe(),
         duties: duties.subscribe(),
         applied: applied.subscribe(),
-        standing: standing.subscribe(),
+        status: status.subscribe(),
     };
     let driver = Driver {
         node,
@@ -162,53 +168,53 @@
         state,
         peers,
         inputs,
-        reports,
+        deliveries,
         documents,
         routes,
         quarantined,
         duties,
         applied,
-        standing,
-        waiters: VecDeque::new(),
+        status,
+        proposals: VecDeque::new(),
         reads: Vec::new(),
         next_read: 0,
-        compact: limits.compact,
-        copies: limits.copies,
+        compact_after: config.compact_after,
+        min_voters: config.min_voters,
         start: Instant::now(),
-        led: None,
+        leadership: None,
     };
-    Made { replica, driver }
+    ReplicaParts { replica, driver }
 }
 
-fn decode(data: &[u8]) -> State {
+fn decode_state(data: &[u8]) -> State {
     if data.is_empty() {
         return State::default();
     }
-    rmp_serde::from_slice(data).expect("a snapshot with a right checksum decodes")
+    rmp_serde::from_slice(data).expect("a snapshot with a valid checksum decodes")
 }
 
 impl Driver {
-    /// Makes this instance the first of a new cluster.
+    /// Creates a new cluster with `member` as its only member.
     pub fn bootstrap(&mut self, member: Member) {
         self.node.bootstrap(member);
     }
 
-    /// Runs until every handle is dropped, or the disk fails.
+    /// Runs until all handles are dropped, the replica is stopped or the disk fails.
     ///
     /// # Errors
     ///
-    /// [`Stopped`]. State on disk is as the last sync left it.
-    pub async fn run(mut self) -> Result<(), Stopped> {
+    /// [`DriverError`]. The state on disk is that of the last completed sync.
+    pub async fn run(mut self) -> Result<(), DriverError> {
         let mut ticks = tokio::time::interval(TICK);
         let mut batch = Vec::new();
         loop {
             tokio::select! {
-                count = self.inputs.recv_many(&mut batch, INPUTS) => {
+                count = self.inputs.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return Ok(());
                     }
                 }
-                Some(report) = self.reports.recv() => self.delivery(report),
+                Some(outcome) = self.deliveries.recv() => self.on_delivery(outcome),
                 _ = ticks.tick() => {}
             }
             let mut stop = false;
@@ -217,17 +223,17 @@
                 self.take(input);
             }
             self.node.tick(self.start.elapsed());
-            self.settle().await?;
-            self.publish();
+            self.process_ready().await?;
+            self.publish_status();
             if stop {
                 return Ok(());
             }
         }
     }
 
-    fn delivery(&mut self, report: Delivery) {
+    fn on_delivery(&mut self, outcome: Delivery) {
         let now = self.start.elapsed();
-        self.node.delivery(now, report.peer, report.delivered);
+        self.node.delivery(now, outcome.peer, outcome.delivered);
     }
 
     fn take(&mut self, input: Input) {
@@ -242,7 +248,7 @@
             Input::Confirm(reply) => self.confirm(reply),
             Input::Add { member, reply } => {
                 let added = self.node.add(now, member);
-                let _ = reply.send(added.map_err(|refused| self.unable(refused)));
+                let _ = reply.send(added.map_err(|refused| self.to_unable(refused)));
             }
             Input::HandOver => self.node.hand_over(now),
             Input::Stop => {}
@@ -250,28 +256,28 @@
     }
 
     fn propose(&mut self, action: Action, reply: oneshot::Sender<ControlReply<Reply>>) {
-        if self.node.members().voters().count() < self.copies {
+        if self.node.members().voters().count() < self.min_voters {
             Event::new("change-refused")
                 .field("reason", "too-few-voters")
                 .field("voters", self.node.members().voters().count())
-                .field("needed", self.copies)
+                .field("needed", self.min_voters)
                 .warn();
             let _ = reply.send(Err(ControlUnavailable::NoMajority));
             return;
         }
         let command = Command {
             now: self.cluster_time(),
-            wall: wall(),
+            wall_ms: wall_clock_ms(),
             action,
         };
         let bytes = rmp_serde::to_vec(&command).expect("commands encode");
         match self.node.propose(bytes) {
             Ok(index) => {
                 let term = self.node.term();
-                self.waiters.push_back(Waiter { index, term, reply });
+                self.proposals.push_back(Proposal { index, term, reply });
             }
             Err(refused) => {
-                let _ = reply.send(Err(self.unable(refused)));
+                let _ = reply.send(Err(self.to_unable(refused)));
             }
         }
     }
@@ -280,28 +286,28 @@
         self.next_read += 1;
         let id = self.next_read;
         match self.node.read(id) {
-            Ok(()) => self.reads.push(Reading { id, reply }),
+            Ok(()) => self.reads.push(PendingRead { id, reply }),
             Err(refused) => {
-                let _ = reply.send(Err(self.unable(refused)));
+                let _ = reply.send(Err(self.to_unable(refused)));
             }
         }
     }
 
-    /// The cluster's time: what it was when this instance began to lead, and
-    /// what its monotonic clock measured since.
+    /// The cluster time: its value when this instance became leader plus the time elapsed
+    /// since on the local monotonic clock.
     fn cluster_time(&mut self) -> Duration {
         let term = self.node.term();
-        let led = self.led.filter(|led| led.term == term);
-        let led = led.unwrap_or(Led {
+        let leadership = self.leadership.filter(|leadership| leadership.term == term);
+        let leadership = leadership.unwrap_or(Leadership {
             term,
-            now: self.state.now,
-            since: Instant::now(),
+            start_time: self.state.now,
+            started: Instant::now(),
         });
-        self.led = Some(led);
-        led.now + led.since.elapsed()
+        self.leadership = Some(leadership);
+        leadership.start_time + leadership.started.elapsed()
     }
 
-    fn unable(&self, refused: Refused) -> ControlUnavailable {
+    fn to_unable(&self, refused: Refused) -> ControlUnavailable {
         match refused {
             Refused::NotLeader | Refused::HandingOver => ControlUnavailable::NotLeader {
                 leader: self.leader(),
@@ -315,18 +321,18 @@
         self.node.members().get(id).map(|member| member.address)
     }
 
-    /// Does what the log wants done, until it wants nothing more.
-    async fn settle(&mut self) -> Result<(), Stopped> {
+    /// Processes output of the consensus node until there is none.
+    async fn process_ready(&mut self) -> Result<(), DriverError> {
         loop {
             let ready = self.node.take_ready();
             if ready.is_empty() {
                 return Ok(());
             }
-            self.handle(ready).await?;
+            self.handle_ready(ready).await?;
         }
     }
 
-    async fn handle(&mut self, mut ready: Ready) -> Result<(), Stopped> {
+    async fn handle_ready(&mut self, mut ready: Ready) -> Result<(), DriverError> {
         self.send(std::mem::take(&mut ready.prompt));
         if ready.durable() {
             ready = self.persist(ready).await?;
@@ -334,16 +340,16 @@
         self.node.synced(ready.mark);
         self.send(std::mem::take(&mut ready.synced));
         if let Some(snapshot) = &ready.snapshot {
-            self.state = decode(&snapshot.data);
+            self.state = decode_state(&snapshot.data);
             self.documents.store(Arc::new(self.state.documents.clone()));
             self.publish_routes();
             self.quarantined.send_replace(self.state.quarantined());
             self.duties.send_replace(DutyView::of(&self.state));
             self.applied.send_replace(snapshot.index);
-            self.fail_waiters(snapshot.index);
+            self.fail_proposals(snapshot.index);
         }
         self.apply(&ready.committed);
-        self.finish_reads(&ready);
+        self.complete_reads(&ready);
         self.compact().await
     }
 
@@ -356,10 +362,9 @@
         }
     }
 
-    /// Writes on a thread of its own, so that a slow sync stalls no other
-    /// task of the process.
-    async fn persist(&mut self, ready: Ready) -> Result<Ready, Stopped> {
-        let mut store = self.store.take().ok_or(Stopped::Writer)?;
+    /// Writes on a blocking thread so that a slow sync does not stall other tasks.
+    async fn persist(&mut self, ready: Ready) -> Result<Ready, DriverError> {
+        let mut store = self.store.take().ok_or(DriverError::Writer)?;
         let rest = ready.snapshot.as_ref().map(|snapshot| {
             let log = self.node.log();
             log.slice(snapshot.index + 1, usize::MAX / 2).to_vec()
@@ -377,8 +382,8 @@
             done.map(|()| Written { store, ready })
         };
         let written = tokio::task::spawn_blocking(work).await;
-        let written = written.map_err(|_| Stopped::Writer)?;
-        let written = written.map_err(|source| Stopped::Disk { source })?;
+        let written = written.map_err(|_| DriverError::Writer)?;
+        let written = written.map_err(|source| DriverError::Disk { source })?;
         self.store = Some(written.store);
         Ok(written.ready)
     }
@@ -387,10 +392,10 @@
         let before = self.state.documents.revision;
         for entry in entries {
             let reply = match &entry.payload {
-                Payload::Command(bytes) => self.command(entry.index, bytes),
+                Payload::Command(bytes) => self.apply_command(entry.index, bytes),
                 Payload::Empty | Payload::Members(_) => None,
             };
-            self.answer(entry, reply);
+            self.complete_proposals(entry, reply);
         }
         if self.state.documents.revision != before {
             self.documents.store(Arc::new(self.state.documents.clone()));
@@ -401,7 +406,7 @@
         }
     }
 
-    /// Tells followers of a newer route set.
+    /// Publishes the current route set if it is newer than the published ones.
     fn publish_routes(&self) {
         self.routes.send_if_modified(|sets| {
             let newer = sets.take(self.state.routes.as_ref());
@@ -415,7 +420,7 @@
         });
     }
 
-    fn command(&mut self, index: Index, bytes: &[u8]) -> Option<Reply> {
+    fn apply_command(&mut self, index: Index, bytes: &[u8]) -> Option<Reply> {
         match rmp_serde::from_slice::<Command>(bytes) {
             Ok(command) => {
                 let reply = self.state.apply(index, &command);
@@ -431,7 +436,8 @@
                 Some(reply)
             }
             Err(_) => {
-                // Every instance of this version skips it alike.
+                // All instances of this version skip the entry, so their states stay
+                // identical.
                 Event::new("command-unreadable")
                     .field("index", index)
                     .error();
@@ -440,60 +446,60 @@
         }
     }
 
-    /// Answers those who waited for an entry, or for one that another leader
-    /// put something else in the place of.
-    fn answer(&mut self, entry: &Entry, mut reply: Option<Reply>) {
+    /// Replies to proposals up to `entry`. A proposal whose entry another leader
+    /// overwrote fails.
+    fn complete_proposals(&mut self, entry: &Entry, mut reply: Option<Reply>) {
         while self
-            .waiters
+            .proposals
             .front()
-            .is_some_and(|waiter| waiter.index <= entry.index)
+            .is_some_and(|proposal| proposal.index <= entry.index)
         {
-            let Some(waiter) = self.waiters.pop_front() else {
+            let Some(proposal) = self.proposals.pop_front() else {
                 return;
             };
-            let own = waiter.index == entry.index && waiter.term == entry.term;
-            let answer = reply
+            let own = proposal.index == entry.index && proposal.term == entry.term;
+            let result = reply
                 .take()
                 .filter(|_| own)
                 .ok_or(ControlUnavailable::NoMajority);
-            let _ = waiter.reply.send(answer);
+            let _ = proposal.reply.send(result);
         }
     }
 
-    fn fail_waiters(&mut self, index: Index) {
+    fn fail_proposals(&mut self, index: Index) {
         while self
-            .waiters
+            .proposals
             .front()
-            .is_some_and(|waiter| waiter.index <= index)
+            .is_some_and(|proposal| proposal.index <= index)
         {
-            if let Some(waiter) = self.waiters.pop_front() {
-                let _ = waiter.reply.send(Err(ControlUnavailable::NoMajority));
+            if let Some(proposal) = self.proposals.pop_front() {
+                let _ = proposal.reply.send(Err(ControlUnavailable::NoMajority));
             }
         }
     }
 
-    fn finish_reads(&mut self, ready: &Ready) {
+    fn complete_reads(&mut self, ready: &Ready) {
         let index = *self.applied.borrow();
         let leader = self.leader();
-        for reading in std::mem::take(&mut self.reads) {
-            if ready.reads.contains(&reading.id) {
-                let _ = reading.reply.send(Ok(index));
-            } else if ready.refused.contains(&reading.id) {
-                let _ = reading
+        for read in std::mem::take(&mut self.reads) {
+            if ready.reads.contains(&read.id) {
+                let _ = read.reply.send(Ok(index));
+            } else if ready.refused.contains(&read.id) {
+                let _ = read
                     .reply
                     .send(Err(ControlUnavailable::NotLeader { leader }));
             } else {
-                self.reads.push(reading);
+                self.reads.push(read);
             }
         }
     }
 
-    async fn compact(&mut self) -> Result<(), Stopped> {
+    async fn compact(&mut self) -> Result<(), DriverError> {
         let applied = *self.applied.borrow();
         let base = self.node.log().snapshot().index;
         let size = self.store.as_ref().map_or(0, Store::size);
         let large = size >= COMPACT_BYTES && applied > base;
-        if applied - base < self.compact && !large {
+        if applied - base < self.compact_after && !large {
             return Ok(());
         }
         let data = rmp_serde::to_vec(&self.state).expect("state encodes");
@@ -502,57 +508,57 @@
         };
         let hard = self.node.hard();
         let rest = self.node.log().slice(applied + 1, usize::MAX / 2).to_vec();
-        let mut store = self.store.take().ok_or(Stopped::Writer)?;
+        let mut store = self.store.take().ok_or(DriverError::Writer)?;
         let work = move || store.replace(hard, &snapshot, &rest).map(|()| store);
         let replaced = tokio::task::spawn_blocking(work).await;
-        let replaced = replaced.map_err(|_| Stopped::Writer)?;
-        self.store = Some(replaced.map_err(|source| Stopped::Disk { source })?);
+        let replaced = replaced.map_err(|_| DriverError::Writer)?;
+        self.store = Some(replaced.map_err(|source| DriverError::Disk { source })?);
         Event::new("log-compacted").field("index", applied).info();
         Ok(())
     }
 
-    fn publish(&self) {
-        let standing = Standing {
+    fn publish_status(&self) {
+        let status = ReplicaStatus {
             node: self.node.id(),
             term: self.node.term(),
             leads: self.node.leads(),
             leader: self.leader(),
             contact: self.node.in_contact(self.start.elapsed()),
             members: self.node.members().clone(),
-            size: self.store.as_ref().map_or(0, Store::size),
+            log_bytes: self.store.as_ref().map_or(0, Store::size),
             claims: self.state.claims(),
         };
-        self.standing.send_if_modified(|old| {
-            let changed = *old != standing;
-            if old.leader.is_some() && standing.leader.is_none() {
+        self.status.send_if_modified(|old| {
+            let changed = *old != status;
+            if old.leader.is_some() && status.leader.is_none() {
                 Event::new("leader-lost")
                     .field(
                         "address",
                         old.leader
                             .map_or("-".to_string(), |address| address.to_string()),
                     )
-                    .field("term", standing.term)
+                    .field("term", status.term)
                     .warn();
             }
-            if old.leads != standing.leads {
+            if old.leads != status.leads {
                 Event::new("leadership-changed")
-                    .field("leads", standing.leads)
-                    .field("term", standing.term)
+                    .field("leads", status.leads)
+                    .field("term", status.term)
                     .info();
             }
-            *old = standing;
+            *old = status;
             changed
         });
     }
 }
 
-/// A finished write.
+/// Result of a write on the blocking thread.
 struct Written {
     store: Store,
     ready: Ready,
 }
 
-fn wall() -> u64 {
+fn wall_clock_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
 }
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -1,8 +1,8 @@
-//! What the rest of the process holds of a replica.
+//! The handle through which the rest of the process uses a replica.
 
 use crate::command::{Action, Reply};
-use crate::sets::Sets;
-use crate::state::{Documents, HeldDuty, Quarantined, State};
+use crate::route_sets::RouteSets;
+use crate::state::{Documents, DutyAssignment, Quarantined, State};
 use arc_swap::ArcSwap;
 use dogwoodhill_consensus::members::{Member, Members};
 use dogwoodhill_consensus::message::Message;
@@ -13,130 +13,132 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// What the loop is asked.
+/// Input to the event loop.
 #[derive(Debug)]
 pub enum Input {
-    /// Messages from another instance.
+    /// Consensus messages from another instance.
     Messages(Vec<Message>),
-    /// A command.
+    /// A command to append to the log.
     Propose {
-        /// The command.
+        /// What the command does.
         action: Action,
-        /// Its answer.
+        /// Receives the reply of the state machine.
         reply: oneshot::Sender<ControlReply<Reply>>,
     },
-    /// A confirmed read: the position up to which state must be applied.
+    /// Requests a linearizable read: the reply is the index up to which the state must be
+    /// applied before it is read.
     Confirm(oneshot::Sender<ControlReply<Index>>),
-    /// A new instance.
+    /// Adds an instance to the cluster.
     Add {
         /// The instance.
         member: Member,
-        /// Whether it is a member now.
+        /// Receives the outcome.
         reply: oneshot::Sender<ControlReply<()>>,
     },
-    /// This instance will stop.
+    /// Hands leadership over, since this instance is about to stop.
     HandOver,
-    /// This instance stops now, with everything taken so far on disk.
+    /// Stops the event loop once all inputs received so far are on disk.
     Stop,
 }
 
-/// What the rest of the process sees of the replica.
+/// Status of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
-    /// This instance.
+pub struct ReplicaStatus {
+    /// Id of this instance.
     pub node: NodeId,
-    /// Its term.
+    /// Current term of this instance.
     pub term: Term,
-    /// Whether it leads.
+    /// Whether this instance is the leader.
     pub leads: bool,
-    /// Leader's internal address, where known.
+    /// Internal address of the leader, if known.
     pub leader: Option<SocketAddr>,
-    /// Whether it is in contact with a leader or, as leader, a majority.
+    /// Whether the instance is in contact with a leader or, as leader, with a majority.
     pub contact: bool,
-    /// Members.
+    /// Members of the cluster.
     pub members: Members,
     /// Bytes in the log on disk.
-    pub size: usize,
-    /// Claims kept.
+    pub log_bytes: usize,
+    /// Number of retained claims.
     pub claims: usize,
 }
 
-/// Duties of one holder, as far as applied.
+/// Duties and usage reports in the applied state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DutyView {
-    /// Who holds which, or held it last.
-    pub held: Vec<HeldDuty>,
-    /// The first window whose usage is not fixed; 0 where none is.
-    pub next: Window,
-    /// Windows that are fixed and not known to be reported.
-    pub owed: usize,
-    /// Windows that were owed for so long that they gave way.
-    pub dropped: u64,
+    /// Duties with their current or last holders.
+    pub assignments: Vec<DutyAssignment>,
+    /// The first window whose usage is not committed; 0 before any window is.
+    pub next_window: Window,
+    /// Number of committed windows that are not known to be reported.
+    pub pending: usize,
+    /// Windows that were discarded unreported to bound the backlog.
+    pub discarded: u64,
 }
 
 impl DutyView {
-    /// The view of a state.
+    /// Extracts the view from a state.
     pub(super) fn of(state: &State) -> Self {
         Self {
-            held: state.duties.held(),
-            next: state.reports.next(),
-            owed: state.reports.owed().len(),
-            dropped: state.reports.dropped(),
+            assignments: state.duties.assignments(),
+            next_window: state.usage.next_window(),
+            pending: state.usage.pending().len(),
+            discarded: state.usage.discarded(),
         }
     }
 }
 
-/// A handle on the loop. Clones share it.
+/// Handle of a replica. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) inputs: mpsc::Sender<Input>,
-    /// Documents, as far as applied.
+    /// Documents in the applied state.
     pub documents: Arc<ArcSwap<Documents>>,
-    /// Route sets, as far as applied.
-    pub routes: watch::Receiver<Sets>,
-    /// Requests that are quarantined, and how much longer, as far as applied.
+    /// Route sets in the applied state.
+    pub routes: watch::Receiver<RouteSets>,
+    /// Quarantined requests in the applied state, with the remaining time of each.
     pub quarantined: watch::Receiver<Vec<(Quarantined, Duration)>>,
-    /// Duties of one holder, as far as applied.
+    /// Duties in the applied state.
     pub duties: watch::Receiver<DutyView>,
-    /// Applied position.
+    /// Index of the last applied entry.
     pub applied: watch::Receiver<Index>,
-    /// Standing.
-    pub standing: watch::Receiver<Standing>,
+    /// Updated after every batch of inputs.
+    pub status: watch::Receiver<ReplicaStatus>,
 }
 
 impl Replica {
-    /// Hands input to the loop; an instance that stops takes none.
+    /// Queues an input for the event loop; ignored once the loop has ended.
     pub async fn input(&self, input: Input) {
         let _ = self.inputs.send(input).await;
     }
 
-    /// Runs a command on this instance.
+    /// Submits a command on this instance, which must be the leader.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`]; with [`Unable::NoMajority`] the command may be in force.
+    /// [`Unable`]; with [`Unable::NoMajority`] the command may still take effect.
     pub async fn propose(&self, action: Action) -> ControlReply<Reply> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Propose { action, reply }).await;
         answer.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 
-    /// Confirms on this instance that it still leads.
+    /// Confirms with a majority that this instance is still the leader, and returns the
+    /// index that a read must wait for.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`].
+    /// [`Unable`].
     pub async fn confirm(&self) -> ControlReply<Index> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Confirm(reply)).await;
         answer.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
 
-    /// Adds an instance.
+    /// Adds an instance to the cluster.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`].
+    /// [`Unable`].
     pub async fn add(&self, member: Member) -> ControlReply<()> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Add { member, reply }).await;
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -1,24 +1,25 @@
-//! Reporting usage: a duty that one instance holds at a time.
+//! Usage reporting, a duty that one instance holds at a time.
 //!
-//! Any instance that entries tell of their usage may hold it. It fixes the counts of a
-//! window in the log, by the same command that takes or prolongs the lease, and sends what
-//! the log has, oldest first, until it is accepted. Nothing is called and nothing is
-//! written while no window is owed.
+//! Any instance that receives usage from entries may hold the duty. It commits the counts
+//! of a closed window to the log with the same command that acquires or renews the lease,
+//! and sends the committed windows, oldest first, until they are accepted. While no
+//! window is due, it neither writes to the log nor calls the platform.
 //!
-//! A holder that stood still looks at a clock that goes on meanwhile before each call. A
-//! call that was under way by then bears the old fencing number; where nobody checks that,
-//! the lease passes on only after such a call is over, too.
+//! Before each call, the holder checks its lease against a clock that keeps running while
+//! the machine is suspended. A call that was already in flight carries the old fencing
+//! token. Where the platform does not check tokens, the lease passes on only after such a
+//! call has ended.
 
+mod metrics;
 mod sink;
-mod stats;
 
-pub use sink::{ReportError, Reporting, UsageReport, UsageSink};
-pub use stats::Stats;
+pub use metrics::ReporterMetrics;
+pub use sink::{ReportError, ReportFuture, UsageReport, UsageSink};
 
 use crate::command::{Action, Reply};
 use crate::service::Service;
-use crate::state::{DutyHolder, FixUsage, GiveUp, Hold, UsageOwed};
-use crate::usage::{Open, Usage};
+use crate::state::{AcquireDuty, CommitUsage, DutyHolder, PendingUsage, ReleaseDuty};
+use crate::usage::{OpenWindows, UsageTracker};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_policy::usage::{CloseRules, DutyLease, LeaseRequest};
@@ -30,69 +31,71 @@
 
 /// Name of the duty.
 pub const DUTY: &str = "usage";
-/// Interval at which is looked whether a window is complete. No call is made for that.
-const LOOK: Duration = Duration::from_millis(200);
-/// Longest wait for an answer to a report.
+/// Interval between checks for complete windows; a check makes no calls.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time-out of a report.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a report that was not accepted; it doubles up to [`LONGEST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
-/// Longest pause between two reports of one window.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Time without an accepted report after which another instance may try: what keeps this
-/// one from the platform may not keep that one.
-const UNABLE_AFTER: Duration = Duration::from_secs(3);
+/// Delay after a rejected report; doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+/// Longest delay between two reports of one window.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Time without an accepted report after which the lease is released. Another instance
+/// may still reach the platform.
+const RELEASE_AFTER: Duration = Duration::from_secs(3);
 
-/// Settings of the duty.
+/// Settings of the usage reporting duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageSettings {
-    /// Name that reports bear.
+    /// Sent as the reporter's name in each report.
     pub reporter: String,
-    /// Whom they are sent to.
+    /// Address that reports are sent to.
     pub platform: SocketAddr,
-    /// How windows are cut.
+    /// Division of time into reporting windows.
     pub windows: Windows,
-    /// Time after a window's end by which it is to be reported.
-    pub within: Duration,
-    /// How long a holder may act without asking the log again.
+    /// Time after the end of a window by which it must be reported.
+    pub deadline: Duration,
+    /// Time for which a holder may act without renewing its lease.
     pub lease: Duration,
-    /// How much longer nobody else may: time in which a holder that stood still may act on
-    /// what it believed, and, where fencing numbers are not checked, calls end.
+    /// Additional time during which no other instance acquires the lease. It covers
+    /// actions of a holder that was suspended and, where fencing tokens are not checked,
+    /// calls that are in flight.
     pub slack: Duration,
     /// Shortest time between two calls.
-    pub spacing: Duration,
+    pub call_interval: Duration,
 }
 
 impl UsageSettings {
-    /// A window is closed without entries that are missing after two fifths of the time in
-    /// which it has to be reported; the rest is for the log and for a call that is lost. Where
-    /// only a few entries tell this instance, the one that the others tell has twice the time.
+    /// When windows are closed. A window is closed without missing entries after two
+    /// fifths of the reporting time; the rest allows for the commit and for a lost call.
+    /// If only a few entries report to this instance, it waits twice as long, so that the
+    /// instance with the others closes first.
     pub fn closing(&self) -> CloseRules {
         CloseRules {
             windows: self.windows,
-            majority_wait: self.within * 2 / 5,
-            minority_wait: self.within * 4 / 5,
+            majority_wait: self.deadline * 2 / 5,
+            minority_wait: self.deadline * 4 / 5,
         }
     }
 }
 
-/// Reports usage.
+/// Performs the usage reporting duty on one instance.
 #[derive(Debug)]
 pub struct Reporter {
     settings: UsageSettings,
-    usage: Usage,
+    usage: UsageTracker,
     service: Service,
     sink: Arc<dyn UsageSink>,
     entries: watch::Receiver<u32>,
-    stats: Stats,
+    metrics: ReporterMetrics,
     holder: DutyHolder,
-    tenure: DutyLease,
-    /// Fixed windows that this instance is to report.
-    owed: VecDeque<WindowCounts>,
-    /// Windows before this one are reported.
-    sent: Window,
-    /// Since when no report was accepted.
-    failing: Option<Duration>,
-    pause: Duration,
+    duty_lease: DutyLease,
+    /// Committed windows that this instance has to report.
+    pending: VecDeque<WindowCounts>,
+    /// Windows before this one have been reported.
+    reported_before: Window,
+    /// Start of the current series of rejected reports.
+    failing_since: Option<Duration>,
+    backoff: Duration,
 }
 
 impl Reporter {
@@ -100,120 +103,124 @@
     pub fn new(
         settings: UsageSettings,
         machine: SocketAddr,
-        usage: Usage,
+        usage: UsageTracker,
         service: Service,
         sink: Arc<dyn UsageSink>,
         entries: watch::Receiver<u32>,
-        stats: Stats,
+        metrics: ReporterMetrics,
     ) -> Self {
         let holder = DutyHolder {
             machine,
-            run: usage.instance(),
+            run: usage.run(),
         };
-        let tenure = DutyLease::new(uptime(), settings.lease, settings.slack);
+        let duty_lease = DutyLease::new(uptime(), settings.lease, settings.slack);
         Self {
             settings,
             usage,
             service,
             sink,
             entries,
-            stats,
+            metrics,
             holder,
-            tenure,
-            owed: VecDeque::new(),
-            sent: 0,
-            failing: None,
-            pause: FIRST_PAUSE,
+            duty_lease,
+            pending: VecDeque::new(),
+            reported_before: 0,
+            failing_since: None,
+            backoff: INITIAL_BACKOFF,
         }
     }
 
-    /// Runs until the drain begins, then gives the lease up.
+    /// Runs until the drain begins, then releases the lease.
     pub async fn run(mut self, drain: Drain) {
         loop {
             tokio::select! {
                 () = drain.wait() => break,
-                () = sleep(LOOK) => {}
+                () = sleep(CHECK_INTERVAL) => {}
             }
             let now = uptime();
-            self.tenure.begin_turn(now);
-            self.look(now).await;
-            self.tenure.end_turn(uptime());
+            self.duty_lease.begin_turn(now);
+            self.check(now).await;
+            self.duty_lease.end_turn(uptime());
         }
-        self.usage.set_away(true);
-        self.give_up("stop").await;
+        self.usage.set_inactive(true);
+        self.release("stop").await;
     }
 
-    async fn look(&mut self, now: Duration) {
-        self.usage.set_away(self.tenure.is_standing_down(now));
-        self.publish();
-        if !self.usage.settled() || !self.tenure.may_request(now) {
+    async fn check(&mut self, now: Duration) {
+        self.usage
+            .set_inactive(self.duty_lease.is_standing_down(now));
+        self.update_metrics();
+        if !self.usage.accepts_reports() || !self.duty_lease.may_request(now) {
             return;
         }
-        let open = self.open();
-        // Until something is fixed, nothing is reported: the first window is the one in
+        let open = self.open_windows();
+        // Nothing is reported before the first commit: the first window is the one in
         // which the deployment starts.
-        let first = self.next() == 0 && open.entries > 0;
+        let first = self.next_window() == 0 && open.entries > 0;
         if first || !open.complete.is_empty() {
-            self.fix(open).await;
+            self.commit(open).await;
         }
-        while let Some(counts) = self.owed.front().cloned() {
+        while let Some(counts) = self.pending.front().cloned() {
             if !self.report(counts).await {
                 break;
             }
         }
     }
 
-    fn next(&self) -> Window {
-        self.service.replica().duties.borrow().next
+    fn next_window(&self) -> Window {
+        self.service.replica().duties.borrow().next_window
     }
 
-    fn open(&self) -> Open {
+    fn open_windows(&self) -> OpenWindows {
         let expected = *self.entries.borrow() as usize;
-        let next = self.next();
+        let next_window = self.next_window();
         let closing = self.settings.closing();
-        let mut open = self.usage.open(next, &closing, expected);
-        if next == 0 || !self.tenure.may_close(uptime()) {
+        let mut open = self.usage.open_windows(next_window, &closing, expected);
+        if next_window == 0 || !self.duty_lease.may_close(uptime()) {
             open.complete.clear();
         }
         open
     }
 
-    /// Fixes what is complete. Whoever holds the duty keeps it.
-    async fn fix(&mut self, open: Open) {
+    /// Commits complete windows and renews the lease.
+    async fn commit(&mut self, open: OpenWindows) {
         let Some(time) = open.time else { return };
-        let question = self.tenure.request(uptime());
-        let fixed = open.complete.clone();
-        let action = Action::FixUsage(FixUsage {
-            hold: Hold {
+        let lease_request = self.duty_lease.request(uptime());
+        let committed = open.complete.clone();
+        let action = Action::FixUsage(CommitUsage {
+            lease: AcquireDuty {
                 duty: DUTY.to_string(),
                 subject: String::new(),
                 holder: self.holder,
-                lasting: question.duration,
-                refused: question.refused,
+                duration: lease_request.duration,
+                refused: lease_request.refused,
             },
             first: self.settings.windows.at(time),
             windows: open.complete,
-            sent: self.sent,
+            reported_before: self.reported_before,
         });
         match self.service.submit(&action).await {
-            Ok(Reply::Usage(Ok(owed))) => {
-                // What another instance had fixed before is not this one's.
-                let own = fixed.iter().filter(|counts| owed.owed.contains(counts));
-                own.for_each(|counts| self.log_fixed(counts, time, open.entries));
-                self.hold(question, owed);
+            Ok(Reply::Usage(Ok(pending))) => {
+                // Windows that another instance committed earlier are not logged again.
+                let new = committed
+                    .iter()
+                    .filter(|counts| pending.pending.contains(counts));
+                new.for_each(|counts| self.log_committed(counts, time, open.entries));
+                self.accept_lease(lease_request, pending);
             }
-            Ok(Reply::Usage(Err(left))) => self.other_holds(left),
+            Ok(Reply::Usage(Err(left))) => self.on_lease_refused(left),
             Ok(_) | Err(_) => {
-                // Whether it is in force is not known; the log tells.
+                // The command may have taken effect; the next reply shows the committed
+                // windows.
                 Event::new("usage-not-fixed")
-                    .field("windows", fixed.len())
+                    .field("windows", committed.len())
                     .field("reason", "no-majority")
                     .warn();
             }
         }
     }
 
-    fn log_fixed(&self, counts: &WindowCounts, time: TrueTime, entries: usize) {
+    fn log_committed(&self, counts: &WindowCounts, time: TrueTime, entries: usize) {
         let end = self.settings.windows.end(counts.window);
         Event::new("usage-fixed")
             .field("window", counts.window)
@@ -225,41 +232,44 @@
             .info();
     }
 
-    fn hold(&mut self, question: LeaseRequest, owed: UsageOwed) {
-        if self.tenure.granted(question, owed.fence) {
+    fn accept_lease(&mut self, lease_request: LeaseRequest, pending: PendingUsage) {
+        if self.duty_lease.granted(lease_request, pending.fence) {
             Event::new("duty-held")
                 .field("duty", DUTY)
-                .field("fence", owed.fence)
-                .field("next", owed.next)
-                .field("owed", owed.owed.len())
+                .field("fence", pending.fence)
+                .field("next", pending.next_window)
+                .field("owed", pending.pending.len())
                 .info();
         }
-        let sent = self.sent;
-        let due = owed.owed.into_iter().filter(|counts| counts.window >= sent);
-        self.owed = due.collect();
+        let reported_before = self.reported_before;
+        let due = pending
+            .pending
+            .into_iter()
+            .filter(|counts| counts.window >= reported_before);
+        self.pending = due.collect();
     }
 
-    fn other_holds(&mut self, left: Duration) {
-        if self.tenure.held_by_other(uptime(), left) {
+    fn on_lease_refused(&mut self, left: Duration) {
+        if self.duty_lease.held_by_other(uptime(), left) {
             Event::new("duty-lost")
                 .field("duty", DUTY)
                 .field("reason", "another-holds")
                 .field("left_ms", left.as_millis())
                 .info();
         }
-        self.owed.clear();
+        self.pending.clear();
     }
 
-    /// Sends a window. Whether the next one may be sent now.
+    /// Sends a window. Returns whether the next one may be sent immediately.
     async fn report(&mut self, counts: WindowCounts) -> bool {
-        if self.tenure.active_fence(uptime()).is_none() {
-            let mut open = self.open();
+        if self.duty_lease.active_fence(uptime()).is_none() {
+            let mut open = self.open_windows();
             open.complete.clear();
-            self.fix(open).await;
+            self.commit(open).await;
         }
         let window = counts.window;
         let requests = counts.total();
-        let Some(fence) = self.tenure.active_fence(uptime()) else {
+        let Some(fence) = self.duty_lease.active_fence(uptime()) else {
             return false;
         };
         let report = UsageReport {
@@ -267,70 +277,70 @@
             fence,
             counts,
         };
-        let sent = timeout(CALL_TIMEOUT, self.sink.report(&report)).await;
-        let sent = sent.unwrap_or_else(|_| {
+        let result = timeout(CALL_TIMEOUT, self.sink.report(&report)).await;
+        let result = result.unwrap_or_else(|_| {
             let problem = "no answer in time".to_string();
             Err(ReportError::Failed { problem })
         });
-        self.log(window, requests, fence, sent.as_ref().err());
-        match sent {
+        self.log_report(window, requests, fence, result.as_ref().err());
+        match result {
             Ok(()) => {
-                self.accepted(window);
-                sleep(self.settings.spacing).await;
+                self.on_accepted(window);
+                sleep(self.settings.call_interval).await;
                 true
             }
             Err(ReportError::Fenced) => {
-                self.tenure.fence_refused(fence);
-                self.owed.clear();
+                self.duty_lease.fence_refused(fence);
+                self.pending.clear();
                 false
             }
             Err(ReportError::Busy | ReportError::Failed { .. }) => {
-                self.not_accepted().await;
+                self.on_rejected().await;
                 false
             }
         }
     }
 
-    fn accepted(&mut self, window: Window) {
-        self.owed.pop_front();
-        self.sent = self.sent.max(window + 1);
-        self.failing = None;
-        self.pause = FIRST_PAUSE;
+    fn on_accepted(&mut self, window: Window) {
+        self.pending.pop_front();
+        self.reported_before = self.reported_before.max(window + 1);
+        self.failing_since = None;
+        self.backoff = INITIAL_BACKOFF;
     }
 
-    async fn not_accepted(&mut self) {
+    async fn on_rejected(&mut self) {
         let now = uptime();
-        let since = *self.failing.get_or_insert(now);
-        if now.saturating_sub(since) >= UNABLE_AFTER {
-            self.failing = None;
-            self.tenure.stand_down(now);
-            self.usage.set_away(true);
-            self.pause = FIRST_PAUSE;
-            return self.give_up("unable").await;
+        let since = *self.failing_since.get_or_insert(now);
+        if now.saturating_sub(since) >= RELEASE_AFTER {
+            self.failing_since = None;
+            self.duty_lease.stand_down(now);
+            self.usage.set_inactive(true);
+            self.backoff = INITIAL_BACKOFF;
+            return self.release("unable").await;
         }
-        sleep(self.pause).await;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        sleep(self.backoff).await;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    async fn give_up(&mut self, reason: &str) {
-        if !self.tenure.release() {
+    async fn release(&mut self, reason: &str) {
+        if !self.duty_lease.release() {
             return;
         }
-        self.owed.clear();
-        let action = Action::GiveUp(GiveUp {
+        self.pending.clear();
+        let action = Action::GiveUp(ReleaseDuty {
             duty: DUTY.to_string(),
             subject: String::new(),
             holder: self.holder,
         });
-        let given = self.service.submit(&action).await.is_ok();
+        let released = self.service.submit(&action).await.is_ok();
         Event::new("duty-given-up")
             .field("duty", DUTY)
             .field("reason", reason)
-            .field("logged", given)
+            .field("logged", released)
             .info();
     }
 
-    fn log(
+    fn log_report(
         &self,
         window: Window,
         requests: u64,
@@ -343,8 +353,8 @@
             Some(ReportError::Busy) => "busy",
             Some(ReportError::Failed { .. }) => "failed",
         };
-        self.stats.reported(outcome);
-        let time = self.open().time.unwrap_or_default();
+        self.metrics.count_report(outcome);
+        let time = self.open_windows().time.unwrap_or_default();
         let end = self.settings.windows.end(window);
         let event = Event::new("usage-report")
             .field("window", window)
@@ -358,8 +368,8 @@
         }
     }
 
-    fn publish(&self) {
+    fn update_metrics(&self) {
         let view = self.service.replica().duties.borrow().clone();
-        self.stats.show(self.tenure.is_holder(), &view);
+        self.metrics.update(self.duty_lease.is_holder(), &view);
     }
 }
--- a/crates/control/src/reporter/stats.rs
+++ b/crates/control/src/reporter/metrics.rs
@@ -1,18 +1,18 @@
-//! What a reporter tells operators in numbers.
+//! Metrics of the usage reporter.
 
 use crate::replica::DutyView;
 use dogwoodhill_daemon::prelude::*;
 use prometheus::{IntCounterVec, IntGaugeVec};
 
-/// Counters of the duty.
+/// Metrics of the usage reporting duty.
 #[derive(Clone, Debug)]
-pub struct Stats {
+pub struct ReporterMetrics {
     reports: IntCounterVec,
     state: IntGaugeVec,
 }
 
-impl Stats {
-    /// Adds them to `metrics`.
+impl ReporterMetrics {
+    /// Registers the metrics.
     pub fn new(metrics: &Metrics) -> Self {
         Self {
             reports: metrics.counters(
@@ -28,17 +28,17 @@
         }
     }
 
-    /// Counts a report.
-    pub(super) fn reported(&self, outcome: &str) {
+    /// Counts a report with its outcome.
+    pub(super) fn count_report(&self, outcome: &str) {
         self.reports.with_label_values(&[outcome]).inc();
     }
 
-    /// Shows what is held and owed.
-    pub(super) fn show(&self, holds: bool, view: &DutyView) {
+    /// Updates the gauges.
+    pub(super) fn update(&self, holds: bool, view: &DutyView) {
         let values = [
             ("holds", i64::from(holds)),
-            ("owed", view.owed as i64),
-            ("given_up", view.dropped as i64),
+            ("owed", view.pending as i64),
+            ("given_up", view.discarded as i64),
         ];
         for (what, value) in values {
             self.state.with_label_values(&[what]).set(value);
--- a/crates/control/src/reporter/sink.rs
+++ b/crates/control/src/reporter/sink.rs
@@ -1,45 +1,45 @@
-//! Whom usage is reported to.
+//! The interface to the receiver of usage reports.
 
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 use std::fmt::Debug;
 use std::pin::Pin;
 
-/// A report that is being sent.
-pub type Reporting<'a> =
+/// Future of a report in flight.
+pub type ReportFuture<'a> =
     Pin<Box<dyn Future<Output = Result<(), ReportError>> + Send + 'a>>;
 
-/// Whom usage is reported to.
+/// Receiver of usage reports.
 pub trait UsageSink: Send + Sync + Debug {
-    /// Sends a report. The same one may be sent again.
-    fn report<'a>(&'a self, report: &'a UsageReport) -> Reporting<'a>;
+    /// Sends a report. The same report may be sent more than once.
+    fn report<'a>(&'a self, report: &'a UsageReport) -> ReportFuture<'a>;
 }
 
-/// A report.
+/// The usage of one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
     /// Name of the instance that holds the duty.
     pub holder: String,
-    /// Fencing number of its lease.
+    /// Fencing token of its lease.
     pub fence: Fence,
-    /// The window's counts.
+    /// Counts per workspace.
     pub counts: WindowCounts,
 }
 
 /// Why a report was not accepted.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Error)]
 pub enum ReportError {
-    /// A higher fencing number was seen.
+    /// The receiver has already seen a higher fencing token.
     #[display("a higher fencing number was seen")]
     Fenced,
-    /// More calls than are allowed.
+    /// The receiver's rate limit is exceeded.
     #[display("more calls than are allowed")]
     Busy,
-    /// No answer, or none that says that it is accepted.
+    /// No response, or a response that does not confirm acceptance.
     #[display("{problem}")]
     #[error(ignore)]
     Failed {
-        /// What went wrong.
+        /// Description of the failure.
         problem: String,
     },
 }
--- a/crates/control/src/sets.rs
+++ b/crates/control/src/route_sets.rs
@@ -9,27 +9,28 @@
 
 /// Changes within some 10 ms of each other come in series of a few dozen, and a transfer
 /// outlasts a few of them.
-const MOST: usize = 8;
+const MAX_SETS: usize = 8;
 /// Bound on the total size of the replaced sets; an instance has 88 MB of memory.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+const MAX_REPLACED_BYTES: usize = 4 * 1024 * 1024;
 
 /// The newest route set and some previous ones, oldest first. Clones share the contents.
 #[derive(Clone, Debug, Default)]
-pub struct Sets(Vec<Arc<StoredRoutes>>);
+pub struct RouteSets(Vec<Arc<StoredRoutes>>);
 
-impl Sets {
+impl RouteSets {
     /// Adds a set if it is newer than all others. Returns whether it was added.
-    pub fn take(&mut self, held: Option<&Arc<StoredRoutes>>) -> bool {
-        let Some(held) = held.filter(|held| Some(held.version) > self.version()) else {
+    pub fn take(&mut self, routes: Option<&Arc<StoredRoutes>>) -> bool {
+        let Some(routes) = routes.filter(|routes| Some(routes.version) > self.version())
+        else {
             return false;
         };
         let replaced = |sets: &[Arc<StoredRoutes>]| -> usize {
-            sets.iter().map(|held| held.source.len()).sum()
+            sets.iter().map(|routes| routes.source.len()).sum()
         };
-        while self.0.len() >= MOST || replaced(&self.0) > MOST_BYTES {
+        while self.0.len() >= MAX_SETS || replaced(&self.0) > MAX_REPLACED_BYTES {
             self.0.remove(0);
         }
-        self.0.push(Arc::clone(held));
+        self.0.push(Arc::clone(routes));
         true
     }
 
@@ -40,12 +41,14 @@
 
     /// The highest version.
     pub fn version(&self) -> Option<Version> {
-        self.newest().map(|held| held.version)
+        self.newest().map(|routes| routes.version)
     }
 
     /// The set with this version, if it is still retained.
     pub fn find(&self, version: Version) -> Option<&Arc<StoredRoutes>> {
-        let found = self.0.binary_search_by_key(&version, |held| held.version);
+        let found = self
+            .0
+            .binary_search_by_key(&version, |routes| routes.version);
         found.ok().map(|at| &self.0[at])
     }
 }
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -7,8 +7,8 @@
 use crate::command::{Action, Reply};
 use crate::presence::Presence;
 use crate::replica::Replica;
+use crate::route_sets::RouteSets;
 use crate::service::Service;
-use crate::sets::Sets;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_route::check::InvalidRouteSet;
@@ -130,7 +130,7 @@
     let replica = service.replica();
     let end = Instant::now() + follow.wait.min(MAX_WAIT);
     let mut routes = replica.routes.clone();
-    let newer = |sets: &Sets| sets.version() > follow.known;
+    let newer = |sets: &RouteSets| sets.version() > follow.known;
     // On a time-out, the response repeats the version that the entry already has.
     let _ = timeout_at(end, routes.wait_for(newer)).await;
     news(replica, presence, &follow)
@@ -142,17 +142,13 @@
     follow: &WatchRoutes,
 ) -> ControlReply<RoutesStatus> {
     let newest = replica.routes.borrow().version();
-    let standing = replica.standing.borrow();
+    let status = replica.status.borrow();
     if follow.known.is_none() && newest.is_none() {
         return Err(ControlUnavailable::NoMajority);
     }
     Ok(RoutesStatus {
         newest,
-        control: standing
-            .members
-            .iter()
-            .map(|member| member.address)
-            .collect(),
+        control: status.members.iter().map(|member| member.address).collect(),
         entries: *presence.count().borrow(),
     })
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -16,22 +16,22 @@
 /// Path on which the leader confirms a read.
 pub const CONFIRM_PATH: &str = "/internal/confirm";
 /// Longest time for which a request is retried.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between tries while there is no leader.
-const PAUSE: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// The cluster as seen from one instance. Clones share the replica and the connections.
 #[derive(Clone, Debug)]
 pub struct Service {
     replica: Replica,
-    caller: PeerClient,
+    client: PeerClient,
 }
 
 impl Service {
     /// A service that submits commands through `replica` or, if another instance leads,
     /// through `caller`.
-    pub fn new(replica: Replica, caller: PeerClient) -> Self {
-        Self { replica, caller }
+    pub fn new(replica: Replica, client: PeerClient) -> Self {
+        Self { replica, client }
     }
 
     /// The replica of this instance.
@@ -47,12 +47,12 @@
     /// [`Unable::NoMajority`] after [`REQUEST_TIMEOUT`]; the command may have taken
     /// effect.
     pub async fn submit(&self, action: &Action) -> ControlReply<Reply> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + REQUEST_TIMEOUT;
         loop {
             match timeout_at(end, self.submit_once(action)).await {
                 Err(_) => return Err(ControlUnavailable::NoMajority),
                 Ok(Ok(reply)) => return Ok(reply),
-                Ok(Err(_)) => sleep(PAUSE).await,
+                Ok(Err(_)) => sleep(RETRY_DELAY).await,
             }
         }
     }
@@ -64,29 +64,29 @@
     ///
     /// [`Unable::NoMajority`] after [`REQUEST_TIMEOUT`].
     pub async fn confirm(&self) -> ControlReply<Index> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + REQUEST_TIMEOUT;
         loop {
             match timeout_at(end, self.confirm_once()).await {
                 Err(_) => return Err(ControlUnavailable::NoMajority),
                 Ok(Ok(index)) => return Ok(index),
-                Ok(Err(_)) => sleep(PAUSE).await,
+                Ok(Err(_)) => sleep(RETRY_DELAY).await,
             }
         }
     }
 
     async fn submit_once(&self, action: &Action) -> ControlReply<Reply> {
-        if self.replica.standing.borrow().leads {
+        if self.replica.status.borrow().leads {
             return self.replica.propose(action.clone()).await;
         }
-        self.pass_on(SUBMIT_PATH, action).await
+        self.forward(SUBMIT_PATH, action).await
     }
 
     async fn confirm_once(&self) -> ControlReply<Index> {
-        let leads = self.replica.standing.borrow().leads;
+        let leads = self.replica.status.borrow().leads;
         let index = if leads {
             self.replica.confirm().await?
         } else {
-            self.pass_on(CONFIRM_PATH, &()).await?
+            self.forward(CONFIRM_PATH, &()).await?
         };
         let mut applied = self.replica.applied.clone();
         let reached = applied.wait_for(|applied| *applied >= index).await;
@@ -96,15 +96,15 @@
     }
 
     /// Forwards a message to the leader.
-    pub(crate) async fn pass_on<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
+    pub(crate) async fn forward<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
     {
-        let leader = self.replica.standing.borrow().leader;
+        let leader = self.replica.status.borrow().leader;
         let address = leader.ok_or(ControlUnavailable::NoMajority)?;
         let call = self
-            .caller
+            .client
             .call::<M, ControlReply<A>>(address, path, message);
         call.await.unwrap_or(Err(ControlUnavailable::NoMajority))
     }
