--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 const SECOND: Duration = Duration::from_secs(1);
-const DEFAULT_COMPACT: u64 = 2_000;
+const DEFAULT_COMPACT_AFTER: u64 = 2_000;
 const DEFAULT_LINGER: Duration = Duration::from_secs(1);
 
 const DEFAULT_LEASE: Duration = Duration::from_secs(3);
@@ -32,7 +32,7 @@
 pub enum Start {
     /// Restarts with the state in its data folder.
     #[default]
-    Again,
+    Existing,
     /// Creates a new cluster with itself as the first member.
     Bootstrap,
     /// Joins the cluster that its peers belong to.
@@ -71,7 +71,7 @@
     pub seeds: Seeds,
     /// Number of simultaneous instance losses that acknowledged changes survive. Changes
     /// are refused while there are fewer than `2 * losses + 1` voters. Default 0.
-    pub losses: usize,
+    pub tolerated_losses: usize,
     /// Data folder; empty on an instance without a disk, which only forwards requests.
     pub data: PathBuf,
     /// Cluster key, shared by all processes of the router.
@@ -80,7 +80,7 @@
     pub teams: Vec<Team>,
     /// Log entries after which the log is compacted. With the default of 2,000, replay
     /// takes a fraction of a second and snapshots are rare.
-    pub compact: u64,
+    pub compact_after: u64,
     /// How long connections are still accepted after a drain has begun. Default 1 s.
     pub linger: Duration,
     /// Usage reporting; `None` where it is not among the instance's duties.
@@ -89,7 +89,7 @@
     pub start: Start,
     /// Addresses of other instances as they change at run time; `None` where they are
     /// fixed.
-    pub known: Option<watch::Receiver<Vec<SocketAddr>>>,
+    pub address_updates: Option<watch::Receiver<Vec<SocketAddr>>>,
 }
 
 impl Settings {
@@ -102,22 +102,22 @@
             internal: free,
             peers: Vec::new(),
             seeds: Seeds::default(),
-            losses: 0,
+            tolerated_losses: 0,
             data,
             secret: String::new(),
             teams: Vec::new(),
-            compact: DEFAULT_COMPACT,
+            compact_after: DEFAULT_COMPACT_AFTER,
             linger: DEFAULT_LINGER,
             usage: None,
-            start: Start::Again,
-            known: None,
+            start: Start::Existing,
+            address_updates: None,
         }
     }
 
     /// Addresses of other instances as they change at run time.
-    pub(crate) fn known(&self) -> watch::Receiver<Vec<SocketAddr>> {
-        let fixed = || watch::channel(crate::control::addresses(self)).1;
-        self.known.clone().unwrap_or_else(fixed)
+    pub(crate) fn peer_addresses(&self) -> watch::Receiver<Vec<SocketAddr>> {
+        let fixed = || watch::channel(crate::control::configured_addresses(self)).1;
+        self.address_updates.clone().unwrap_or_else(fixed)
     }
 
     /// Parses settings from JSON with comments.
@@ -137,15 +137,19 @@
         internal: s.address("internal"),
         peers: s.addresses("peers"),
         seeds: Seeds::default(),
-        losses: s.count("losses", 0..=2, Some(0)) as usize,
+        tolerated_losses: s.count("losses", 0..=2, Some(0)) as usize,
         data: PathBuf::from(s.text("data")),
         secret: s.text("cluster_key"),
         teams: s.sections("teams", team),
-        compact: s.count("compact_after", 16..=1_000_000, Some(DEFAULT_COMPACT)),
+        compact_after: s.count(
+            "compact_after",
+            16..=1_000_000,
+            Some(DEFAULT_COMPACT_AFTER),
+        ),
         linger: s.duration("linger", Duration::ZERO..=60 * SECOND, Some(DEFAULT_LINGER)),
         usage: usage(s),
-        start: Start::Again,
-        known: None,
+        start: Start::Existing,
+        address_updates: None,
     };
     settings.seeds = seeds(s);
     if !settings.seeds.addresses.is_empty() {
@@ -169,39 +173,35 @@
             .warn();
     }
     let settings = s.section("usage", usage_settings);
-    let owed = duties.iter().any(|duty| duty == DUTY);
-    if owed && settings.is_none() {
+    let required = duties.iter().any(|duty| duty == DUTY);
+    if required && settings.is_none() {
         s.report(
             "usage",
             "is missing",
             "say how usage is reported, or drop the duty",
         );
     }
-    settings.filter(|_| owed)
+    settings.filter(|_| required)
 }
 
 fn usage_settings(s: &mut Section<'_, '_>) -> UsageSettings {
     let window = s.duration("window", SECOND / 10..=86_400 * SECOND, None);
-    let within = s.duration("within", SECOND..=86_400 * SECOND, Some(2 * window));
+    let deadline = s.duration("within", SECOND..=86_400 * SECOND, Some(2 * window));
     let lease = s.duration("lease", SECOND / 10..=3_600 * SECOND, Some(DEFAULT_LEASE));
     let slack = s.duration("slack", Duration::ZERO..=60 * SECOND, Some(DEFAULT_SLACK));
     // A platform that does not check fencing tokens may still process a call until the
     // caller stops waiting for its response.
-    let checked = s.flag("fenced", false);
-    let late = if checked {
-        Duration::ZERO
-    } else {
-        CALL_TIMEOUT
-    };
+    let fenced = s.flag("fenced", false);
+    let call_time = if fenced { Duration::ZERO } else { CALL_TIMEOUT };
     let calls = s.number("calls_per_second", 0.01..=10_000.0, Some(DEFAULT_CALLS));
     UsageSettings {
         reporter: s.name("reporter"),
         platform: s.address("platform"),
         windows: Windows::new(window),
-        within,
+        deadline,
         lease,
-        slack: slack + late,
-        spacing: Duration::from_secs_f64(1.0 / calls),
+        slack: slack + call_time,
+        call_interval: Duration::from_secs_f64(1.0 / calls),
     }
 }
 
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,11 +1,14 @@
 //! The replicated state machine.
+//!
+//! Applying a command depends on nothing but the state and the command: all clocks,
+//! random numbers and addresses are part of the command.
 
 mod claims;
 mod documents;
 mod duties;
 mod leases;
-mod quarantined;
-mod reports;
+mod quarantine;
+mod usage;
 
 use crate::command::{Action, Command, Reply};
 use claims::Claims;
@@ -15,33 +18,34 @@
 use std::sync::Arc;
 
 pub use documents::{Documents, History};
-pub use duties::{Duties, DutyHolder, GiveUp, HeldDuty, Hold, Holds};
-pub use quarantined::Quarantined;
-pub use reports::{FixUsage, Reports, UsageOwed};
+pub use duties::{
+    AcquireDuty, AcquireOutcome, Duties, DutyAssignment, DutyHolder, ReleaseDuty,
+};
+pub use quarantine::Quarantined;
+pub use usage::{CommitUsage, PendingUsage, UsageBacklog};
 
-/// All state of the cluster.
+/// The whole replicated state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
-    /// The cluster's own time. It advances only by what leaders measured on
-    /// their monotonic clocks while they led, so it never runs ahead of real
-    /// time, whatever the instances' wall clocks say: a lease can end late,
-    /// but not early.
+    /// Cluster time. It advances only by the time that leaders measure on their monotonic
+    /// clocks while they lead. It therefore never runs ahead of real time, regardless of
+    /// the wall clocks of the instances: a lease may end late, but never early.
     pub now: Duration,
-    /// Documents.
+    /// Service documents and their histories.
     pub documents: Documents,
     claims: Claims,
     leases: leases::Leases,
-    /// Route set in force.
+    /// Current route set.
     #[serde(default)]
     pub routes: Option<Arc<StoredRoutes>>,
     #[serde(default)]
-    quarantined: quarantined::AllQuarantined,
-    /// Duties of one holder.
+    quarantined: quarantine::QuarantineTable,
+    /// Leases of duties.
     #[serde(default)]
     pub duties: Duties,
-    /// Usage reports.
+    /// Committed usage that is not yet reported.
     #[serde(default)]
-    pub reports: Reports,
+    pub usage: UsageBacklog,
 }
 
 impl State {
@@ -50,46 +54,51 @@
         self.now = self.now.max(command.now);
         let now = self.now;
         match &command.action {
-            Action::Put(put) => Reply::Put(self.documents.put(index, command.wall, put)),
+            Action::Put(put) => {
+                Reply::Put(self.documents.put(index, command.wall_ms, put))
+            }
             Action::Take(take) => Reply::Taken(self.claims.take(now, take)),
             Action::Finish(finish) => {
                 self.claims.finish(finish);
                 Reply::Finished
             }
             Action::Acquire(acquire) => Reply::Lease(self.leases.acquire(now, acquire)),
-            Action::Routes(given) => Reply::Routes(self.put_routes(given)),
-            Action::Quarantine(given) => {
-                self.quarantined.put(now, given);
+            Action::Routes(routes) => Reply::Routes(self.put_routes(routes)),
+            Action::Quarantine(request) => {
+                self.quarantined.put(now, request);
                 Reply::Quarantined
             }
-            Action::Hold(hold) => Reply::Holds(self.duties.hold(index, now, hold)),
-            Action::GiveUp(given) => {
-                self.duties.give_up(now, given);
+            Action::Hold(acquire) => {
+                Reply::Holds(self.duties.acquire(index, now, acquire))
+            }
+            Action::GiveUp(release) => {
+                self.duties.release(now, release);
                 Reply::GivenUp
             }
-            Action::FixUsage(fix) => {
-                Reply::Usage(self.reports.fix(&mut self.duties, index, now, fix))
+            Action::FixUsage(commit) => {
+                Reply::Usage(self.usage.commit(&mut self.duties, index, now, commit))
             }
         }
     }
 
-    /// The highest version wins; one that is not higher changes nothing, be it
-    /// an older change that arrives late or the same one sent again.
-    fn put_routes(&mut self, given: &StoredRoutes) -> Version {
-        let held = self.routes.as_ref().map(|routes| routes.version);
-        if held.is_none_or(|held| given.version > held) {
-            self.routes = Some(Arc::new(given.clone()));
+    /// Keeps the set with the highest version. A delayed or resent older set changes
+    /// nothing.
+    fn put_routes(&mut self, candidate: &StoredRoutes) -> Version {
+        let current = self.routes.as_ref().map(|routes| routes.version);
+        if current.is_none_or(|current| candidate.version > current) {
+            self.routes = Some(Arc::new(candidate.clone()));
         }
-        held.unwrap_or(given.version).max(given.version)
+        current.unwrap_or(candidate.version).max(candidate.version)
     }
 
-    /// Requests that are quarantined, and how much longer. The cluster's time stands still
-    /// between commands, so this may be too long, but never too short.
+    /// Quarantined requests with the remaining time of each. Cluster time does not
+    /// advance between commands, so the remaining time may be too long but is never too
+    /// short.
     pub fn quarantined(&self) -> Vec<(Quarantined, Duration)> {
-        self.quarantined.left(self.now)
+        self.quarantined.remaining(self.now)
     }
 
-    /// Claims kept.
+    /// Number of retained claims.
     pub fn claims(&self) -> usize {
         self.claims.len()
     }
--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -1,17 +1,16 @@
-//! Claims: which non-idempotent requests were given out.
+//! Claims of non-idempotent requests.
 //!
-//! A key is granted once in its retention and never again, unless the holder
-//! reported that the request was not run. A claim whose holder reported
-//! nothing within its time counts as unknown.
+//! A key is granted once within its retention period, unless the holder reports that the
+//! request did not run. If the holder reports no outcome by its deadline, the outcome
+//! counts as unknown.
 //!
-//! Claims are spread over shards by a hash, each a sorted vector, so that an
-//! insertion moves a few entries however many claims are kept.
+//! Claims are distributed over shards by hash. Each shard is a sorted vector, so the cost
+//! of an insertion stays small regardless of the total number of claims.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::control::{ClaimEnd, ClaimKey, ClaimReply, FinishClaim, TakeClaim};
 use serde::{Deserialize, Serialize};
 
-/// Number of shards.
 const SHARDS: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -19,14 +18,14 @@
     key: ClaimKey,
     digest: [u8; 32],
     holder: AttemptId,
-    /// Until when the request may be in progress.
-    until: Duration,
-    /// Until when the claim is kept.
-    kept: Duration,
+    /// Time until which the request may be in progress.
+    deadline: Duration,
+    /// Time until which the claim is retained.
+    retained_until: Duration,
     ended: Option<ClaimEnd>,
 }
 
-/// All claims.
+/// All retained claims.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Claims {
     shards: Vec<Vec<Claim>>,
@@ -47,9 +46,9 @@
 
     pub(super) fn take(&mut self, now: Duration, take: &TakeClaim) -> ClaimReply {
         let shard = self.shard(&take.claim);
-        shard.retain(|claim| claim.kept > now);
+        shard.retain(|claim| claim.retained_until > now);
         match shard.binary_search_by(|claim| claim.key.cmp(&take.claim)) {
-            Ok(at) => again(now, &shard[at], take),
+            Ok(at) => answer_repeat(now, &shard[at], take),
             Err(at) => {
                 shard.insert(
                     at,
@@ -57,8 +56,8 @@
                         key: take.claim.clone(),
                         digest: take.digest,
                         holder: take.holder,
-                        until: now + take.duration,
-                        kept: now + take.duration + take.retention,
+                        deadline: now + take.duration,
+                        retained_until: now + take.duration + take.retention,
                         ended: None,
                     },
                 );
@@ -92,18 +91,18 @@
     }
 }
 
-/// Answers a key that is known.
-fn again(now: Duration, claim: &Claim, take: &TakeClaim) -> ClaimReply {
+/// Replies to a request whose key is already claimed.
+fn answer_repeat(now: Duration, claim: &Claim, take: &TakeClaim) -> ClaimReply {
     if claim.digest != take.digest {
         return ClaimReply::Reused;
     }
-    if claim.holder == take.holder && claim.ended.is_none() && now < claim.until {
-        // The same delivery asks again, because it lost the answer.
+    if claim.holder == take.holder && claim.ended.is_none() && now < claim.deadline {
+        // The holder repeats the call because it lost the reply.
         return ClaimReply::Granted;
     }
     match &claim.ended {
         Some(ended) => ClaimReply::ClaimEnd(ended.clone()),
-        None if now < claim.until => ClaimReply::InProgress,
+        None if now < claim.deadline => ClaimReply::InProgress,
         None => ClaimReply::ClaimEnd(ClaimEnd::Unknown),
     }
 }
--- a/crates/control/src/state/documents.rs
+++ b/crates/control/src/state/documents.rs
@@ -1,4 +1,4 @@
-//! Documents in force and their history.
+//! Current service documents and their histories.
 
 use crate::command::{Acceptance, Put, PutError};
 use dogwoodhill_core::document::Delta;
@@ -8,67 +8,67 @@
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
-/// Texts of earlier versions that are kept for each service. Acceptances are
-/// kept for all versions, so that a resend is recognised however late.
-const KEPT_TEXTS: usize = 20;
+/// Previous versions per service whose text is retained. Acceptances are retained for all
+/// versions, so that a resend is recognised at any later time.
+const RETAINED_TEXTS: usize = 20;
 
-/// Earlier documents that are kept to tell daemons only what changed. They are
-/// no part of the replicated state: without them whole documents are sent.
-const KEPT_DOCUMENTS: usize = 8;
+/// Previous documents per service from which deltas are computed. They are not part of
+/// the replicated state: without them, whole documents are sent.
+const RETAINED_DOCUMENTS: usize = 8;
 
-/// One accepted version.
+/// An accepted version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// The acceptance.
+pub struct HistoryEntry {
+    /// Who put the version in force, and when.
     pub acceptance: Acceptance,
-    /// SHA-256 of the content, whatever its layout and comments.
+    /// SHA-256 of the parsed content, independent of layout and comments.
     pub digest: [u8; 32],
-    /// Text, of the newest versions only.
+    /// Retained for the newest versions only.
     pub text: Option<String>,
 }
 
-/// One service.
+/// The versions of one service's document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct History {
-    /// The document in force.
+    /// The current document.
     pub document: Arc<ServiceDocument>,
     /// All versions, oldest first.
-    pub entries: Vec<Entry>,
-    /// The newest earlier documents, oldest first.
+    pub entries: Vec<HistoryEntry>,
+    /// The most recent previous documents, oldest first.
     #[serde(skip)]
-    earlier: Vec<AcceptedDocument>,
+    previous: Vec<AcceptedDocument>,
 }
 
-/// All services, sorted by name.
+/// The documents of all services, sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Documents {
-    /// Revision of the last acceptance.
+    /// Revision of the most recent acceptance.
     pub revision: Revision,
     services: Vec<Arc<History>>,
 }
 
 impl Documents {
-    /// The service named `name`.
+    /// The history of the service `name`.
     pub fn service(&self, name: &str) -> Option<&Arc<History>> {
-        self.find(name).ok().map(|at| &self.services[at])
+        self.position(name).ok().map(|at| &self.services[at])
     }
 
-    /// All services.
+    /// The histories of all services.
     pub fn services(&self) -> &[Arc<History>] {
         &self.services
     }
 
-    /// What changed after `revision`, in one service or in all.
-    pub fn since(
+    /// Updates for a subscriber at `revision`, of one service or of all.
+    pub fn updates_since(
         &self,
         revision: Revision,
         service: Option<&str>,
     ) -> Vec<DocumentChange> {
-        let wanted = |history: &&Arc<History>| {
+        let is_newer = |history: &&Arc<History>| {
             let name = history.document.service.as_str();
             service.is_none_or(|service| service == name) && history.revision() > revision
         };
-        let changed = self.services.iter().filter(wanted);
+        let changed = self.services.iter().filter(is_newer);
         changed.map(|history| history.news(revision)).collect()
     }
 
@@ -80,18 +80,18 @@
     ) -> Result<Acceptance, PutError> {
         let document = &put.document;
         let digest = digest(document);
-        let found = self.find(&document.service);
+        let found = self.position(&document.service);
         if let Ok(at) = found {
             let history = &self.services[at];
-            if let Some(earlier) = history.version(document.version) {
-                return history.resent(earlier, &digest);
+            if let Some(previous) = history.version(document.version) {
+                return history.answer_resend(previous, &digest);
             }
-            history.owned_by(&put.team)?;
+            history.check_owner(&put.team)?;
         } else if document.owner != put.team {
             let owner = document.owner.clone();
             return Err(PutError::Owner { owner });
         }
-        let next = found.map_or(1, |at| self.services[at].next());
+        let next = found.map_or(1, |at| self.services[at].next_version());
         if document.version != next {
             let given = document.version;
             return Err(PutError::Sequence { given, next });
@@ -103,7 +103,7 @@
             team: put.team.clone(),
             wall,
         };
-        let entry = Entry {
+        let entry = HistoryEntry {
             acceptance: acceptance.clone(),
             digest,
             text: Some(put.text.clone()),
@@ -117,49 +117,49 @@
         &mut self,
         found: Result<usize, usize>,
         document: &ServiceDocument,
-        entry: Entry,
+        entry: HistoryEntry,
     ) {
         let document = Arc::new(document.clone());
         match found {
             Ok(at) => {
                 let history = Arc::make_mut(&mut self.services[at]);
-                history.keep();
+                history.retain_current();
                 history.document = document;
                 history.entries.push(entry);
-                history.forget_texts();
+                history.prune_texts();
             }
             Err(at) => {
                 let entries = vec![entry];
-                let earlier = Vec::new();
+                let previous = Vec::new();
                 let history = History {
                     document,
                     entries,
-                    earlier,
+                    previous,
                 };
                 self.services.insert(at, Arc::new(history));
             }
         }
     }
 
-    fn find(&self, name: &str) -> Result<usize, usize> {
+    fn position(&self, name: &str) -> Result<usize, usize> {
         self.services
             .binary_search_by(|history| history.document.service.as_str().cmp(name))
     }
 }
 
 impl History {
-    /// Revision of the document in force.
+    /// Revision of the current document.
     pub fn revision(&self) -> Revision {
         self.entries
             .last()
             .map_or(0, |entry| entry.acceptance.revision)
     }
 
-    /// The document in force, for a daemon that has those up to `revision`.
+    /// The current document for a subscriber at `revision`, as a delta where possible.
     fn news(&self, revision: Revision) -> DocumentChange {
-        let now = self.accepted();
-        let mut earlier = self.earlier.iter().rev();
-        match earlier.find(|accepted| accepted.revision <= revision) {
+        let now = self.current();
+        let mut previous = self.previous.iter().rev();
+        match previous.find(|current| current.revision <= revision) {
             Some(base) => DocumentChange::Patch {
                 base: base.revision,
                 revision: now.revision,
@@ -169,42 +169,46 @@
         }
     }
 
-    fn accepted(&self) -> AcceptedDocument {
+    fn current(&self) -> AcceptedDocument {
         AcceptedDocument {
             revision: self.revision(),
             document: Arc::clone(&self.document),
         }
     }
 
-    /// Keeps the document in force before another one takes its place.
-    fn keep(&mut self) {
-        self.earlier.push(self.accepted());
-        let excess = self.earlier.len().saturating_sub(KEPT_DOCUMENTS);
-        self.earlier.drain(..excess);
+    /// Retains the current document before it is replaced.
+    fn retain_current(&mut self) {
+        self.previous.push(self.current());
+        let excess = self.previous.len().saturating_sub(RETAINED_DOCUMENTS);
+        self.previous.drain(..excess);
     }
 
     /// The accepted version with this number.
-    pub fn version(&self, version: Version) -> Option<&Entry> {
+    pub fn version(&self, version: Version) -> Option<&HistoryEntry> {
         let at = usize::try_from(version.checked_sub(1)?).ok()?;
         self.entries.get(at)
     }
 
-    fn next(&self) -> Version {
+    fn next_version(&self) -> Version {
         self.entries.len() as Version + 1
     }
 
-    /// Answers a version that was accepted before.
-    fn resent(&self, earlier: &Entry, digest: &[u8; 32]) -> Result<Acceptance, PutError> {
-        if earlier.digest == *digest {
-            return Ok(earlier.acceptance.clone());
+    /// Replies to a version that has already been accepted.
+    fn answer_resend(
+        &self,
+        previous: &HistoryEntry,
+        digest: &[u8; 32],
+    ) -> Result<Acceptance, PutError> {
+        if previous.digest == *digest {
+            return Ok(previous.acceptance.clone());
         }
         Err(PutError::Conflict {
-            won: earlier.acceptance.clone(),
-            next: self.next(),
+            won: previous.acceptance.clone(),
+            next: self.next_version(),
         })
     }
 
-    fn owned_by(&self, team: &TeamId) -> Result<(), PutError> {
+    fn check_owner(&self, team: &TeamId) -> Result<(), PutError> {
         if self.document.owner == *team {
             return Ok(());
         }
@@ -213,15 +217,15 @@
         })
     }
 
-    fn forget_texts(&mut self) {
-        let old = self.entries.len().saturating_sub(KEPT_TEXTS);
+    fn prune_texts(&mut self) {
+        let old = self.entries.len().saturating_sub(RETAINED_TEXTS);
         for entry in self.entries[..old].iter_mut().rev().take(1) {
             entry.text = None;
         }
     }
 }
 
-/// SHA-256 of what a document says.
+/// SHA-256 of the parsed content.
 fn digest(document: &ServiceDocument) -> [u8; 32] {
     let bytes = rmp_serde::to_vec(document).expect("documents encode");
     Sha256::digest(bytes).into()
--- a/crates/control/src/state/duties.rs
+++ b/crates/control/src/state/duties.rs
@@ -1,73 +1,73 @@
-//! Duties that one machine holds at a time, and their fencing numbers.
+//! Leases of duties, which only one machine performs at a time, and their fencing tokens.
 //!
-//! A duty is named by what it is and what it is about. Its lease is prolonged by whoever
-//! holds it, and passes to another machine once it has ended. Invariants:
+//! A duty is identified by its kind and its subject. The holder renews its lease; after
+//! the lease expires, another machine can acquire it. Invariants:
 //!
-//! * a fencing number is the place in the log of the command that gave it: it is never
-//!   given twice and only rises, whatever is lost beside the log;
-//! * each run of a machine's process has a number of its own, since it doesn't know what
-//!   the run before has under way;
-//! * a machine that the lease has left gets it back no sooner than one whole lease later,
-//!   so that two machines never act in turns within one.
+//! * A fencing token is the log index of the command that issued it. Tokens are therefore
+//!   unique and increase even if all state outside the log is lost.
+//! * Each run of a machine's process gets its own token, since it has no record of calls
+//!   that the previous run started.
+//! * A machine that lost the lease can't acquire it again for one lease duration, so two
+//!   machines never alternate within one lease.
 
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Most duties that are held; beyond them none is given.
-const MOST: usize = 10_000;
+/// No lease for a new duty is granted beyond this number of duties.
+const MAX_DUTIES: usize = 10_000;
 
-/// Who holds a duty.
+/// Holder of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyHolder {
-    /// The machine, by the internal address of its control instance.
+    /// Internal address of the machine's control instance.
     pub machine: SocketAddr,
-    /// Names the run of its process.
+    /// Id of the process run.
     pub run: u64,
 }
 
-/// Asks for the lease of a duty, or prolongs it.
+/// Acquires or renews the lease of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
-    /// What the duty is.
+pub struct AcquireDuty {
+    /// Kind of duty.
     pub duty: String,
-    /// What it is about.
+    /// What the duty applies to; empty where there is only one.
     pub subject: String,
-    /// Who asks.
+    /// Requesting holder.
     pub holder: DutyHolder,
-    /// How long the lease is wanted for.
-    pub lasting: Duration,
-    /// A fencing number that was refused as too low; 0 for none. The number that is given
-    /// is another one.
+    /// Requested lease duration.
+    pub duration: Duration,
+    /// A fencing token that was rejected as stale, or 0. The lease is granted with a
+    /// newer one.
     pub refused: Fence,
 }
 
-/// Answer to [`Hold`].
+/// Reply to [`AcquireDuty`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Holds {
-    /// The duty is held under this number.
+pub enum AcquireOutcome {
+    /// The lease is granted with this fencing token.
     Held(Fence),
-    /// The asking machine can't hold it for this long at least.
+    /// The requester can't hold the lease for at least this long.
     Other(Duration),
 }
 
-/// Gives a lease up.
+/// Releases a lease before it expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GiveUp {
-    /// What the duty is.
+pub struct ReleaseDuty {
+    /// Kind of duty.
     pub duty: String,
-    /// What it is about.
+    /// What the duty applies to.
     pub subject: String,
-    /// Who held it.
+    /// Ignored unless it is the current holder.
     pub holder: DutyHolder,
 }
 
-/// A machine that the lease has left.
+/// A machine that held the lease previously.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct Former {
+struct PastHolder {
     machine: SocketAddr,
-    /// When it may hold the lease again.
-    back: Duration,
+    /// Cluster time from which the machine may acquire the lease again.
+    eligible_at: Duration,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -76,72 +76,80 @@
     subject: String,
     holder: DutyHolder,
     fence: Fence,
-    until: Duration,
-    former: Vec<Former>,
+    expires_at: Duration,
+    past_holders: Vec<PastHolder>,
 }
 
-/// A duty and who holds it.
+/// A duty and its holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldDuty {
-    /// What the duty is.
+pub struct DutyAssignment {
+    /// Kind of duty.
     pub duty: String,
-    /// What it is about.
+    /// What the duty applies to.
     pub subject: String,
-    /// Who holds it, or held it last.
+    /// Current or last holder.
     pub holder: DutyHolder,
-    /// Under which number.
+    /// Fencing token of the holder.
     pub fence: Fence,
 }
 
-/// All leases, sorted by duty and subject. One that ended stays, for its number.
+/// All leases, sorted by duty and subject. Expired leases are retained for their holder
+/// and token.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Duties {
     leases: Vec<Lease>,
 }
 
 impl Duties {
-    /// Gives or prolongs a lease, by the command at `index`.
-    pub fn hold(&mut self, index: Revision, now: Duration, hold: &Hold) -> Holds {
-        match self.find(&hold.duty, &hold.subject) {
-            Ok(at) => self.leases[at].hold(index, now, hold),
-            Err(_) if self.leases.len() >= MOST => Holds::Other(hold.lasting),
+    /// Grants or renews a lease with the command at `index`.
+    pub fn acquire(
+        &mut self,
+        index: Revision,
+        now: Duration,
+        request: &AcquireDuty,
+    ) -> AcquireOutcome {
+        match self.position(&request.duty, &request.subject) {
+            Ok(at) => self.leases[at].renew_or_move(index, now, request),
+            Err(_) if self.leases.len() >= MAX_DUTIES => {
+                AcquireOutcome::Other(request.duration)
+            }
             Err(at) => {
                 let lease = Lease {
-                    duty: hold.duty.clone(),
-                    subject: hold.subject.clone(),
-                    holder: hold.holder,
+                    duty: request.duty.clone(),
+                    subject: request.subject.clone(),
+                    holder: request.holder,
                     fence: index,
-                    until: now + hold.lasting,
-                    former: Vec::new(),
+                    expires_at: now + request.duration,
+                    past_holders: Vec::new(),
                 };
                 self.leases.insert(at, lease);
-                Holds::Held(index)
+                AcquireOutcome::Held(index)
             }
         }
     }
 
-    /// Ends a lease, where it is still the same holder's.
-    pub fn give_up(&mut self, now: Duration, given: &GiveUp) {
-        if let Ok(at) = self.find(&given.duty, &given.subject) {
+    /// Ends the lease if `release.holder` still holds it.
+    pub fn release(&mut self, now: Duration, request: &ReleaseDuty) {
+        if let Ok(at) = self.position(&request.duty, &request.subject) {
             let lease = &mut self.leases[at];
-            if lease.holder == given.holder {
-                lease.until = lease.until.min(now);
+            if lease.holder == request.holder {
+                lease.expires_at = lease.expires_at.min(now);
             }
         }
     }
 
-    /// All duties that were ever held.
-    pub fn held(&self) -> Vec<HeldDuty> {
-        let held = self.leases.iter().map(|lease| HeldDuty {
+    /// All duties that have ever been held.
+    pub fn assignments(&self) -> Vec<DutyAssignment> {
+        let assignments = self.leases.iter().map(|lease| DutyAssignment {
             duty: lease.duty.clone(),
             subject: lease.subject.clone(),
             holder: lease.holder,
             fence: lease.fence,
         });
-        held.collect()
+        assignments.collect()
     }
 
-    fn find(&self, duty: &str, subject: &str) -> Result<usize, usize> {
+    fn position(&self, duty: &str, subject: &str) -> Result<usize, usize> {
         self.leases.binary_search_by(|lease| {
             (lease.duty.as_str(), lease.subject.as_str()).cmp(&(duty, subject))
         })
@@ -149,32 +157,42 @@
 }
 
 impl Lease {
-    fn hold(&mut self, index: Revision, now: Duration, hold: &Hold) -> Holds {
-        let until = now + hold.lasting;
-        if self.holder == hold.holder {
-            if hold.refused >= self.fence {
+    fn renew_or_move(
+        &mut self,
+        index: Revision,
+        now: Duration,
+        request: &AcquireDuty,
+    ) -> AcquireOutcome {
+        let expires_at = now + request.duration;
+        if self.holder == request.holder {
+            if request.refused >= self.fence {
                 self.fence = index;
             }
-            self.until = self.until.max(until);
-            return Holds::Held(self.fence);
+            self.expires_at = self.expires_at.max(expires_at);
+            return AcquireOutcome::Held(self.fence);
         }
-        let moves = self.holder.machine != hold.holder.machine;
-        if moves {
-            self.former.retain(|former| former.back > now);
-            let barred = |former: &&Former| former.machine == hold.holder.machine;
-            let back = self.former.iter().find(barred).map(|former| former.back);
-            let free = self.until.max(back.unwrap_or_default());
-            if now < free {
-                return Holds::Other(free - now);
+        let changes_machine = self.holder.machine != request.holder.machine;
+        if changes_machine {
+            self.past_holders.retain(|past| past.eligible_at > now);
+            let same_machine =
+                |past: &&PastHolder| past.machine == request.holder.machine;
+            let eligible_at = self
+                .past_holders
+                .iter()
+                .find(same_machine)
+                .map(|past| past.eligible_at);
+            let available_at = self.expires_at.max(eligible_at.unwrap_or_default());
+            if now < available_at {
+                return AcquireOutcome::Other(available_at - now);
             }
-            self.former.push(Former {
+            self.past_holders.push(PastHolder {
                 machine: self.holder.machine,
-                back: until,
+                eligible_at: expires_at,
             });
         }
-        self.holder = hold.holder;
+        self.holder = request.holder;
         self.fence = index;
-        self.until = until;
-        Holds::Held(index)
+        self.expires_at = expires_at;
+        AcquireOutcome::Held(index)
     }
 }
--- a/crates/control/src/state/leases.rs
+++ b/crates/control/src/state/leases.rs
@@ -1,55 +1,59 @@
-//! Leases of endpoints and their fencing numbers.
+//! Leases of endpoints and their fencing tokens.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::control::{Acquire, LeaseReply};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Held {
+struct EndpointLease {
     service: ServiceId,
     endpoint: EndpointId,
     holder: AttemptId,
     fence: Fence,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// All leases, sorted by service and endpoint. One that ended stays, because
-/// its number must never be given out again.
+/// All leases, sorted by service and endpoint. Expired leases are retained so that a
+/// fencing token is never issued twice.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Leases {
-    held: Vec<Held>,
+    leases: Vec<EndpointLease>,
 }
 
 impl Leases {
     pub(super) fn acquire(&mut self, now: Duration, acquire: &Acquire) -> LeaseReply {
         let key = (acquire.service.as_str(), acquire.endpoint.as_str());
-        let found = self
-            .held
-            .binary_search_by(|h| (h.service.as_str(), h.endpoint.as_str()).cmp(&key));
-        let until = now + acquire.duration;
+        let found = self.leases.binary_search_by(|lease| {
+            (lease.service.as_str(), lease.endpoint.as_str()).cmp(&key)
+        });
+        let expires_at = now + acquire.duration;
         match found {
             Ok(at) => {
-                let held = &mut self.held[at];
-                let same = held.holder == acquire.holder;
-                if !same && now < held.until {
-                    return LeaseReply::Other(held.until - now);
+                let lease = &mut self.leases[at];
+                let same_holder = lease.holder == acquire.holder;
+                if !same_holder && now < lease.expires_at {
+                    return LeaseReply::Other(lease.expires_at - now);
                 }
-                held.fence += u64::from(!same);
-                held.holder = acquire.holder;
-                // A holder that gives its lease back asks for no time at all.
-                let ends = acquire.duration.is_zero();
-                held.until = if ends { now } else { held.until.max(until) };
-                LeaseReply::Held(held.fence)
+                lease.fence += u64::from(!same_holder);
+                lease.holder = acquire.holder;
+                // A request for zero time releases the lease.
+                let releases = acquire.duration.is_zero();
+                lease.expires_at = if releases {
+                    now
+                } else {
+                    lease.expires_at.max(expires_at)
+                };
+                LeaseReply::Held(lease.fence)
             }
             Err(at) => {
-                let held = Held {
+                let lease = EndpointLease {
                     service: acquire.service.clone(),
                     endpoint: acquire.endpoint.clone(),
                     holder: acquire.holder,
                     fence: 1,
-                    until,
+                    expires_at,
                 };
-                self.held.insert(at, held);
+                self.leases.insert(at, lease);
                 LeaseReply::Held(1)
             }
         }
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -1,8 +1,9 @@
-//! Usage: what entries tell of the requests that endpoints began.
+//! Usage that entries report: the requests that endpoints began.
 //!
-//! Entries tell the instance that reports ([`crate::reporter`]), or the first one that
-//! answers where none does. What is told stays in memory: entries keep it themselves until
-//! it is fixed in the log, and tell the next instance all of it.
+//! Entries report to the instance that holds the reporting duty ([`crate::reporter`]) or,
+//! if there is none, to the first one that answers. Reports are held in memory only:
+//! entries retain their counts until these are committed to the log, and repeat them in
+//! full to the next instance.
 
 use crate::replica::Replica;
 use crate::reporter::DUTY;
@@ -14,8 +15,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Most windows that are closed by one command.
-const MOST_CLOSED: usize = 16;
+/// Most windows that one command commits.
+const MAX_WINDOWS: usize = 16;
 
 #[derive(Debug, Default)]
 struct State {
@@ -23,56 +24,57 @@
     clock: TrueClock,
 }
 
-/// What entries told one instance. Clones share it.
+/// Usage reported to one instance. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Usage {
-    /// Names this run of the instance.
-    instance: u64,
+pub struct UsageTracker {
+    /// Id of this run of the instance.
+    run: u64,
     replica: Replica,
-    /// Whether the instance is to be told nothing, since it stops or can't report.
-    away: Arc<AtomicBool>,
+    /// Whether entries should report elsewhere because this instance stops or can't reach
+    /// the platform.
+    inactive: Arc<AtomicBool>,
     state: Arc<Mutex<State>>,
 }
 
-/// What is known at one moment of the windows that are not fixed.
+/// Snapshot of the uncommitted windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Open {
-    /// True time, where it is known.
+pub struct OpenWindows {
+    /// Estimated true time, if known.
     pub time: Option<TrueTime>,
-    /// Entries that told lately.
+    /// Number of entries with a recent report.
     pub entries: usize,
-    /// Counts of windows that are complete; in order.
+    /// Counts of the complete windows, in order.
     pub complete: Vec<WindowCounts>,
 }
 
-impl Usage {
-    /// Nothing is told yet.
+impl UsageTracker {
+    /// An empty tracker.
     pub fn new(replica: Replica) -> Self {
         Self {
-            instance: rand::random::<u64>().max(1),
+            run: rand::random::<u64>().max(1),
             replica,
-            away: Arc::default(),
+            inactive: Arc::default(),
             state: Arc::default(),
         }
     }
 
-    /// Names this run of the instance.
-    pub fn instance(&self) -> u64 {
-        self.instance
+    /// Id of this run of the instance.
+    pub fn run(&self) -> u64 {
+        self.run
     }
 
-    /// Whether entries are to tell another instance.
-    pub fn set_away(&self, away: bool) {
-        self.away.store(away, Ordering::Relaxed);
+    /// Sets whether entries should report to another instance.
+    pub fn set_inactive(&self, inactive: bool) {
+        self.inactive.store(inactive, Ordering::Relaxed);
     }
 
-    /// Takes in what an entry told.
-    pub fn tell(&self, tell: EntryUsage) -> UsageReply {
+    /// Records the report of an entry.
+    pub fn report(&self, tell: EntryUsage) -> UsageReply {
         let now = uptime();
         let view = self.replica.duties.borrow().clone();
         let mut state = self.state();
         state.clock.record(now, tell.run, tell.wall);
-        state.tally.finalize_before(now, view.next);
+        state.tally.finalize_before(now, view.next_window);
         state.tally.record(
             now,
             EntryReport {
@@ -83,40 +85,45 @@
                 last: tell.last,
             },
         );
-        let holder = view.held.iter().find(|held| held.duty == DUTY);
+        let holder = view.assignments.iter().find(|held| held.duty == DUTY);
         UsageReply {
-            instance: self.instance,
-            has_quorum: self.settled(),
-            next: view.next,
+            instance: self.run,
+            has_quorum: self.accepts_reports(),
+            next: view.next_window,
             reporter: holder.map(|held| held.holder.machine),
             now: state.clock.now(now),
         }
     }
 
-    /// What is known of the windows from `next` on, where `expected` entries are there.
-    pub fn open(&self, next: Window, closing: &CloseRules, expected: usize) -> Open {
+    /// Snapshot of the windows from `next` on, with `expected` entries present.
+    pub fn open_windows(
+        &self,
+        next: Window,
+        closing: &CloseRules,
+        expected: usize,
+    ) -> OpenWindows {
         let now = uptime();
         let mut state = self.state();
         state.tally.finalize_before(now, next);
         let time = state.clock.now(now);
         let tally = &state.tally;
         let complete = time.map_or_else(Vec::new, |time| {
-            let windows = (next..).take(MOST_CLOSED);
+            let windows = (next..).take(MAX_WINDOWS);
             let complete = windows
                 .take_while(|w| tally.is_complete(now, time, *w, closing, expected));
             complete.map(|window| tally.sum(window)).collect()
         });
-        Open {
+        OpenWindows {
             time,
             entries: tally.active_runs(now),
             complete,
         }
     }
 
-    /// Whether this instance is in contact with a majority, and goes on.
-    pub fn settled(&self) -> bool {
-        let contact = self.replica.standing.borrow().contact;
-        contact && !self.away.load(Ordering::Relaxed)
+    /// Whether this instance is in contact with a majority and accepts reports.
+    pub fn accepts_reports(&self) -> bool {
+        let contact = self.replica.status.borrow().contact;
+        contact && !self.inactive.load(Ordering::Relaxed)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -1,7 +1,7 @@
 //! Long polls for document changes.
 
 use crate::presence::Presence;
-use crate::replica::Standing;
+use crate::replica::ReplicaStatus;
 use crate::service::Service;
 use crate::state::Documents;
 use dogwoodhill_core::prelude::*;
@@ -34,17 +34,17 @@
     service.confirm().await?;
     let mut applied = service.replica().applied.clone();
     let mut count = presence.count();
-    let standing = service.replica().standing.clone();
+    let status = service.replica().status.clone();
     let end = Instant::now() + watch.wait.min(MAX_WAIT);
-    let lost = lost_contact(standing);
+    let lost = lost_contact(status);
     tokio::pin!(lost);
     loop {
         applied.mark_unchanged();
         let entries = *count.borrow_and_update();
         let changes = changes(service, &watch, entries);
         let news = !changes.changes.is_empty() || changes.revision < watch.revision;
-        let counted = watch.entry && entries != watch.entries;
-        if news || counted || Instant::now() >= end {
+        let count_changed = watch.entry && entries != watch.entries;
+        if news || count_changed || Instant::now() >= end {
             return Ok(changes);
         }
         tokio::select! {
@@ -59,8 +59,8 @@
 fn changes(service: &Service, watch: &Watch, entries: u32) -> Update {
     let documents = service.replica().documents.load();
     let changes = match watch.entry {
-        true => documents.since(watch.revision, watch.service.as_deref()),
-        false => own_part(&documents, watch),
+        true => documents.updates_since(watch.revision, watch.service.as_deref()),
+        false => agent_view(&documents, watch),
     };
     Update {
         revision: documents.revision,
@@ -71,7 +71,7 @@
 
 /// The part of the service's document that an agent needs: workspaces and the endpoints
 /// of other agents are left out.
-fn own_part(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
+fn agent_view(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
     let history = watch
         .service
         .as_ref()
@@ -91,17 +91,13 @@
 }
 
 /// Completes once contact has been lost for [`CONTACT_LOSS`] without interruption.
-async fn lost_contact(mut standing: Receiver<Standing>) {
+async fn lost_contact(mut status: Receiver<ReplicaStatus>) {
     loop {
-        if standing
-            .wait_for(|standing| !standing.contact)
-            .await
-            .is_err()
-        {
+        if status.wait_for(|status| !status.contact).await.is_err() {
             return;
         }
-        let back = standing.wait_for(|standing| standing.contact);
-        match tokio::time::timeout(CONTACT_LOSS, back).await {
+        let regained = status.wait_for(|status| status.contact);
+        match tokio::time::timeout(CONTACT_LOSS, regained).await {
             Ok(Ok(_)) => {}
             _ => return,
         }
--- a/crates/control/tests/demand.rs
+++ b/crates/control/tests/demand.rs
@@ -1,11 +1,16 @@
-//! What entries tell a control instance of what comes at them.
+//! Sums of the demand that entries report.
 
 use dogwoodhill_control::demand::Demand;
 use dogwoodhill_wire::demand::{DemandReport, ServiceDemand};
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn tell(entry: &str, service: &str, latency_sensitive: f64, other: f64) -> DemandReport {
+fn entry_report(
+    entry: &str,
+    service: &str,
+    latency_sensitive: f64,
+    other: f64,
+) -> DemandReport {
     DemandReport {
         entry: entry.to_string(),
         services: vec![ServiceDemand {
@@ -20,12 +25,12 @@
 }
 
 #[test]
-fn tell_sums_over_entries() {
+fn report_sums_over_entries() {
     let demand = Demand::default();
     let now = Instant::now();
-    demand.tell(now, tell("a", "voice", 1.0, 4.0));
-    demand.tell(now, tell("b", "chat", 8.0, 0.5));
-    let totals = demand.tell(now, tell("c", "voice", 2.0, 3.0));
+    demand.report(now, entry_report("a", "voice", 1.0, 4.0));
+    demand.report(now, entry_report("b", "chat", 8.0, 0.5));
+    let totals = demand.report(now, entry_report("c", "voice", 2.0, 3.0));
     let sums: Vec<(&str, f64, f64)> = totals
         .services
         .iter()
@@ -40,24 +45,24 @@
     assert_eq!(pauses, [(0.4, 2.0), (0.8, 4.0)]);
 }
 
-/// An entry that tells again counts once.
+/// A repeated report of an entry replaces the previous one.
 #[test]
-fn tell_again_replaces() {
+fn report_repeated_replaces_previous() {
     let demand = Demand::default();
     let now = Instant::now();
-    demand.tell(now, tell("a", "voice", 1.0, 4.0));
-    let totals = demand.tell(now, tell("a", "voice", 2.0, 1.0));
+    demand.report(now, entry_report("a", "voice", 1.0, 4.0));
+    let totals = demand.report(now, entry_report("a", "voice", 2.0, 1.0));
     let sum = &totals.services[0];
     assert_eq!((sum.latency_sensitive, sum.other), (2.0, 1.0));
 }
 
-/// An entry was killed: two seconds later it counts no more.
+/// A killed entry no longer counts after 2 s.
 #[test]
-fn tell_silent_entry_forgotten() {
+fn report_silent_entry_expires() {
     let demand = Demand::default();
     let now = Instant::now();
-    demand.tell(now, tell("a", "voice", 1.0, 4.0));
+    demand.report(now, entry_report("a", "voice", 1.0, 4.0));
     let later = now + Duration::from_secs(2);
-    let totals = demand.tell(later, tell("b", "voice", 2.0, 1.0));
+    let totals = demand.report(later, entry_report("b", "voice", 2.0, 1.0));
     assert_eq!(totals.services[0].latency_sensitive, 2.0);
 }
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -1,6 +1,6 @@
-//! Limits that endpoints name, as entries tell of them and are told.
+//! Limits that endpoints declare, as reported by entries and returned to them.
 
-use dogwoodhill_control::limits::Limits;
+use dogwoodhill_control::limits::LimitTracker;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::demand::DemandReport;
 use dogwoodhill_wire::limits::EndpointLimit;
@@ -12,7 +12,7 @@
     Incarnation::new("i-1", None)
 }
 
-fn tell(rate: Option<f64>, age: Duration, wanted: u32) -> DemandReport {
+fn entry_report(rate: Option<f64>, age: Duration, wanted: u32) -> DemandReport {
     let limit = EndpointLimit {
         run: run(),
         rate,
@@ -26,32 +26,47 @@
     }
 }
 
-/// One entry heard of it; all that ask are told, and whoever wants permits shares them.
+/// One entry reports a limit; all entries receive it and share the permits.
 #[test]
-fn tell_limit_known_to_all_and_shared() {
-    let limits = Limits::default();
-    assert_eq!(limits.news(NOW, 0), None);
-    let heard = tell(Some(2.0), SECOND, 5);
-    assert_eq!(limits.tell(NOW, Duration::ZERO, &heard), []);
-    let news = limits.news(NOW, 0).expect("there are news");
-    assert_eq!(news.limits[0].rate, Some(2.0));
-    assert_eq!(limits.news(NOW, news.mark), None, "known there");
+fn report_limit_returned_to_all_and_shared() {
+    let limits = LimitTracker::default();
+    assert_eq!(limits.current(NOW, 0), None);
+    let reported = entry_report(Some(2.0), SECOND, 5);
+    assert_eq!(limits.report(NOW, Duration::ZERO, &reported), []);
+    let current = limits.current(NOW, 0).expect("a limit is known");
+    assert_eq!(current.limits[0].rate, Some(2.0));
+    assert_eq!(
+        limits.current(NOW, current.mark),
+        None,
+        "already known to the entry"
+    );
     let granted = |at, wanted| {
-        let permits = limits.tell(at, Duration::ZERO, &tell(Some(2.0), SECOND, wanted));
+        let permits =
+            limits.report(at, Duration::ZERO, &entry_report(Some(2.0), SECOND, wanted));
         permits.first().map_or(0, |granted| granted.permits)
     };
-    assert_eq!(granted(NOW + SECOND, 5), 1, "a moment's share at most");
-    assert_eq!(granted(NOW + SECOND, 5), 0, "for all entries together");
+    assert_eq!(granted(NOW + SECOND, 5), 1, "at most one permit at a time");
+    assert_eq!(granted(NOW + SECOND, 5), 0, "shared by all entries");
 }
 
-/// What lay on the way for long is as old as it is.
+/// The transit time of a message is added to the age of its limits.
 #[test]
-fn tell_limit_dated_with_the_time_under_way() {
-    let limits = Limits::default();
-    limits.tell(NOW, Duration::ZERO, &tell(Some(2.0), Duration::ZERO, 0));
-    limits.tell(NOW + SECOND, Duration::ZERO, &tell(None, Duration::ZERO, 0));
-    let late = tell(Some(2.0), Duration::ZERO, 0);
-    limits.tell(NOW + 2 * SECOND, 3 * SECOND / 2, &late);
-    let news = limits.news(NOW + 2 * SECOND, 0).expect("it is remembered");
-    assert_eq!(news.limits[0].rate, None);
+fn report_limit_age_includes_transit() {
+    let limits = LimitTracker::default();
+    limits.report(
+        NOW,
+        Duration::ZERO,
+        &entry_report(Some(2.0), Duration::ZERO, 0),
+    );
+    limits.report(
+        NOW + SECOND,
+        Duration::ZERO,
+        &entry_report(None, Duration::ZERO, 0),
+    );
+    let delayed = entry_report(Some(2.0), Duration::ZERO, 0);
+    limits.report(NOW + 2 * SECOND, 3 * SECOND / 2, &delayed);
+    let current = limits
+        .current(NOW + 2 * SECOND, 0)
+        .expect("the limit is retained");
+    assert_eq!(current.limits[0].rate, None);
 }
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -1,6 +1,6 @@
-//! The list of endpoints, read by a few entries and passed on to all.
+//! The endpoint list, fetched by a few entries and passed on to all.
 
-use dogwoodhill_control::lists::Lists;
+use dogwoodhill_control::lists::EndpointLists;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::list_reads::{ListReads, STALE_AFTER};
 use dogwoodhill_wire::demand::{
@@ -28,15 +28,15 @@
     (0..count).map(one).collect()
 }
 
-/// The mark of the list of `count` endpoints.
-fn named(count: usize) -> Mark {
+/// Content hash of the list of `count` endpoints.
+fn mark_of(count: usize) -> Mark {
     mark(&endpoints(count))
 }
 
-/// A read of `count` endpoints, told with its content or without.
+/// A read of `count` endpoints, with or without the content.
 fn read(count: usize, age: Duration, content: bool) -> Option<ListRead> {
     Some(ListRead {
-        mark: named(count),
+        mark: mark_of(count),
         age,
         took: ms(50),
         whole: content.then(|| Arc::new(CompressedList::of(&endpoints(count)))),
@@ -44,123 +44,134 @@
     })
 }
 
-/// What was read goes to those that don't have it; its age goes to all.
+/// The content goes only to entries that do not have it; its age goes to all.
 #[test]
-fn tell_newest_read_passed_on() {
-    let lists = Lists::default();
+fn report_newest_read_passed_on() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = named(3);
-    lists.tell(now, "a", held, read(3, ms(40), true));
-    let news = lists.tell(now + ms(500), "b", 0, None).newest.expect("one");
-    assert_eq!((news.mark, news.age), (held, ms(540)));
-    let whole = news.whole.expect("b has none").read();
-    assert_eq!(whole.expect("it is whole").len(), 3);
-    let news = lists
-        .tell(now + ms(900), "b", held, None)
+    let held = mark_of(3);
+    lists.report(now, "a", held, read(3, ms(40), true));
+    let update = lists
+        .report(now + ms(500), "b", 0, None)
         .newest
-        .expect("one");
-    assert_eq!((news.age, news.whole), (ms(940), None));
+        .expect("a newest read");
+    assert_eq!((update.mark, update.age), (held, ms(540)));
+    let whole = update.whole.expect("sent to b, which has no list").read();
+    assert_eq!(whole.expect("the content decodes").len(), 3);
+    let update = lists
+        .report(now + ms(900), "b", held, None)
+        .newest
+        .expect("a newest read");
+    assert_eq!((update.age, update.whole), (ms(940), None));
 }
 
-/// An instance that stood still has not heard of any entry for long, and not because they are
-/// gone: the readers stay, and no other is asked to read as the others tell one by one.
+/// An instance that was suspended has not heard from any entry for a while, although none
+/// is gone: the readers stay the same, and no other entry becomes a reader while the
+/// entries report one by one.
 #[test]
-fn tell_after_standing_still_same_readers() {
-    let lists = Lists::default();
+fn report_after_suspension_same_readers() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
     let names: Vec<String> = (0..100).map(|at| format!("entry-{at:02}")).collect();
     for name in &names {
-        lists.tell(now, name, 0, None);
+        lists.report(now, name, 0, None);
     }
-    let woken = now + ms(6_000);
-    let told = names
+    let resumed = now + ms(6_000);
+    let updates = names
         .iter()
         .rev()
-        .map(|name| lists.tell(woken, name, 0, None));
-    assert_eq!(told.filter(|news| news.reader).count(), 2);
+        .map(|name| lists.report(resumed, name, 0, None));
+    assert_eq!(updates.filter(|update| update.reader).count(), 2);
 }
 
-/// An instance stands still for five seconds while an entry's word lies before it. What the
-/// entry read is dated as it was read, so a list that came in meanwhile stays; without the
-/// echo it would have looked as fresh as when it was written.
+/// An instance is suspended for five seconds while a report is queued. The list in the
+/// report is dated when it was read, so a newer list stays in place. Without the echo, it
+/// would appear as recent as when it was written.
 #[test]
-fn dated_with_the_time_under_way() {
-    let lists = Lists::default();
+fn add_transit_time_of_delayed_report() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
     let stamp = lists.stamp(now);
     let echo = |since| Some(Echo { stamp, since });
-    let late = lists.dated(now + ms(6_000), echo(ms(1_000)), read(3, ms(40), true));
-    assert_eq!(late.as_ref().expect("told").age, ms(5_040));
-    lists.tell(now + ms(5_900), "b", 0, read(4, ms(900), true));
-    let news = lists.tell(now + ms(6_000), "a", 0, late).newest;
-    assert_eq!(news.expect("one").mark, named(4), "the newer read stays");
+    let delayed =
+        lists.add_transit_time(now + ms(6_000), echo(ms(1_000)), read(3, ms(40), true));
+    assert_eq!(delayed.as_ref().expect("a read").age, ms(5_040));
+    lists.report(now + ms(5_900), "b", 0, read(4, ms(900), true));
+    let update = lists.report(now + ms(6_000), "a", 0, delayed).newest;
+    assert_eq!(
+        update.expect("a newest read").mark,
+        mark_of(4),
+        "the newer read is retained"
+    );
     for (run, at) in [(0, stamp.at), (stamp.run.wrapping_add(1), Duration::ZERO)] {
         let other = Some(Echo {
             stamp: Stamp { run, at },
             since: ms(1_000),
         });
-        let told = lists.dated(now + ms(6_000), other, read(3, ms(40), false));
+        let dated =
+            lists.add_transit_time(now + ms(6_000), other, read(3, ms(40), false));
         assert_eq!(
-            told.expect("told").age,
+            dated.expect("a read").age,
             ms(40),
-            "another run's time says nothing"
+            "the echo of another run is ignored"
         );
     }
 }
 
-/// Reads that cross change nothing; one of the same content makes it fresh, also
-/// without the content.
+/// A read that arrives after a newer one is ignored. A read with the same content hash
+/// refreshes the list even without the content.
 #[test]
-fn tell_older_read_changes_nothing() {
-    let lists = Lists::default();
+fn report_older_read_ignored() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = named(3);
-    lists.tell(now, "a", held, read(3, ms(40), true));
-    let news = lists.tell(now, "b", named(9), read(9, ms(300), true));
-    assert_eq!(news.newest.expect("one").mark, held);
-    let news = lists.tell(now + ms(400), "b", named(4), read(4, ms(10), false));
+    let held = mark_of(3);
+    lists.report(now, "a", held, read(3, ms(40), true));
+    let update = lists.report(now, "b", mark_of(9), read(9, ms(300), true));
+    assert_eq!(update.newest.expect("a newest read").mark, held);
+    let update = lists.report(now + ms(400), "b", mark_of(4), read(4, ms(10), false));
     assert_eq!(
-        news.newest.expect("one").mark,
+        update.newest.expect("a newest read").mark,
         held,
-        "nobody told its content"
+        "its content was never reported"
     );
-    let news = lists.tell(now + ms(500), "b", held, read(3, ms(20), false));
-    assert_eq!(news.newest.expect("one").age, ms(20));
+    let update = lists.report(now + ms(500), "b", held, read(3, ms(20), false));
+    assert_eq!(update.newest.expect("a newest read").age, ms(20));
 }
 
-/// The two first by name read; one that can't any more is replaced by one that had
-/// to read by itself, and one that is gone by the next.
+/// The first two entries by name are readers. One that can no longer read is replaced by
+/// an entry that had to read itself, and one that is gone by the next.
 #[test]
-fn tell_readers_replaced() {
-    let lists = Lists::default();
+fn report_readers_replaced() {
+    let lists = EndpointLists::default();
     let start = ms(60_000);
     let mut count = 0;
-    let mut told = |lists: &Lists, at: u64, entry: &str, reads: bool| {
+    let mut report_at = |lists: &EndpointLists, at: u64, entry: &str, reads: bool| {
         count += 1;
         let list = reads.then(|| read(count, ms(5), true)).flatten();
-        lists.tell(start + ms(at), entry, 0, list).reader
+        lists.report(start + ms(at), entry, 0, list).reader
     };
     for entry in ["a", "b", "c"] {
-        told(&lists, 0, entry, true);
+        report_at(&lists, 0, entry, true);
     }
-    let readers = |told: &mut dyn FnMut(&Lists, u64, &str, bool) -> bool, at| {
-        ["a", "b", "c"].map(|entry| told(&lists, at, entry, entry != "a"))
+    let readers = |report_at: &mut dyn FnMut(&EndpointLists, u64, &str, bool) -> bool,
+                   at| {
+        ["a", "b", "c"].map(|entry| report_at(&lists, at, entry, entry != "a"))
     };
-    assert_eq!(readers(&mut told, 500), [true, true, false]);
+    assert_eq!(readers(&mut report_at, 500), [true, true, false]);
     for at in [1_000, 1_500, 2_000, 2_500] {
-        readers(&mut told, at);
+        readers(&mut report_at, at);
     }
     assert_eq!(
-        readers(&mut told, 3_100),
+        readers(&mut report_at, 3_100),
         [false, true, true],
-        "a can't read"
+        "a is no longer a reader"
     );
-    assert!(!told(&lists, 5_000, "a", false));
-    assert!(told(&lists, 5_050, "c", true));
-    assert!(told(&lists, 5_100, "a", false), "b is gone");
+    assert!(!report_at(&lists, 5_000, "a", false));
+    assert!(report_at(&lists, 5_050, "c", true));
+    assert!(report_at(&lists, 5_100, "a", false), "b is gone");
 }
 
-/// An entry of the day below.
+/// An entry in the simulation below.
 #[derive(Clone, Copy, Default)]
 struct Entry {
     reads: ListReads,
@@ -171,13 +182,14 @@
     tells: u64,
 }
 
-/// 33 entries for a minute. The two readers are killed at 20 s, and control can't be
-/// reached from 30 s to 40 s. No entry is ever longer without a fresh read than the
-/// bound and a quarter; all of them together read the list about once a second,
-/// and while control is away not more often than each in two.
+/// Simulates 33 entries for a minute. The two readers are killed at 20 s, and the control
+/// instance is unreachable from 30 s to 40 s. No entry is ever without a recent read for
+/// longer than 1.25 times the bound. All entries together read the list about once a
+/// second and, while the control instance is unreachable, each of them at most once in
+/// two seconds.
 #[test]
-fn tell_minute_of_33_entries() {
-    let lists = Lists::default();
+fn report_33_entries_for_a_minute() {
+    let lists = EndpointLists::default();
     let start = ms(60_000);
     let interval = ms(1_000);
     let mut entries = [Entry::default(); 33];
@@ -195,7 +207,7 @@
                     entry.count = 2 + now as usize / 7_000;
                     entry.reads.take(ms(now), ms(50));
                     entry.own = Some((now, entry.count));
-                    entry.mark = named(entry.count);
+                    entry.mark = mark_of(entry.count);
                     entry.tells = now;
                 }
                 entry.next = now + (due.as_millis() as u64).max(1);
@@ -209,9 +221,9 @@
                 let own = entry.own;
                 let own = own.and_then(|(at, count)| read(count, ms(now - at), true));
                 let name = format!("entry-{name:02}");
-                let news = lists.tell(start + ms(now), &name, entry.mark, own);
-                entry.reads.set_reader(news.reader);
-                if let Some(newest) = news.newest
+                let update = lists.report(start + ms(now), &name, entry.mark, own);
+                entry.reads.set_reader(update.reader);
+                if let Some(newest) = update.newest
                     && entry
                         .reads
                         .take(ms(now).saturating_sub(newest.age), newest.took)
@@ -238,8 +250,8 @@
     assert!(mean(44, 60) <= 2.0, "{counts:?}");
 }
 
-/// What entry `name` met, whose list has the mark `list_mark`.
-fn met(
+/// Report of entry `name` with observations of the list with the hash `held`.
+fn observations(
     name: &str,
     list_mark: u64,
     observations: Vec<EndpointObservation>,
@@ -262,67 +274,75 @@
     }]
 }
 
-/// Two entries lost an endpoint: all are told, until a third one hears from it.
+/// Two entries lose an endpoint: all entries are told, until a third one receives data
+/// from it.
 #[test]
-fn sighted_lost_by_two_told_to_all() {
-    let lists = Lists::default();
+fn record_sightings_loss_by_two_is_silent() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = named(12);
-    lists.tell(now, "a", held, read(12, ms(40), true));
-    lists.sighted(now, &met("a", held, lost(9), Vec::new()));
+    let held = mark_of(12);
+    lists.report(now, "a", held, read(12, ms(40), true));
+    lists.record_sightings(now, &observations("a", held, lost(9), Vec::new()));
     assert_eq!(lists.verdicts(now), []);
-    lists.sighted(now + ms(100), &met("b", held, lost(9), Vec::new()));
+    lists.record_sightings(now + ms(100), &observations("b", held, lost(9), Vec::new()));
     let silent = EndpointVerdict {
         list_index: 9,
         verdict: WireVerdict::Silent,
     };
     assert_eq!(lists.verdicts(now + ms(200)), [silent]);
     let heard = vec![0, 0b10];
-    lists.sighted(now + ms(300), &met("c", held, Vec::new(), heard));
+    lists.record_sightings(now + ms(300), &observations("c", held, Vec::new(), heard));
     assert_eq!(lists.verdicts(now + ms(400)), []);
 }
 
-/// An instance stood still, and reads what entries told it before: an endpoint that they had
-/// lost then is not silent now.
+/// Reports that were queued while an instance was suspended: an endpoint that was
+/// unreachable then is not reported as silent now.
 #[test]
-fn sighted_late_counts_for_nothing() {
-    let lists = Lists::default();
+fn record_sightings_delayed_ignored() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = named(12);
-    lists.tell(now, "a", held, read(12, ms(40), true));
+    let held = mark_of(12);
+    lists.report(now, "a", held, read(12, ms(40), true));
     let stamp = lists.stamp(now);
-    let told = |name, since| DemandReport {
+    let report = |name, since| DemandReport {
         echo: Some(Echo { stamp, since }),
-        ..met(name, held, lost(9), Vec::new())
+        ..observations(name, held, lost(9), Vec::new())
     };
     for name in ["a", "b"] {
-        lists.sighted(now + ms(4_000), &told(name, ms(500)));
+        lists.record_sightings(now + ms(4_000), &report(name, ms(500)));
     }
     assert_eq!(lists.verdicts(now + ms(4_000)), []);
     for name in ["a", "b"] {
-        lists.sighted(now + ms(5_000), &told(name, ms(4_800)));
+        lists.record_sightings(now + ms(5_000), &report(name, ms(4_800)));
     }
     let verdicts = lists.verdicts(now + ms(5_100));
-    assert_eq!(verdicts.len(), 1, "this was under way for a moment");
+    assert_eq!(verdicts.len(), 1, "the delay was short");
 }
 
-/// Places of another list mean other endpoints: they count for nothing. Where the list
-/// changes, what was met follows its endpoint to its new place.
+/// Positions in another list refer to other endpoints and are ignored. After a change of
+/// the list, observations follow an endpoint to its new position.
 #[test]
-fn sighted_places_are_those_of_one_list() {
-    let lists = Lists::default();
+fn record_sightings_of_another_list_ignored() {
+    let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = named(3);
-    lists.tell(now, "a", held, read(3, ms(40), true));
+    let held = mark_of(3);
+    lists.report(now, "a", held, read(3, ms(40), true));
     for entry in ["a", "b"] {
-        lists.sighted(now, &met(entry, 6, lost(2), Vec::new()));
+        lists.record_sightings(now, &observations(entry, 6, lost(2), Vec::new()));
     }
     assert_eq!(lists.verdicts(now), []);
-    let beyond = met("c", held, lost(99), vec![0xff; 999]);
-    lists.sighted(now, &beyond);
-    assert_eq!(lists.verdicts(now), [], "places that the list doesn't have");
+    let beyond = observations("c", held, lost(99), vec![0xff; 999]);
+    lists.record_sightings(now, &beyond);
+    assert_eq!(
+        lists.verdicts(now),
+        [],
+        "positions beyond the end of the list"
+    );
     for entry in ["a", "b"] {
-        lists.sighted(now + ms(100), &met(entry, held, lost(2), Vec::new()));
+        lists.record_sightings(
+            now + ms(100),
+            &observations(entry, held, lost(2), Vec::new()),
+        );
     }
     let mut longer = endpoints(3);
     longer.push(EndpointRecord {
@@ -341,8 +361,8 @@
         whole: None,
         changes: Some(Arc::new(changes)),
     };
-    lists.tell(now + ms(200), "a", held, Some(longer));
-    // Half a second after the last byte was heard from it.
+    lists.report(now + ms(200), "a", held, Some(longer));
+    // Half a second after the last data from the endpoint.
     let places: Vec<u32> = lists
         .verdicts(now + ms(700))
         .iter()
@@ -351,28 +371,28 @@
     assert_eq!(places, [3]);
 }
 
-/// After all were killed 450 entries ask for a list of 3,000 endpoints every 100 ms, over
-/// one link of 100 Mbit/s. Each interval no more is told than the link carries in it, so
-/// that whoever is told has the list before it gives up; and all have it within two
-/// seconds. Told all at once it would be 20 MB under way at the same time.
+/// After a restart of everything, 450 entries request a list of 3,000 endpoints every 100
+/// ms over one link of 100 Mbit/s. In each interval, no more is sent than the link
+/// carries, so that every recipient has the list before its time-out, and all have it
+/// within two seconds. Sent all at once, 20 MB would be in flight at the same time.
 #[test]
-fn tell_hundreds_that_start_in_turn() {
-    let lists = Lists::default();
+fn report_rate_limits_full_lists() {
+    let lists = EndpointLists::default();
     let start = ms(60_000);
-    lists.tell(start, "reader", named(3_000), read(3_000, ms(0), true));
+    lists.report(start, "reader", mark_of(3_000), read(3_000, ms(0), true));
     let mut waiting: Vec<usize> = (0..450).collect();
     let mut intervals = 0;
     while !waiting.is_empty() {
         let now = start + ms(100) * intervals;
         let mut bytes = 0;
         waiting.retain(|entry| {
-            let told = lists.tell(now, &format!("entry-{entry}"), 0, None).newest;
-            let whole = told.and_then(|told| told.whole);
+            let newest = lists.report(now, &format!("entry-{entry}"), 0, None).newest;
+            let whole = newest.and_then(|newest| newest.whole);
             bytes += whole.as_ref().map_or(0, |whole| whole.size());
             whole.is_none()
         });
         assert!(bytes <= 1_100_000, "{bytes} in one interval");
         intervals += 1;
-        assert!(intervals <= 20, "{} still wait", waiting.len());
+        assert!(intervals <= 20, "{} entries still wait", waiting.len());
     }
 }
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Sending the log's messages, against an instance that is slow to take large ones.
+//! Delivery of consensus messages to an instance that is slow to receive large ones.
 
 use axum::Router;
 use axum::extract::{DefaultBodyLimit, State};
@@ -17,51 +17,54 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::timeout;
 
-/// Far longer than anything takes; only a test that fails waits so long.
-const LONG: Duration = Duration::from_secs(30);
-/// Bytes of a large route set.
-const LARGE: usize = 776_232;
+/// Reached only by a failing test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Size of a large route set, in bytes.
+const LARGE_BYTES: usize = 776_232;
 
-/// An instance that takes a large message only when it is told to.
+/// An instance that finishes receiving a large message only when notified.
 #[derive(Clone)]
-struct Slow {
-    /// Large messages that are being taken.
-    taking: Arc<AtomicUsize>,
-    go_on: Arc<Notify>,
-    /// Size of each message, and how many large ones were being taken when it was done.
+struct SlowPeer {
+    /// Number of large messages being received.
+    receiving: Arc<AtomicUsize>,
+    resume: Arc<Notify>,
+    /// Size of each received message, and the number of large ones in progress at that
+    /// time.
     done: mpsc::UnboundedSender<(usize, usize)>,
 }
 
-/// Counts a large message in while it is being taken.
-struct Taking(Arc<AtomicUsize>);
+/// Guard that counts a large message while it is being received.
+struct ReceiveGuard(Arc<AtomicUsize>);
 
-impl Drop for Taking {
+impl Drop for ReceiveGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-impl Slow {
+impl SlowPeer {
     async fn take(self, envelope: &Envelope) {
         let size = envelope.messages.iter().map(Message::size).sum();
-        if size >= LARGE {
-            self.taking.fetch_add(1, Ordering::SeqCst);
-            let taking = Taking(Arc::clone(&self.taking));
-            self.go_on.notified().await;
-            drop(taking);
+        if size >= LARGE_BYTES {
+            self.receiving.fetch_add(1, Ordering::SeqCst);
+            let receiving = ReceiveGuard(Arc::clone(&self.receiving));
+            self.resume.notified().await;
+            drop(receiving);
         }
-        let taking = self.taking.load(Ordering::SeqCst);
-        self.done.send((size, taking)).expect("the test listens");
+        let receiving = self.receiving.load(Ordering::SeqCst);
+        self.done
+            .send((size, receiving))
+            .expect("the test receives");
     }
 }
 
-async fn log(State(slow): State<Slow>, bytes: Bytes) -> Vec<u8> {
+async fn log(State(peer): State<SlowPeer>, bytes: Bytes) -> Vec<u8> {
     let envelope: Envelope = decode(&bytes).expect("an envelope");
-    slow.take(&envelope).await;
-    rmp_serde::to_vec(&()).expect("nothing encodes")
+    peer.take(&envelope).await;
+    rmp_serde::to_vec(&()).expect("unit encodes")
 }
 
-/// An append from 1 to 2 with one command of `size` bytes, or none.
+/// An append from node 1 to node 2, with one command of `size` bytes or none.
 fn append(size: usize) -> Message {
     let entry = Entry {
         index: 2,
@@ -82,40 +85,43 @@
     }
 }
 
-/// What was seen: instances lost their leader 0.5 s after it had begun to send them a
-/// large entry, since its heartbeats waited for the delivery to end, and a delivery that
-/// lasted a second was given up and begun anew. Both are one fault: the large message and
-/// the small ones shared one queue and one bound of time.
+/// Guards against heartbeats that wait for a large delivery. With a shared queue and
+/// time-out, instances lost their leader 0.5 s after it had begun to send them a large
+/// entry, and a delivery that took longer than a second was aborted and restarted.
 #[tokio::test(flavor = "multi_thread")]
-async fn heartbeat_passes_a_large_delivery() {
-    let (done, mut heard) = mpsc::unbounded_channel();
-    let slow = Slow {
-        taking: Arc::default(),
-        go_on: Arc::default(),
+async fn heartbeat_overtakes_large_delivery() {
+    let (done, mut received) = mpsc::unbounded_channel();
+    let peer = SlowPeer {
+        receiving: Arc::default(),
+        resume: Arc::default(),
         done,
     };
-    let go_on = Arc::clone(&slow.go_on);
+    let resume = Arc::clone(&peer.resume);
     let routes = Router::new()
         .route(LOG_PATH, post(log))
         .layer(DefaultBodyLimit::disable())
-        .with_state(slow);
+        .with_state(peer);
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(free).await.expect("a free port");
     let address = listener.address();
     tokio::spawn(listener.serve(routes, Drain::default(), Duration::ZERO));
 
     let mut peers = Peers::new(1, PeerClient::new("secret".to_string()));
-    peers.send(address, append(LARGE));
-    let begun = heard.recv();
+    peers.send(address, append(LARGE_BYTES));
+    let begun = received.recv();
     assert!(timeout(Duration::from_millis(500), begun).await.is_err());
     peers.send(address, append(0));
-    let heartbeat = timeout(LONG, heard.recv()).await.expect("it arrives");
+    let heartbeat = timeout(TEST_TIMEOUT, received.recv())
+        .await
+        .expect("the message arrives");
+    assert_eq!(heartbeat, Some((0, 1)), "it overtakes the large message");
+    resume.notify_one();
+    let large = timeout(TEST_TIMEOUT, received.recv())
+        .await
+        .expect("the message arrives");
     assert_eq!(
-        heartbeat,
-        Some((0, 1)),
-        "it passes while the large one is taken"
+        large,
+        Some((LARGE_BYTES, 0)),
+        "its delivery was not aborted"
     );
-    go_on.notify_one();
-    let large = timeout(LONG, heard.recv()).await.expect("it arrives");
-    assert_eq!(large, Some((LARGE, 0)), "nothing gave it up");
 }
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -1,6 +1,6 @@
-//! Requests that crash their endpoints, as entries tell of them and are told.
+//! Requests that crash endpoints, as reported by entries and returned to them.
 
-use dogwoodhill_control::quarantine::Quarantines;
+use dogwoodhill_control::quarantine::QuarantineTracker;
 use dogwoodhill_control::state::Quarantined;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::quarantine::quarantine_period;
@@ -14,9 +14,9 @@
 }
 
 const NOW: Duration = ms(60_000);
-/// Long enough that one entry's word counts.
+/// Long enough after the losses for a report of a single entry to count.
 const LATER: Duration = ms(61_000);
-const CULPRIT: Fingerprint = 7;
+const REQUEST: Fingerprint = 7;
 
 fn run(number: usize) -> Incarnation {
     Incarnation::new(format!("i-{number}"), None)
@@ -33,7 +33,7 @@
     }
 }
 
-fn tell(entry: &str, losses: Vec<RequestLoss>) -> DemandReport {
+fn entry_report(entry: &str, losses: Vec<RequestLoss>) -> DemandReport {
     DemandReport {
         entry: entry.to_string(),
         losses,
@@ -41,106 +41,116 @@
     }
 }
 
-/// Three entries lose it with an endpoint each.
-fn lost_by_three(quarantines: &Quarantines) {
+/// Three entries each lose the request together with an endpoint.
+fn lost_by_three(tracker: &QuarantineTracker) {
     for (number, entry) in ["a", "b", "c"].into_iter().enumerate() {
-        let tell = tell(entry, vec![loss(CULPRIT, number)]);
-        let found = quarantines.tell(NOW, Duration::ZERO, &tell, &[]);
+        let report = entry_report(entry, vec![loss(REQUEST, number)]);
+        let found = tracker.report(NOW, Duration::ZERO, &report, &[]);
         assert_eq!(found, []);
     }
 }
 
 fn requests(news: Option<Suspects>) -> Vec<SuspectRequest> {
-    news.expect("there are news").requests
+    news.expect("the suspects have changed").requests
 }
 
 #[test]
-fn tell_three_entries_lost_it_told_to_all() {
-    let quarantines = Quarantines::default();
-    assert_eq!(quarantines.news(NOW, 0), None);
-    lost_by_three(&quarantines);
-    let suspected = quarantines.news(NOW, 0);
-    assert_eq!(requests(suspected)[0].remaining, None, "one word each");
-    let found = quarantines.tell(LATER, Duration::ZERO, &tell("d", vec![]), &[]);
-    assert_eq!(found[0].request, CULPRIT);
-    let news = quarantines.news(LATER, 0).expect("held");
+fn report_loss_by_three_entries_returned_to_all() {
+    let tracker = QuarantineTracker::default();
+    assert_eq!(tracker.suspects(NOW, 0), None);
+    lost_by_three(&tracker);
+    let suspected = tracker.suspects(NOW, 0);
+    assert_eq!(requests(suspected)[0].remaining, None, "one loss per entry");
+    let found = tracker.report(LATER, Duration::ZERO, &entry_report("d", vec![]), &[]);
+    assert_eq!(found[0].request, REQUEST);
+    let news = tracker.suspects(LATER, 0).expect("held");
     assert_eq!(news.requests[0].remaining, Some(quarantine_period(1)));
-    assert_eq!(quarantines.news(LATER, news.mark), None, "known there");
+    assert_eq!(
+        tracker.suspects(LATER, news.mark),
+        None,
+        "already known to the entry"
+    );
 }
 
-/// An entry that hears from one of the endpoints after the others lost it.
+/// An entry receives data from one of the endpoints after the others lost it.
 #[test]
-fn tell_heard_from_since_is_no_crash() {
-    let quarantines = Quarantines::default();
-    lost_by_three(&quarantines);
-    assert_eq!(quarantines.gone().len(), 3);
-    let found = quarantines.tell(LATER, Duration::ZERO, &tell("d", vec![]), &[run(1)]);
+fn report_of_received_data_clears_endpoint() {
+    let tracker = QuarantineTracker::default();
+    lost_by_three(&tracker);
+    assert_eq!(tracker.lost_endpoints().len(), 3);
+    let found =
+        tracker.report(LATER, Duration::ZERO, &entry_report("d", vec![]), &[run(1)]);
     assert_eq!(found, []);
-    assert_eq!(quarantines.gone(), [run(0), run(2)]);
+    assert_eq!(tracker.lost_endpoints(), [run(0), run(2)]);
 }
 
-/// A message that lay for seconds tells of then, not of now.
+/// A message that was delayed for seconds describes the time when it was sent.
 #[test]
-fn tell_late_message_dated_back() {
-    let quarantines = Quarantines::default();
-    lost_by_three(&quarantines);
+fn report_delayed_is_dated_back() {
+    let tracker = QuarantineTracker::default();
+    lost_by_three(&tracker);
     let heard = [run(1)];
-    let found = quarantines.tell(LATER, ms(3_000), &tell("d", vec![]), &heard);
-    assert_eq!(found.len(), 1, "heard before it crashed");
+    let found = tracker.report(LATER, ms(3_000), &entry_report("d", vec![]), &heard);
+    assert_eq!(found.len(), 1, "received before the crash");
 }
 
 #[test]
-fn tell_served_is_no_cause() {
-    let quarantines = Quarantines::default();
-    lost_by_three(&quarantines);
+fn report_served_request_is_cleared() {
+    let tracker = QuarantineTracker::default();
+    lost_by_three(&tracker);
     let served = RequestServed {
-        request: CULPRIT,
+        request: REQUEST,
         age: ms(100),
     };
-    let tell = DemandReport {
+    let report = DemandReport {
         served: vec![served],
-        ..tell("d", vec![])
+        ..entry_report("d", vec![])
     };
-    assert_eq!(quarantines.tell(LATER, Duration::ZERO, &tell, &[]), []);
-    assert_eq!(quarantines.news(LATER, 1).map(|news| news.mark), Some(0));
+    assert_eq!(tracker.report(LATER, Duration::ZERO, &report, &[]), []);
+    assert_eq!(tracker.suspects(LATER, 1).map(|news| news.mark), Some(0));
 }
 
-/// What the log has is told by an instance that met nothing itself.
+/// An instance without reports of its own returns the requests quarantined in the log.
 #[test]
-fn following_log_told_from_the_start() {
+fn with_log_returns_logged_requests() {
     let held = Quarantined {
-        request: CULPRIT,
+        request: REQUEST,
         workspace: 1,
         times: 2,
     };
-    let (sender, logged) = watch::channel(vec![(held, ms(5_000))]);
-    let quarantines = Quarantines::following(logged);
-    quarantines.tell(NOW, Duration::ZERO, &tell("a", vec![]), &[]);
-    let told = requests(quarantines.news(NOW, 0));
+    let (sender, log) = watch::channel(vec![(held, ms(5_000))]);
+    let tracker = QuarantineTracker::with_log(log);
+    tracker.report(NOW, Duration::ZERO, &entry_report("a", vec![]), &[]);
+    let told = requests(tracker.suspects(NOW, 0));
     assert_eq!(told[0].remaining, Some(ms(5_000)));
     let other = Quarantined { request: 8, ..held };
     sender.send_replace(vec![(held, ms(4_000)), (other, ms(9_000))]);
-    quarantines.tell(NOW + ms(1_000), Duration::ZERO, &tell("a", vec![]), &[]);
-    let told = requests(quarantines.news(NOW + ms(1_000), 0));
+    tracker.report(
+        NOW + ms(1_000),
+        Duration::ZERO,
+        &entry_report("a", vec![]),
+        &[],
+    );
+    let told = requests(tracker.suspects(NOW + ms(1_000), 0));
     let left: Vec<Option<Duration>> = told.iter().map(|told| told.remaining).collect();
     assert_eq!(left, [Some(ms(4_000)), Some(ms(9_000))]);
 }
 
 /// Ages that overflow, and more losses than any entry has.
 #[test]
-fn tell_absurd_message_bounded() {
-    let quarantines = Quarantines::default();
+fn report_absurd_values_bounded() {
+    let tracker = QuarantineTracker::default();
     let old = RequestLoss {
         age: Duration::MAX,
-        ..loss(CULPRIT, 1)
+        ..loss(REQUEST, 1)
     };
     let long = RequestLoss {
         duration: Duration::MAX,
-        ..loss(CULPRIT, 2)
+        ..loss(REQUEST, 2)
     };
     let many = (0..50_000).map(|request| loss(request, 3));
     let losses = [old, long].into_iter().chain(many).collect();
-    quarantines.tell(NOW, Duration::MAX, &tell("a", vec![]), &[]);
-    quarantines.tell(NOW, ms(1), &tell("a", losses), &[run(3)]);
-    assert!(quarantines.gone().len() <= 2);
+    tracker.report(NOW, Duration::MAX, &entry_report("a", vec![]), &[]);
+    tracker.report(NOW, ms(1), &entry_report("a", losses), &[run(3)]);
+    assert!(tracker.lost_endpoints().len() <= 2);
 }
--- a/crates/control/tests/reporter.rs
+++ b/crates/control/tests/reporter.rs
@@ -1,10 +1,10 @@
-//! Usage reported by a cluster, to a platform that is slow, busy or down, while instances
+//! Usage reporting by a cluster to a platform that is slow, busy or down, while instances
 //! are killed and stopped.
 
 mod support;
 
 use dogwoodhill_control::reporter::{
-    ReportError, Reporting, UsageReport, UsageSettings, UsageSink,
+    ReportError, ReportFuture, UsageReport, UsageSettings, UsageSink,
 };
 use dogwoodhill_control::settings::{Seeds, Start};
 use dogwoodhill_control::{Extensions, Settings, run_until_drained};
@@ -22,26 +22,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Far longer than anything takes; only a test that fails waits so long.
-const LONG: Duration = Duration::from_secs(90);
-const PAUSE: Duration = Duration::from_millis(30);
+/// Reached only by a failing test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(90);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 const WINDOW: Duration = Duration::from_millis(400);
 const LEASE: Duration = Duration::from_millis(600);
 
 fn wall() -> Duration {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.expect("after 1970")
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.expect("after 1970")
 }
 
-/// The platform: what it accepted, and how often it does not accept.
+/// A platform with injectable faults that records the accepted reports.
 #[derive(Debug, Default)]
 struct Platform {
     accepted: Mutex<Vec<UsageReport>>,
     calls: Mutex<Vec<UsageReport>>,
     highest: AtomicU64,
-    /// Calls that get no answer, then calls that are too many, though both may be carried
-    /// out.
-    silent: AtomicUsize,
+    /// Remaining calls that are processed but never answered. `busy` and `fenced` count
+    /// remaining calls that are rejected.
+    unanswered: AtomicUsize,
     busy: AtomicUsize,
     fenced: AtomicUsize,
 }
@@ -55,7 +55,10 @@
 
 impl Platform {
     async fn answer(&self, report: &UsageReport) -> Result<(), ReportError> {
-        self.calls.lock().expect("sound").push(report.clone());
+        self.calls
+            .lock()
+            .expect("not poisoned")
+            .push(report.clone());
         if take(&self.busy) {
             return Err(ReportError::Busy);
         }
@@ -66,24 +69,29 @@
         if report.fence < highest {
             return Err(ReportError::Fenced);
         }
-        self.accepted.lock().expect("sound").push(report.clone());
-        if take(&self.silent) {
+        self.accepted
+            .lock()
+            .expect("not poisoned")
+            .push(report.clone());
+        if take(&self.unanswered) {
             std::future::pending::<()>().await;
         }
         Ok(())
     }
 
     fn accepted(&self) -> Vec<UsageReport> {
-        self.accepted.lock().expect("sound").clone()
+        self.accepted.lock().expect("not poisoned").clone()
     }
 
-    /// Windows that were accepted, each once; fails where one had two contents.
+    /// Accepted windows, each once. Panics if one was accepted with two contents.
     fn windows(&self) -> Vec<WindowCounts> {
         let mut windows: Vec<WindowCounts> = Vec::new();
         for report in self.accepted() {
             let window = report.counts.window;
             match windows.iter().find(|known| known.window == window) {
-                Some(known) => assert_eq!(*known, report.counts, "one content a window"),
+                Some(known) => {
+                    assert_eq!(*known, report.counts, "one content per window")
+                }
                 None => windows.push(report.counts),
             }
         }
@@ -91,20 +99,20 @@
         windows
     }
 
-    /// Waits until so many windows were accepted; none may be left out.
-    async fn reached(&self, count: usize) -> Vec<WindowCounts> {
-        let end = Instant::now() + LONG;
+    /// Waits until `count` windows were accepted. Panics if one is missing in between.
+    async fn wait_for_windows(&self, count: usize) -> Vec<WindowCounts> {
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < end {
             let windows = self.windows();
             if windows.len() >= count {
                 let first = windows[0].window;
                 let follow = (first..).zip(&windows).all(|(w, c)| w == c.window);
-                assert!(follow, "a window is left out: {windows:?}");
+                assert!(follow, "a window is missing: {windows:?}");
                 return windows;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
-        panic!("{} windows in place of {count}", self.windows().len());
+        panic!("{} windows instead of {count}", self.windows().len());
     }
 }
 
@@ -112,18 +120,18 @@
 struct Sink(Arc<Platform>);
 
 impl UsageSink for Sink {
-    fn report<'a>(&'a self, report: &'a UsageReport) -> Reporting<'a> {
+    fn report<'a>(&'a self, report: &'a UsageReport) -> ReportFuture<'a> {
         Box::pin(self.0.answer(report))
     }
 }
 
-struct Place {
+struct Instance {
     settings: Settings,
     platform: Arc<Platform>,
     running: Option<(Drain, JoinHandle<Result<(), String>>)>,
 }
 
-impl Place {
+impl Instance {
     fn new(name: &str, platform: &Arc<Platform>) -> Self {
         let folder = format!("dogwoodhill-report-{}-{name}", std::process::id());
         let data = std::env::temp_dir().join(folder);
@@ -138,10 +146,10 @@
             reporter: name.to_string(),
             platform: settings.listen,
             windows: Windows::new(WINDOW),
-            within: 4 * WINDOW,
+            deadline: 4 * WINDOW,
             lease: LEASE,
             slack: Duration::from_millis(50),
-            spacing: Duration::from_millis(5),
+            call_interval: Duration::from_millis(5),
         });
         Self {
             settings,
@@ -176,64 +184,66 @@
     async fn stop(&mut self) {
         if let Some((drain, task)) = self.running.take() {
             drain.begin();
-            let _ = timeout(LONG, task).await;
+            let _ = timeout(TEST_TIMEOUT, task).await;
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Instance {
     fn drop(&mut self) {
-        // A folder that was never made needs no removal.
+        // The folder may never have been created.
         let _ = std::fs::remove_dir_all(&self.settings.data);
     }
 }
 
-async fn found(names: &[&str], platform: &Arc<Platform>) -> Vec<Place> {
-    let places = names.iter().map(|name| Place::new(name, platform));
-    let mut places: Vec<Place> = places.collect();
-    if places.len() > 1 {
-        places
+async fn start_cluster(names: &[&str], platform: &Arc<Platform>) -> Vec<Instance> {
+    let instances = names.iter().map(|name| Instance::new(name, platform));
+    let mut instances: Vec<Instance> = instances.collect();
+    if instances.len() > 1 {
+        instances
             .iter_mut()
-            .for_each(|place| place.settings.losses = 1);
+            .for_each(|instance| instance.settings.tolerated_losses = 1);
     }
-    let internals = places.iter().map(|place| place.settings.internal);
-    let seeds: Vec<SocketAddr> = internals.take(3).collect();
-    for place in places.iter_mut().rev() {
-        place.start(&seeds);
+    let addresses = instances.iter().map(|instance| instance.settings.internal);
+    let seeds: Vec<SocketAddr> = addresses.take(3).collect();
+    for instance in instances.iter_mut().rev() {
+        instance.start(&seeds);
     }
-    places
+    instances
 }
 
-/// An entry: counts a request every few milliseconds, and tells.
+/// An entry that counts a request every few milliseconds and reports the counts.
 struct Entry {
-    /// Requests that were counted, and not late.
+    /// Requests that were counted in time.
     counted: Arc<Mutex<Vec<WindowCounts>>>,
-    /// The first window of which an instance was told; 0 before.
-    since: Arc<AtomicU64>,
+    /// The first window that was reported to an instance; 0 before.
+    first_window: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
 impl Entry {
-    fn start(run: u64, places: &[Place]) -> Self {
-        let mut control: Vec<SocketAddr> =
-            places.iter().map(|place| place.settings.internal).collect();
+    fn start(run: u64, instances: &[Instance]) -> Self {
+        let mut control: Vec<SocketAddr> = instances
+            .iter()
+            .map(|instance| instance.settings.internal)
+            .collect();
         control.sort_unstable();
         let counted = Arc::new(Mutex::new(Vec::new()));
-        let since = Arc::new(AtomicU64::new(0));
-        let told = (Arc::clone(&counted), Arc::clone(&since));
-        let task = tokio::spawn(tell(run, control, told.0, told.1));
+        let first_window = Arc::new(AtomicU64::new(0));
+        let shared = (Arc::clone(&counted), Arc::clone(&first_window));
+        let task = tokio::spawn(run_entry(run, control, shared.0, shared.1));
         Self {
             counted,
-            since,
+            first_window,
             task,
         }
     }
 
-    /// What it counted in a window.
+    /// Requests counted in a window.
     fn count(&self, window: Window) -> u64 {
-        let counted = self.counted.lock().expect("sound");
-        let found = counted.iter().find(|counts| counts.window == window);
-        found.map_or(0, WindowCounts::total)
+        let counted = self.counted.lock().expect("not poisoned");
+        let counts = counted.iter().find(|counts| counts.window == window);
+        counts.map_or(0, WindowCounts::total)
     }
 }
 
@@ -243,23 +253,23 @@
     }
 }
 
-async fn tell(
+async fn run_entry(
     run: u64,
     control: Vec<SocketAddr>,
     counted: Arc<Mutex<Vec<WindowCounts>>>,
-    since: Arc<AtomicU64>,
+    first_window: Arc<AtomicU64>,
 ) {
-    let caller = PeerClient::new(SECRET.to_string());
+    let client = PeerClient::new(SECRET.to_string());
     let windows = Windows::new(WINDOW);
     let mut ledger = Ledger::default();
     let mut holder = None;
     let mut last = None;
     loop {
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
         let now = wall();
         let window = windows.at(now);
         if ledger.count(window, "cues") == Counted::Yes {
-            let mut counted = counted.lock().expect("sound");
+            let mut counted = counted.lock().expect("not poisoned");
             let counts = dogwoodhill_core::usage::counts_of(&mut counted, window);
             *counts.count_mut("cues") += 1;
         }
@@ -270,7 +280,7 @@
         let order: Vec<SocketAddr> = holder.into_iter().chain(others).collect();
         for address in order {
             let known = last.filter(|known: &(SocketAddr, u64)| known.0 == address);
-            let told = EntryUsage {
+            let report = EntryUsage {
                 entry: format!("entry-{run}"),
                 run,
                 wall: now,
@@ -278,51 +288,57 @@
                 through: now,
                 last: false,
             };
-            let call = caller.call(address, USAGE_PATH, &told);
-            let heard = timeout(Duration::from_millis(500), call).await;
-            let Ok(Ok(heard)) = heard else { continue };
-            let heard: UsageReply = heard;
-            let _ =
-                since.compare_exchange(0, window, Ordering::Relaxed, Ordering::Relaxed);
-            last = Some((address, heard.instance));
-            ledger.acknowledged(heard.instance, &told.windows);
-            ledger.finalize_before(heard.next);
-            holder = heard.reporter;
-            if heard.has_quorum {
+            let call = client.call(address, USAGE_PATH, &report);
+            let reply = timeout(Duration::from_millis(500), call).await;
+            let Ok(Ok(reply)) = reply else { continue };
+            let reply: UsageReply = reply;
+            let _ = first_window.compare_exchange(
+                0,
+                window,
+                Ordering::Relaxed,
+                Ordering::Relaxed,
+            );
+            last = Some((address, reply.instance));
+            ledger.acknowledged(reply.instance, &report.windows);
+            ledger.finalize_before(reply.next);
+            holder = reply.reporter;
+            if reply.has_quorum {
                 break;
             }
         }
     }
 }
 
-/// Windows whose counts are not those of the entries.
-fn miscounted(windows: &[WindowCounts], entries: &[Entry]) -> Vec<Window> {
-    let since = entries
+/// Windows whose counts differ from those of the entries.
+fn mismatched(windows: &[WindowCounts], entries: &[Entry]) -> Vec<Window> {
+    let first_window = entries
         .iter()
-        .map(|entry| entry.since.load(Ordering::Relaxed));
-    let since = since.max().unwrap_or_default();
+        .map(|entry| entry.first_window.load(Ordering::Relaxed));
+    let first_window = first_window.max().unwrap_or_default();
     let differs = |counts: &&WindowCounts| {
         let counted: u64 = entries.iter().map(|entry| entry.count(counts.window)).sum();
         counted != counts.total()
     };
-    let known = windows.iter().filter(|counts| counts.window >= since);
+    let known = windows
+        .iter()
+        .filter(|counts| counts.window >= first_window);
     known.filter(differs).map(|counts| counts.window).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn report_each_window_with_all_requests() {
     let platform = Arc::new(Platform::default());
-    let mut places = vec![Place::new("alone", &platform)];
-    // Nothing is closed for want of time.
-    if let Some(usage) = &mut places[0].settings.usage {
-        usage.within = LONG;
+    let mut instances = vec![Instance::new("alone", &platform)];
+    // No window is closed by its deadline.
+    if let Some(usage) = &mut instances[0].settings.usage {
+        usage.deadline = TEST_TIMEOUT;
     }
-    let seeds = [places[0].settings.internal];
-    places[0].start(&seeds);
-    let entries = [Entry::start(1, &places), Entry::start(2, &places)];
-    let windows = platform.reached(8).await;
-    let wrong = miscounted(&windows, &entries);
-    assert!(wrong.is_empty(), "each request once, but in {wrong:?}");
+    let seeds = [instances[0].settings.internal];
+    instances[0].start(&seeds);
+    let entries = [Entry::start(1, &instances), Entry::start(2, &instances)];
+    let windows = platform.wait_for_windows(8).await;
+    let wrong = mismatched(&windows, &entries);
+    assert!(wrong.is_empty(), "wrong counts in {wrong:?}");
     let fences: Vec<Fence> = platform.accepted().iter().map(|r| r.fence).collect();
     assert!(
         fences.windows(2).all(|pair| pair[0] == pair[1]),
@@ -330,63 +346,66 @@
     );
 }
 
-/// A platform that is busy, that answers nothing though it carries reports out, and busy
-/// again: the same report comes again until it is accepted, and none is left out.
+/// The platform is busy, then processes reports without answering, then is busy again:
+/// the same report is resent until it is accepted, and no window is skipped.
 #[tokio::test(flavor = "multi_thread")]
-async fn report_again_until_accepted() {
+async fn report_resent_until_accepted() {
     let platform = Arc::new(Platform::default());
     platform.busy.store(3, Ordering::Relaxed);
-    platform.silent.store(2, Ordering::Relaxed);
-    let places = found(&["again"], &platform).await;
-    let _entry = Entry::start(1, &places);
-    platform.reached(6).await;
+    platform.unanswered.store(2, Ordering::Relaxed);
+    let instances = start_cluster(&["again"], &platform).await;
+    let _entry = Entry::start(1, &instances);
+    platform.wait_for_windows(6).await;
 }
 
-/// A number that was refused is not used again.
+/// A rejected fencing token is not used again.
 #[tokio::test(flavor = "multi_thread")]
-async fn report_refused_number_is_dropped() {
+async fn report_rejected_fence_is_not_reused() {
     let platform = Arc::new(Platform::default());
     platform.fenced.store(1, Ordering::Relaxed);
-    let places = found(&["fenced"], &platform).await;
-    let _entry = Entry::start(1, &places);
-    platform.reached(3).await;
-    let calls = platform.calls.lock().expect("sound").clone();
-    let refused = calls[0].fence;
+    let instances = start_cluster(&["fenced"], &platform).await;
+    let _entry = Entry::start(1, &instances);
+    platform.wait_for_windows(3).await;
+    let calls = platform.calls.lock().expect("not poisoned").clone();
+    let rejected = calls[0].fence;
     assert!(
-        calls[1..].iter().all(|call| call.fence > refused),
+        calls[1..].iter().all(|call| call.fence > rejected),
         "{calls:?}"
     );
 }
 
-/// Whoever reports is killed, then stopped, then killed again: another one goes on under a
-/// higher number, and sends what the one before had fixed.
+/// The holder is killed, then stopped, then killed again: another instance continues with
+/// a higher fencing token and sends what the previous holder had committed.
 #[tokio::test(flavor = "multi_thread")]
-async fn report_goes_on_without_its_holder() {
+async fn report_continues_after_loss_of_holder() {
     let platform = Arc::new(Platform::default());
     let names = ["over-1", "over-2", "over-3", "over-4"];
-    let mut places = found(&names, &platform).await;
-    let seeds: Vec<SocketAddr> = places
+    let mut instances = start_cluster(&names, &platform).await;
+    let seeds: Vec<SocketAddr> = instances
         .iter()
         .take(3)
-        .map(|place| place.settings.internal)
+        .map(|instance| instance.settings.internal)
         .collect();
-    let _entries = [Entry::start(1, &places), Entry::start(2, &places)];
-    let mut reached = 4;
+    let _entries = [Entry::start(1, &instances), Entry::start(2, &instances)];
+    let mut count = 4;
     for round in 0..3 {
-        reached = platform.reached(reached).await.len();
+        count = platform.wait_for_windows(count).await.len();
         let last = platform.accepted().pop().expect("some were accepted");
-        let held = |place: &Place| place.settings.name == last.holder;
-        let at = places.iter().position(held).expect("one of them");
+        let is_holder = |instance: &Instance| instance.settings.name == last.holder;
+        let at = instances
+            .iter()
+            .position(is_holder)
+            .expect("a running instance");
         if round == 1 {
-            places[at].stop().await;
+            instances[at].stop().await;
         } else {
-            places[at].kill().await;
+            instances[at].kill().await;
         }
-        reached += 4;
-        platform.reached(reached).await;
+        count += 4;
+        platform.wait_for_windows(count).await;
         let next = platform.accepted().pop().expect("some were accepted");
         assert!(next.fence > last.fence, "{next:?} after {last:?}");
-        places[at].start(&seeds);
-        reached += 2;
+        instances[at].start(&seeds);
+        count += 2;
     }
 }
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -1,7 +1,7 @@
-//! Usage reports: what is fixed is what every holder sends.
+//! Usage reports: every holder sends the committed counts.
 
 use dogwoodhill_control::state::{
-    Duties, DutyHolder, FixUsage, Hold, Reports, UsageOwed,
+    AcquireDuty, CommitUsage, Duties, DutyHolder, PendingUsage, UsageBacklog,
 };
 use dogwoodhill_core::prelude::*;
 use proptest::prelude::*;
@@ -9,85 +9,100 @@
 
 const LEASE: Duration = Duration::from_secs(3);
 
-fn counts(window: Window, begun: u64) -> WindowCounts {
+fn counts(window: Window, requests: u64) -> WindowCounts {
     let mut counts = WindowCounts::empty(window);
-    *counts.count_mut("cues") = begun;
+    *counts.count_mut("cues") = requests;
     counts
 }
 
-fn fix(machine: u8, windows: Vec<WindowCounts>, sent: Window) -> FixUsage {
+fn request(
+    machine: u8,
+    windows: Vec<WindowCounts>,
+    reported_before: Window,
+) -> CommitUsage {
     let machine = SocketAddr::from(([10, 0, 0, machine], 7_000));
-    FixUsage {
-        hold: Hold {
+    CommitUsage {
+        lease: AcquireDuty {
             duty: "usage".to_string(),
             subject: String::new(),
             holder: DutyHolder { machine, run: 1 },
-            lasting: LEASE,
+            duration: LEASE,
             refused: 0,
         },
         first: 100,
         windows,
-        sent,
+        reported_before,
     }
 }
 
-/// The log: reports and the lease under which they are fixed.
+/// The reports and the lease under which they are committed.
 #[derive(Debug, Default)]
 struct Log {
     duties: Duties,
-    reports: Reports,
+    backlog: UsageBacklog,
     index: Revision,
 }
 
 impl Log {
-    fn fix(&mut self, now: Duration, fix: &FixUsage) -> Result<UsageOwed, Duration> {
+    fn commit(
+        &mut self,
+        now: Duration,
+        request: &CommitUsage,
+    ) -> Result<PendingUsage, Duration> {
         self.index += 1;
-        self.reports.fix(&mut self.duties, self.index, now, fix)
+        self.backlog
+            .commit(&mut self.duties, self.index, now, request)
     }
 }
 
 #[test]
-fn fix_first_window_is_the_one_of_the_start() {
+fn commit_first_window_is_that_of_the_start() {
     let mut log = Log::default();
-    let owed = log.fix(Duration::ZERO, &fix(1, vec![], 0)).expect("free");
-    assert_eq!((owed.next, owed.owed), (100, vec![]));
+    let pending = log
+        .commit(Duration::ZERO, &request(1, vec![], 0))
+        .expect("free");
+    assert_eq!((pending.next_window, pending.pending), (100, vec![]));
 }
 
-/// Two holders that counted differently: the second one sends what the first one fixed.
+/// Two holders with different counts: the second one sends what the first one committed.
 #[test]
-fn fix_other_counts_of_a_fixed_window_change_nothing() {
+fn commit_other_counts_of_a_committed_window_ignored() {
     let mut log = Log::default();
-    let first = fix(1, vec![counts(100, 7)], 0);
-    log.fix(Duration::ZERO, &first).expect("free");
-    let second = fix(2, vec![counts(100, 9), counts(101, 4)], 0);
-    let left = log.fix(Duration::ZERO, &second).expect_err("held");
+    let first = request(1, vec![counts(100, 7)], 0);
+    log.commit(Duration::ZERO, &first).expect("free");
+    let second = request(2, vec![counts(100, 9), counts(101, 4)], 0);
+    let left = log.commit(Duration::ZERO, &second).expect_err("held");
     assert_eq!(left, LEASE);
-    assert_eq!(log.reports.next(), 101, "who can't hold it fixes nothing");
-    let owed = log.fix(LEASE, &second).expect("free by now");
-    assert_eq!(owed.owed, [counts(100, 7), counts(101, 4)]);
+    assert_eq!(
+        log.backlog.next_window(),
+        101,
+        "nothing is committed without the lease"
+    );
+    let pending = log.commit(LEASE, &second).expect("the lease has expired");
+    assert_eq!(pending.pending, [counts(100, 7), counts(101, 4)]);
 }
 
-/// A holder that stood still, or whose clock went ahead, leaves no window out.
+/// A holder that was suspended, or whose clock is ahead, skips no window.
 #[test]
-fn fix_windows_follow_each_other() {
+fn commit_skips_no_window() {
     let mut log = Log::default();
-    let ahead = fix(1, vec![counts(100, 1), counts(102, 1)], 0);
-    let owed = log.fix(Duration::ZERO, &ahead).expect("free");
-    assert_eq!(owed.next, 101);
+    let ahead = request(1, vec![counts(100, 1), counts(102, 1)], 0);
+    let pending = log.commit(Duration::ZERO, &ahead).expect("free");
+    assert_eq!(pending.next_window, 101);
 }
 
 #[test]
-fn fix_reported_windows_are_owed_no_longer() {
+fn commit_removes_reported_windows() {
     let mut log = Log::default();
-    let first = fix(1, vec![counts(100, 1), counts(101, 2)], 0);
-    log.fix(Duration::ZERO, &first).expect("free");
-    let owed = log.fix(LEASE, &fix(1, vec![], 101)).expect("held");
-    assert_eq!(owed.owed, [counts(101, 2)]);
+    let first = request(1, vec![counts(100, 1), counts(101, 2)], 0);
+    log.commit(Duration::ZERO, &first).expect("free");
+    let pending = log.commit(LEASE, &request(1, vec![], 101)).expect("held");
+    assert_eq!(pending.pending, [counts(101, 2)]);
 }
 
-/// A platform that is down for days: the oldest windows give way, and that is known.
+/// The platform is down for days: the oldest windows are discarded and counted.
 #[test]
-fn fix_owed_for_long_is_bounded() {
+fn commit_bounds_the_backlog() {
     let mut log = Log::default();
     for round in 0..400_u64 {
         let mut windows = Vec::new();
@@ -98,39 +113,39 @@
             }
             windows.push(all);
         }
-        log.fix(Duration::from_secs(round), &fix(1, windows, 0))
+        log.commit(Duration::from_secs(round), &request(1, windows, 0))
             .expect("held");
     }
-    let held: usize = log.reports.owed().iter().map(|c| c.counts.len()).sum();
-    assert!(held <= 100_000, "{held} counts");
+    let total: usize = log.backlog.pending().iter().map(|c| c.counts.len()).sum();
+    assert!(total <= 100_000, "{total} counts");
     assert_eq!(
-        log.reports.dropped() as usize + log.reports.owed().len(),
+        log.backlog.discarded() as usize + log.backlog.pending().len(),
         4_000
     );
 }
 
 proptest! {
-    /// Holders come and go, with counts and windows of their own: what each is told of a
-    /// window never differs, and no window is left out.
+    /// Holders alternate, with counts and windows of their own: the content of a window
+    /// never differs between replies, and no window is skipped.
     #[test]
-    fn fix_one_content_a_window(
+    fn commit_one_content_per_window(
         steps in prop::collection::vec((1_u8..4, 0_u64..8, 0_u64..50, 0_u64..4_000), 1..80)
     ) {
         let mut log = Log::default();
         let mut now = Duration::ZERO;
-        let mut told: Vec<WindowCounts> = Vec::new();
-        for (machine, ahead, begun, passed) in steps {
+        let mut returned: Vec<WindowCounts> = Vec::new();
+        for (machine, ahead, requests, passed) in steps {
             now += Duration::from_millis(passed);
-            let windows = (0..ahead).map(|i| counts(98 + i, begun + i)).collect();
-            let Ok(owed) = log.fix(now, &fix(machine, windows, 0)) else { continue };
-            for counts in owed.owed {
-                match told.iter().find(|known| known.window == counts.window) {
+            let windows = (0..ahead).map(|i| counts(98 + i, requests + i)).collect();
+            let Ok(pending) = log.commit(now, &request(machine, windows, 0)) else { continue };
+            for counts in pending.pending {
+                match returned.iter().find(|known| known.window == counts.window) {
                     Some(known) => prop_assert_eq!(known, &counts),
-                    None => told.push(counts),
+                    None => returned.push(counts),
                 }
             }
-            let all: Vec<Window> = told.iter().map(|counts| counts.window).collect();
-            prop_assert_eq!(all, (100..owed.next).collect::<Vec<_>>());
+            let all: Vec<Window> = returned.iter().map(|counts| counts.window).collect();
+            prop_assert_eq!(all, (100..pending.next_window).collect::<Vec<_>>());
         }
     }
 }
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -17,41 +17,41 @@
 }
 
 #[test]
-fn usage_read_where_it_is_a_duty() {
+fn usage_read_with_the_duty() {
     let settings = parse(&format!(r#""duties": ["usage"], {USAGE}"#));
-    let usage = settings.expect("nothing is wrong").usage.expect("a duty");
+    let usage = settings.expect("valid settings").usage.expect("a duty");
     assert_eq!(usage.windows, Windows::new(Duration::from_secs(5)));
     assert_eq!(usage.closing().majority_wait, Duration::from_secs(4));
     assert_eq!(usage.slack, Duration::from_millis(300));
-    assert_eq!(usage.spacing, Duration::from_millis(20));
+    assert_eq!(usage.call_interval, Duration::from_millis(20));
 }
 
-/// Where nobody checks fencing numbers, a lease passes on once calls have ended.
+/// Without fencing, a lease passes on only after calls have ended.
 #[test]
 fn usage_unfenced_waits_for_calls() {
     let usage = USAGE.replace("true", "false");
     let settings = parse(&format!(r#""duties": ["usage"], {usage}"#));
-    let usage = settings.expect("nothing is wrong").usage.expect("a duty");
+    let usage = settings.expect("valid settings").usage.expect("a duty");
     assert_eq!(usage.slack, Duration::from_millis(300) + CALL_TIMEOUT);
 }
 
 #[test]
-fn usage_none_where_it_is_no_duty() {
+fn usage_none_without_the_duty() {
     for duties in [r#""duties": [], "#, "", r#""duties": ["autoscale"], "#] {
-        let settings = parse(&format!("{duties}{USAGE}")).expect("nothing is wrong");
+        let settings = parse(&format!("{duties}{USAGE}")).expect("valid settings");
         assert_eq!(settings.usage, None, "{duties}");
     }
 }
 
-/// A duty that nobody here knows keeps no instance from starting.
+/// An unknown duty does not prevent an instance from starting.
 #[test]
-fn duties_unknown_are_left() {
+fn duties_unknown_are_skipped() {
     let settings = parse(&format!(r#""duties": ["usage", "sweeping"], {USAGE}"#));
-    assert!(settings.expect("nothing is wrong").usage.is_some());
+    assert!(settings.expect("valid settings").usage.is_some());
 }
 
 #[test]
-fn usage_bad_input_named_with_a_remedy() {
+fn usage_bad_input_names_the_setting() {
     let cases = [
         (r#""duties": ["usage"]"#.to_string(), "usage: is missing"),
         (
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: documents, claims, leases.
+//! The replicated state: documents, claims, leases and quarantined requests.
 
 use dogwoodhill_control::command::{Action, Command, Put, PutError, Reply};
 use dogwoodhill_control::state::{Quarantined, State};
@@ -32,7 +32,7 @@
         self.index += 1;
         let command = Command {
             now: self.now,
-            wall: 0,
+            wall_ms: 0,
             action,
         };
         self.state.apply(self.index, &command)
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn put_resend_answered_alike_after_later_versions() {
+fn put_resend_repeats_the_reply_after_later_versions() {
     let mut cluster = Cluster::new();
     let first = cluster.put("team", 1, "a");
     assert!(matches!(first, Reply::Put(Ok(_))));
@@ -120,11 +120,11 @@
     cluster.put("team", 3, "c");
     assert_eq!(cluster.put("team", 1, "a"), first);
     let now = cluster.state.documents.service("svc").unwrap();
-    assert_eq!(now.document.version, 3, "nothing reverts");
+    assert_eq!(now.document.version, 3, "the newest version stays");
 }
 
 #[test]
-fn put_race_one_wins_other_is_told_who() {
+fn put_race_loser_gets_the_winner() {
     let mut cluster = Cluster::new();
     cluster.put("team", 1, "a");
     let raced = cluster.put("team", 1, "b");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn take_second_holder_waits_then_gets_answer() {
+fn take_by_second_holder_gets_the_outcome() {
     let mut cluster = Cluster::new();
     assert_eq!(cluster.take("k", 1, 1), ClaimReply::Granted);
     assert_eq!(cluster.take("k", 1, 2), ClaimReply::InProgress);
@@ -151,7 +151,7 @@
     assert_eq!(
         cluster.take("k", 1, 1),
         ClaimReply::Granted,
-        "the same delivery again"
+        "repeated by the holder"
     );
     cluster.finish("k", 1, recorded());
     assert_eq!(cluster.take("k", 1, 2), ClaimReply::ClaimEnd(recorded()));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn take_unreported_becomes_unknown_then_is_forgotten() {
+fn take_unreported_is_unknown_then_expires() {
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
     cluster.now = 11 * SECOND;
@@ -196,14 +196,14 @@
 }
 
 #[test]
-fn acquire_numbers_only_rise() {
+fn acquire_fences_only_increase() {
     let mut cluster = Cluster::new();
     assert_eq!(cluster.acquire(1, 20 * SECOND), LeaseReply::Held(1));
     cluster.now = 5 * SECOND;
     assert_eq!(
         cluster.acquire(1, 20 * SECOND),
         LeaseReply::Held(1),
-        "prolonged"
+        "renewed"
     );
     assert_eq!(
         cluster.acquire(2, 20 * SECOND),
@@ -219,12 +219,12 @@
     assert_eq!(
         cluster.acquire(1, 20 * SECOND),
         LeaseReply::Held(3),
-        "given back"
+        "released"
     );
 }
 
 #[test]
-fn time_never_goes_back() {
+fn time_never_decreases() {
     let mut cluster = Cluster::new();
     cluster.now = 50 * SECOND;
     cluster.acquire(1, 20 * SECOND);
@@ -233,47 +233,47 @@
     assert_eq!(cluster.state.now, 50 * SECOND);
 }
 
-/// A request is quarantined for a time of the cluster's clock, and the command may come twice.
+/// A quarantine lasts for a period of cluster time, and its command may be applied twice.
 #[test]
-fn quarantine_lasts_its_term() {
+fn quarantine_expires() {
     let mut cluster = Cluster::new();
-    let held = |times| Quarantined {
+    let quarantined = |times| Quarantined {
         request: 7,
         workspace: 1,
         times,
     };
     let mut put = |seconds: u64, times| {
         cluster.now = seconds as u32 * SECOND;
-        let reply = cluster.apply(Action::Quarantine(held(times)));
+        let reply = cluster.apply(Action::Quarantine(quarantined(times)));
         assert_eq!(reply, Reply::Quarantined);
         cluster.state.quarantined()
     };
-    assert_eq!(put(100, 1), [(held(1), quarantine_period(1))]);
+    assert_eq!(put(100, 1), [(quarantined(1), quarantine_period(1))]);
     assert_eq!(
         put(101, 1),
-        [(held(1), quarantine_period(1) - SECOND)],
-        "twice"
+        [(quarantined(1), quarantine_period(1) - SECOND)],
+        "applied twice"
     );
     assert_eq!(
         put(700, 2),
-        [(held(2), quarantine_period(2))],
-        "found again"
+        [(quarantined(2), quarantine_period(2))],
+        "quarantined again"
     );
     assert_eq!(
         put(701, 1),
-        [(held(2), quarantine_period(2) - SECOND)],
-        "an old one"
+        [(quarantined(2), quarantine_period(2) - SECOND)],
+        "an older command"
     );
     let other = Quarantined {
         request: 8,
-        ..held(1)
+        ..quarantined(1)
     };
     cluster.now += quarantine_period(2);
     cluster.apply(Action::Quarantine(other));
     assert_eq!(
         cluster.state.quarantined(),
         [(other, quarantine_period(1))],
-        "over"
+        "expired"
     );
 }
 
@@ -292,8 +292,8 @@
     assert_eq!(kept.last().expect("the newest").0.request, 2_999);
 }
 
-/// Whatever is sent, and sent again, a key runs under one holder at most,
-/// unless that one said that it did not run.
+/// For any sequence of commands, including resends, a key is granted to at most one
+/// holder unless that holder reports that the request did not run.
 #[test]
 fn claim_granted_once() {
     let step = (0u8..3, 1u128..5, 0u8..4, 0u64..4);
@@ -313,19 +313,23 @@
                 break;
             }
             let name = key.to_string();
-            let slot = &mut granted[usize::from(key)];
+            let current_holder = &mut granted[usize::from(key)];
             match what {
                 0 => {
                     cluster.finish(&name, holder, ClaimEnd::NotRun);
-                    if *slot == Some(holder) && !finished(&mut cluster, &name) {
-                        *slot = None;
+                    if *current_holder == Some(holder)
+                        && !is_finished(&mut cluster, &name)
+                    {
+                        *current_holder = None;
                     }
                 }
                 1 => cluster.finish(&name, holder, recorded()),
                 _ => {
                     if cluster.take(&name, 1, holder) == ClaimReply::Granted {
-                        prop_assert!(slot.is_none() || *slot == Some(holder));
-                        *slot = Some(holder);
+                        prop_assert!(
+                            current_holder.is_none() || *current_holder == Some(holder)
+                        );
+                        *current_holder = Some(holder);
                     }
                 }
             }
@@ -335,13 +339,13 @@
     result.unwrap();
 }
 
-/// Whether a key's end is recorded: a stranger is told so.
-fn finished(cluster: &mut Cluster, key: &str) -> bool {
-    const STRANGER: u128 = 99;
-    match cluster.take(key, 1, STRANGER) {
+/// Whether an outcome is recorded for a key, determined by a claim of another holder.
+fn is_finished(cluster: &mut Cluster, key: &str) -> bool {
+    const OTHER_HOLDER: u128 = 99;
+    match cluster.take(key, 1, OTHER_HOLDER) {
         ClaimReply::ClaimEnd(_) => true,
         ClaimReply::Granted => {
-            cluster.finish(key, STRANGER, ClaimEnd::NotRun);
+            cluster.finish(key, OTHER_HOLDER, ClaimEnd::NotRun);
             false
         }
         _ => true,
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! What tests of clusters share.
+//! Helpers shared by the cluster tests.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Key of the clusters.
+/// Cluster key.
 pub(crate) const SECRET: &str = "secret";
 
 static NEXT: AtomicU8 = AtomicU8::new(1);
 
-/// Addresses of this test alone: each process and test has loopback numbers of
-/// its own, so a port that was free stays free.
+/// A free address. Each process and test uses its own loopback address, so no other test
+/// can take the port.
 pub(crate) fn address() -> SocketAddr {
     let pid = std::process::id();
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::{Exit, Failure};
 use bytes::Bytes;
-use dogwoodhill_control::operators::ErrorText;
+use dogwoodhill_control::operators::ErrorBody;
 use http::{Method, Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -119,7 +119,7 @@
     if answer.status.is_success() {
         return Ok(answer.body);
     }
-    let text = match serde_json::from_slice::<ErrorText>(&answer.body) {
+    let text = match serde_json::from_slice::<ErrorBody>(&answer.body) {
         Ok(error) => error.error,
         Err(_) => format!("the instance answered {}", answer.status),
     };
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -5,7 +5,7 @@
 use crate::trace::trace;
 use crate::{Exit, Failure};
 use clap::ArgMatches;
-use dogwoodhill_control::operators::{Accepted, Past, Status};
+use dogwoodhill_control::operators::{Accepted, HistoryItem, Status};
 use dogwoodhill_core::keys::KeyHash;
 use dogwoodhill_core::prelude::*;
 use http::Method;
@@ -189,9 +189,9 @@
 
 async fn history(operator: &Operator, matches: &ArgMatches) -> Result<String, Failure> {
     let target = format!("/v1/services/{}/history", service(matches));
-    let past: Vec<Past> = operator.get(&target).await?;
+    let past: Vec<HistoryItem> = operator.get(&target).await?;
     let mut out = String::from("version  revision  team\n");
-    for Past { accepted, .. } in past {
+    for HistoryItem { accepted, .. } in past {
         let (version, revision) = (accepted.version, accepted.revision);
         let _ = writeln!(out, "{version:>7}  {revision:>8}  {}", accepted.team);
     }
--- a/crates/direct/tests/all/control.rs
+++ b/crates/direct/tests/all/control.rs
@@ -3,15 +3,15 @@
 use dogwoodhill_consensus::members::Member;
 use dogwoodhill_control::command::Action;
 use dogwoodhill_control::demand::Demand;
-use dogwoodhill_control::internal::{self, Inside};
+use dogwoodhill_control::internal::{self, InternalApi};
 use dogwoodhill_control::limits;
-use dogwoodhill_control::lists::Lists;
+use dogwoodhill_control::lists::EndpointLists;
 use dogwoodhill_control::peers::Peers;
 use dogwoodhill_control::presence::Presence;
-use dogwoodhill_control::quarantine::Quarantines;
-use dogwoodhill_control::replica::{Limits, make};
+use dogwoodhill_control::quarantine::QuarantineTracker;
+use dogwoodhill_control::replica::{ReplicaConfig, build_replica};
 use dogwoodhill_control::service::Service;
-use dogwoodhill_control::usage::Usage;
+use dogwoodhill_control::usage::UsageTracker;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_store::memory::MemoryFiles;
@@ -29,7 +29,7 @@
     pub(crate) inner: SocketAddr,
     service: Service,
     /// What entries told it of usage.
-    pub(crate) usage: Usage,
+    pub(crate) usage: UsageTracker,
 }
 
 impl Instance {
@@ -51,11 +51,11 @@
         let opened = Store::create(Box::new(MemoryFiles::default()), identity.clone());
         let caller = PeerClient::new("secret".to_string());
         let peers = Peers::new(identity.cluster, caller.clone());
-        let limits = Limits {
-            compact: 1_000,
-            copies: 1,
+        let limits = ReplicaConfig {
+            compact_after: 1_000,
+            min_voters: 1,
         };
-        let mut made = make(opened.expect("an empty folder"), peers, limits, 7);
+        let mut made = build_replica(opened.expect("an empty folder"), peers, limits, 7);
         made.driver.bootstrap(Member {
             id: identity.node,
             name: format!("control-{number}"),
@@ -64,16 +64,16 @@
             seat: true,
         });
         tokio::spawn(made.driver.run());
-        let quarantines = Quarantines::following(made.replica.quarantined.clone());
-        let usage = Usage::new(made.replica.clone());
+        let quarantine = QuarantineTracker::with_log(made.replica.quarantined.clone());
+        let usage = UsageTracker::new(made.replica.clone());
         let service = Service::new(made.replica, caller);
-        let inside = Inside {
+        let inside = InternalApi {
             service: service.clone(),
             presence: Presence::default(),
             demand: Demand::default(),
-            lists: Lists::default(),
-            limits: limits::Limits::default(),
-            quarantines,
+            lists: EndpointLists::default(),
+            limits: limits::LimitTracker::default(),
+            quarantine,
             usage: usage.clone(),
             cluster: identity.cluster,
             secret: Arc::new("secret".to_string()),
--- a/crates/direct/tests/all/usage.rs
+++ b/crates/direct/tests/all/usage.rs
@@ -20,9 +20,13 @@
         minority_wait: Duration::ZERO,
     };
     // Every window is over for this closing, so what is open is all there.
-    let time = instance.usage.open(0, &closing, 0).time.unwrap_or_default();
+    let time = instance
+        .usage
+        .open_windows(0, &closing, 0)
+        .time
+        .unwrap_or_default();
     let window = Windows::new(WINDOW).at(time);
-    let open = instance.usage.open(window, &closing, 0);
+    let open = instance.usage.open_windows(window, &closing, 0);
     open.complete.iter().map(WindowCounts::total).sum()
 }
 
--- a/crates/load/src/slopes/recovery.rs
+++ b/crates/load/src/slopes/recovery.rs
@@ -116,7 +116,7 @@
         let data = alone.halt().await;
         let disk = size_of_folder(&data);
         let start = Instant::now();
-        let again = Alone::open(&data, Start::Again).await?;
+        let again = Alone::open(&data, Start::Existing).await?;
         // Back means: the instance leads and confirms what it has.
         let confirmed = again.service.confirm().await;
         confirmed.map_err(|unable| unable.to_string())?;
--- a/crates/load/src/slopes/watchers.rs
+++ b/crates/load/src/slopes/watchers.rs
@@ -95,7 +95,7 @@
             .replica()
             .documents
             .load()
-            .since(revision, None);
+            .updates_since(revision, None);
         if version > 1 {
             bytes += rmp_serde::to_vec(&news).map_or(0, |encoded| encoded.len());
         }
