--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -1,45 +1,43 @@
-//! Where a prompt goes whose beginning other requests share.
+//! The choice of an endpoint for a prompt that shares a prefix with other requests.
 //!
-//! An endpoint that has read a shared beginning lately need not read it again:
-//! for a chapter of 9,190 tokens that is 58 ms of reading in place of 185.
-//! Entries do not tell each other what they sent where. They agree by
-//! rendezvous hashing: every entry ranks all endpoints by a hash of endpoint
-//! and beginning, so the same beginning goes to the same few endpoints
-//! whichever entry got it, and an endpoint that leaves moves only its own
-//! share. A request leaves the top of the ranking where the wait there is
-//! longer than reading the beginning anew elsewhere.
+//! An endpoint that has recently prefilled a shared prefix holds it in its prefix cache:
+//! a prompt of 9,190 tokens then takes 58 ms of prefill instead of 185. Entries agree on
+//! the endpoint without messages, by rendezvous hashing: every entry ranks all endpoints
+//! by a hash of endpoint and prefix, so a prefix goes to the same few endpoints from
+//! every entry, and an endpoint that leaves moves only its own prefixes. A request goes
+//! to a lower rank if the wait at the top is longer than prefilling the prefix again
+//! elsewhere.
 
 use std::time::Duration;
 
-/// An endpoint as a candidate.
+/// An endpoint that may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Hash of the endpoint's identity.
     pub hash: u64,
-    /// Predicted time until a request sent now would begin to be read.
+    /// Predicted time until the prefill of a request sent now begins.
     pub wait: Duration,
-    /// Time that reading the shared beginning takes there.
+    /// Prefill time of the shared prefix at this endpoint.
     pub prefill: Duration,
-    /// Time that reaching it takes beyond reaching the nearest one.
+    /// Network latency beyond that of the nearest endpoint.
     pub distance: Duration,
-    /// How long ago this entry last sent the same beginning there; `None`
-    /// where it never did.
+    /// Time since this entry last sent the same prefix there; `None` if it never did.
     pub last_sent: Option<Duration>,
 }
 
-/// How long a beginning that was sent somewhere is believed to be kept there.
-/// The endpoints' memory turns over in some ten seconds under full load.
-const KEPT: Duration = Duration::from_secs(20);
-/// Shares of the reading time that endpoints are charged by their rank: the
-/// first is taken to have the beginning, the second to have it often.
+/// How long a prefix is assumed to stay in the cache of an endpoint. Under full load the
+/// cache is replaced in about ten seconds.
+const CACHE_LIFETIME: Duration = Duration::from_secs(20);
+/// Share of the prefill time that is charged by rank: the first endpoint is assumed to
+/// have the prefix cached, the second to have it half of the time, all others never.
 const RANK_COST: [f64; 2] = [0.0, 0.5];
 
-/// Weight of the time that reading a beginning anew takes, against the
-/// request's own wait: under load it also delays all that wait behind it.
-const HARM: f64 = 16.0;
+/// Weight of the prefill time against the request's own wait: under load prefill also
+/// delays all requests behind it.
+const PREFILL_WEIGHT: f64 = 16.0;
 
-/// Picks the candidate at which `key`, the hash of the shared beginning, is
-/// predicted to be done reading first. `None` without candidates.
+/// Returns the index of the candidate with the lowest cost for `key`, the hash of the
+/// shared prefix; `None` without candidates.
 pub fn choose(key: u64, candidates: &[Candidate]) -> Option<usize> {
     let mut ranked: Vec<(u64, usize)> = candidates
         .iter()
@@ -55,14 +53,14 @@
     best.map(|(_, at)| at)
 }
 
-/// Predicted time until the beginning is read, in seconds.
+/// Cost in seconds: wait, network latency and weighted prefill time.
 fn cost(rank: usize, candidate: &Candidate) -> f64 {
     let by_rank = RANK_COST.get(rank).copied().unwrap_or(1.0);
-    let kept = candidate.last_sent.is_some_and(|age| age < KEPT);
-    let share = if kept { 0.0 } else { by_rank };
+    let cached = candidate.last_sent.is_some_and(|age| age < CACHE_LIFETIME);
+    let share = if cached { 0.0 } else { by_rank };
     candidate.wait.as_secs_f64()
         + candidate.distance.as_secs_f64()
-        + candidate.prefill.as_secs_f64() * share * HARM
+        + candidate.prefill.as_secs_f64() * share * PREFILL_WEIGHT
 }
 
 /// Spreads the bits of a hash (the finalizer of SplitMix64).
@@ -72,7 +70,7 @@
     value ^ (value >> 31)
 }
 
-/// A hash of bytes that is the same in every process and version (FNV-1a).
+/// Hashes bytes with FNV-1a, which gives the same value in every process and version.
 pub fn hash(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -1,62 +1,60 @@
-//! Which long prompts still have a chance, and which wait behind them.
+//! Which long prompts can still meet their objective, and which run in the background.
 //!
-//! The pattern: on the hour, chapters of 9,000 tokens come at two to three
-//! times the rate at which the engines read. In one queue, each of them waits
-//! for a little longer than the one before; after a second all are late, and
-//! the engines spend the rest of the burst on reading prompts whose objective
-//! has passed. Nearly nobody is served in time, though the engines could have
-//! served half of them.
+//! If prompts arrive at two to three times the rate at which the engines prefill them,
+//! such as prompts of 9,000 tokens on the hour, each waits longer than the one before.
+//! After a second all are late, and in one FIFO queue the engines spend the rest of the
+//! burst on prompts whose objective has passed: hardly any request is in time, though the
+//! engines could have served half of them.
 //!
-//! So a request that would be late anyway goes to the background of its tier:
-//! engines take it up when nothing else of that tier or a more urgent one waits.
-//! Those that are left in front are served in time, and those in the background
-//! when the burst ebbs: later, not never. Less urgent tiers wait for both, or an
-//! urgent prompt would be left while less urgent ones begin
+//! A request that would be late therefore goes to the background of its tier: engines
+//! start it when no other request of that tier or a more urgent one waits. Foreground
+//! requests are served in time, and background requests when the burst ends. Less urgent
+//! tiers wait for both, so that no urgent prompt waits while less urgent ones begin
 //! ([`crate::urgency`]).
 //!
-//! The wait is predicted by Little's law from what the entry knows by itself:
-//! the tokens that it has sent and that are not read yet, over the rate at
-//! which tokens of its requests are read. All entries share the engines'
-//! queues, so all see about the same wait, without a message between them, and
-//! it follows a burst at once, while a measured latency would lag by itself.
+//! The wait is predicted by Little's law from local data: the tokens that the entry has
+//! sent and that are not prefilled yet, over the rate at which tokens of its requests are
+//! prefilled. All entries share the engines' queues and so predict about the same wait
+//! without exchanging messages. The prediction follows a burst at once, while a measured
+//! latency would lag by itself.
 
 use crate::queue_wait::QueueWait;
 use std::time::Duration;
 
-/// Ranks of urgency that are told apart; less urgent ones share the last.
+/// Ranks of urgency that are distinguished; less urgent ones share the last.
 const RANKS: usize = 8;
-/// Time constant of the measured rate. Shorter than a burst, and long enough
-/// for some ten long prompts of one entry.
-const MEMORY: f64 = 1.5;
-/// Part of the objective that the predicted wait may take. The rest is for the
-/// differences between endpoints, of which each has a queue of its own.
-const HOPE: f64 = 0.6;
-/// Part of the objective that prompts must really have waited for, lately or
-/// until now, before any is sent to the background. On a calm day an entry with
-/// one prompt a second has no rate to speak of, and two that come together look
-/// like a queue; the wait itself shows that there is none.
-const PROOF: f64 = 0.25;
+/// Time constant of the prefill rate. Shorter than a burst, and long enough for about ten
+/// long prompts of one entry.
+const RATE_DECAY_SECONDS: f64 = 1.5;
+/// Part of the objective that the predicted wait may take. The rest allows for
+/// differences between the queues of single endpoints.
+const PREDICTED_SHARE: f64 = 0.6;
+/// Part of the objective that foreground prompts must have waited, recently or until now,
+/// before any request goes to the background. At low load an entry with one prompt per
+/// second has no reliable rate, and two prompts that arrive together look like a queue;
+/// the actual wait shows that there is none.
+const OBSERVED_SHARE: f64 = 0.25;
 
-/// What an entry has sent to the endpoints of one service.
+/// Prompts that an entry has sent to the endpoints of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
-    /// Tokens sent and not read, by rank, in front and in the background.
-    unread: [[f64; 2]; RANKS],
-    /// Tokens read lately, fading.
-    read: f64,
+    /// Tokens sent and not prefilled, by rank, in the foreground and in the background.
+    pending: [[f64; 2]; RANKS],
+    /// Recently prefilled tokens with exponential decay, at `at`.
+    prefilled: f64,
     at: Duration,
-    /// How long those in front really wait.
-    waits: QueueWait,
+    /// Wait of foreground prompts.
+    queue_wait: QueueWait,
 }
 
 impl Backlog {
-    /// A request was sent, in front or in the background.
+    /// Records that a request was sent, in the foreground or in the background.
     pub fn sent(&mut self, now: Duration, rank: usize, tokens: f64, background: bool) {
-        self.unread[place(rank)][usize::from(background)] += tokens;
-        self.waits.sent(now, tokens, background);
+        self.pending[index(rank)][usize::from(background)] += tokens;
+        self.queue_wait.sent(now, tokens, background);
     }
 
-    /// A request that was sent at `since` no longer waits to be read.
+    /// Records that a request sent at `since` no longer waits for prefill.
     pub fn dequeued(
         &mut self,
         since: Duration,
@@ -64,37 +62,38 @@
         tokens: f64,
         background: bool,
     ) {
-        self.waits.dequeued(since, tokens, background);
-        let unread = &mut self.unread[place(rank)][usize::from(background)];
-        *unread = (*unread - tokens).max(0.0);
+        self.queue_wait.dequeued(since, tokens, background);
+        let pending = &mut self.pending[index(rank)][usize::from(background)];
+        *pending = (*pending - tokens).max(0.0);
     }
 
-    /// A prompt has been read, in front or in the background.
+    /// Records that a prompt was prefilled, in the foreground or in the background.
     pub fn prefilled(&mut self, now: Duration, tokens: f64) {
-        self.read = self.faded(now) + tokens;
+        self.prefilled = self.decayed(now) + tokens;
         self.at = now.max(self.at);
     }
 
-    /// A prompt in front was read that waited for `wait`.
+    /// Records the `wait` of a foreground prompt that was prefilled.
     pub fn record_wait(&mut self, now: Duration, wait: Duration) {
-        self.waits.record(now, wait);
+        self.queue_wait.record(now, wait);
     }
 
-    /// Time until a request of `rank` would be read that is sent now. `least`
-    /// is the rate, in tokens a second, that the entry may count on even if it
-    /// sent nothing lately.
+    /// Predicted time until a request of `rank` that is sent now is prefilled. `least` is
+    /// a lower bound of the prefill rate, in tokens per second, for an entry that has
+    /// sent nothing recently.
     pub fn predicted_wait(&self, now: Duration, rank: usize, least: f64) -> Duration {
-        let place = place(rank);
-        let urgent: f64 = self.unread[..place].iter().flatten().sum();
-        let ahead = urgent + self.unread[place][0];
-        let rate = (self.faded(now) / MEMORY).max(least);
+        let index = index(rank);
+        let urgent: f64 = self.pending[..index].iter().flatten().sum();
+        let ahead = urgent + self.pending[index][0];
+        let rate = (self.decayed(now) / RATE_DECAY_SECONDS).max(least);
         if rate <= 0.0 {
             return Duration::ZERO;
         }
         Duration::try_from_secs_f64(ahead / rate).unwrap_or(Duration::MAX)
     }
 
-    /// Whether a request of `rank` that is sent now may be in time.
+    /// Whether a request of `rank` that is sent now is expected to meet `objective`.
+    /// `least` as in [`Self::predicted_wait`].
     pub fn can_meet_objective(
         &self,
         now: Duration,
@@ -102,16 +101,17 @@
         least: f64,
         objective: Duration,
     ) -> bool {
-        let soon = self.predicted_wait(now, rank, least) <= objective.mul_f64(HOPE);
-        soon || self.waits.predicted(now) <= objective.mul_f64(PROOF)
+        let soon =
+            self.predicted_wait(now, rank, least) <= objective.mul_f64(PREDICTED_SHARE);
+        soon || self.queue_wait.predicted(now) <= objective.mul_f64(OBSERVED_SHARE)
     }
 
-    fn faded(&self, now: Duration) -> f64 {
+    fn decayed(&self, now: Duration) -> f64 {
         let idle = now.saturating_sub(self.at).as_secs_f64();
-        self.read * (-idle / MEMORY).exp()
+        self.prefilled * (-idle / RATE_DECAY_SECONDS).exp()
     }
 }
 
-fn place(rank: usize) -> usize {
+fn index(rank: usize) -> usize {
     rank.min(RANKS - 1)
 }
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -1,44 +1,46 @@
-//! Endpoints that ask to be left alone for a while.
+//! Pauses that endpoints request when they turn requests away.
 //!
-//! The pattern: an endpoint turns everything away. What it turns away does not run there, so
-//! it looks idle, and gets more requests than the others; a request that may be sent once is
-//! lost with each of them.
+//! An endpoint that turns all requests away looks idle, since they do not run there, and
+//! would get more requests than the others. A request that may be sent only once is lost
+//! with each refusal.
 //!
 //! Invariants:
 //!
-//! * what an endpoint asks holds for whoever it asked, until the latest end that it named: a
-//!   shorter time in a later refusal takes nothing back;
-//! * it belongs to one start of the endpoint.
+//! * a pause lasts until the latest end that the endpoint has named: a shorter one in a
+//!   later refusal does not end it earlier;
+//! * a pause applies to the entry that received the refusal, and to one run of the
+//!   endpoint.
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
 
-/// Longest time that is believed. An endpoint that asks for a day by mistake is tried again.
-const MOST: Duration = Duration::from_mins(10);
+/// Upper bound of a pause, so that an endpoint that requests a day by mistake is tried
+/// again.
+const MAX_PAUSE: Duration = Duration::from_mins(10);
 
-/// What a refusal says of when to come back.
+/// Time after which a refusal allows the next request.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum Retry {
-    /// Nothing.
+    /// Not named by the refusal.
     #[default]
     #[display("unsaid")]
     Unspecified,
     /// Not before this time has passed.
     #[display("{}ms", _0.as_millis())]
     After(Duration),
-    /// Something that can't be read.
+    /// Named, but not as a number.
     #[display("unreadable")]
     Unreadable,
 }
 
 impl Retry {
-    /// What these texts say, each a number of seconds: the longest of them.
+    /// Parses texts that are each a number of seconds, and returns the longest time.
     pub fn parse_seconds<'a>(texts: impl Iterator<Item = &'a str>) -> Self {
         texts.fold(Self::Unspecified, |retry, text| {
             let seconds: Option<f64> = text.trim().parse().ok();
             let seconds = seconds.filter(|seconds| *seconds >= 0.0);
             let after = seconds
-                .map(|seconds| Duration::try_from_secs_f64(seconds).unwrap_or(MOST));
+                .map(|seconds| Duration::try_from_secs_f64(seconds).unwrap_or(MAX_PAUSE));
             match (retry, after) {
                 (Self::After(known), Some(after)) => Self::After(known.max(after)),
                 (_, Some(after)) => Self::After(after),
@@ -49,21 +51,21 @@
     }
 }
 
-/// What an endpoint asked one entry for.
+/// The pause that one endpoint has requested from one entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     until: Duration,
 }
 
 impl Backoff {
-    /// It turned a request away at `now`.
+    /// Records a refusal that was received at `now`.
     pub fn record(&mut self, now: Duration, retry: Retry) {
         if let Retry::After(after) = retry {
-            self.until = self.until.max(now + after.min(MOST));
+            self.until = self.until.max(now + after.min(MAX_PAUSE));
         }
     }
 
-    /// For how much longer it is left alone; `None` where it is not.
+    /// Remaining pause; `None` if there is none.
     pub fn remaining(&self, now: Duration) -> Option<Duration> {
         self.until.checked_sub(now).filter(|left| !left.is_zero())
     }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,17 +1,17 @@
-//! How many retries a service may add to its load.
+//! Retry budget: how many retries a service may add to its load.
 //!
-//! A retry after a request may have reached an endpoint costs one unit; each
-//! first attempt earns a fraction of one. A service whose endpoints all fail
-//! therefore sends at most `1 + EARN` times its own load, whatever the number
-//! of endpoints. Refusals with a definite not-run cost nothing, because they
-//! put no work on an endpoint.
+//! A retry of a request that may have reached an endpoint costs one unit; each first
+//! attempt earns a fraction of one. A service whose endpoints all fail therefore sends at
+//! most `1 + EARN_RATE` times its own load, for any number of endpoints. Retries of
+//! requests that were definitely not run cost nothing, because they put no work on an
+//! endpoint.
 
-/// Part of a retry that one first attempt earns.
+/// Retries that one first attempt earns.
 pub const EARN_RATE: f64 = 0.1;
-/// Most retries that can be saved up.
+/// Retries that can be saved up.
 pub const MAX_UNITS: f64 = 20.0;
 
-/// Token bucket of retries.
+/// Token bucket of retries; starts full by default.
 #[derive(Clone, Debug)]
 pub struct Budget {
     units: f64,
@@ -30,11 +30,10 @@
 }
 
 impl Budget {
-    /// A bucket that earns `earn` a request, holds `cap` at most and starts
-    /// empty, so that entries which restart together have nothing to spend at
-    /// once. Whatever the window, no more than `cap` and `earn` for each of
-    /// its requests is spent, so the bound of a service holds over all entries
-    /// without any message between them.
+    /// Creates an empty bucket that earns `earn` per request and holds at most `cap`. It
+    /// starts empty so that entries that restart together can't spend at once. In any
+    /// window at most `cap` plus `earn` per request of that window is spent, so the bound
+    /// of a service holds over all entries without coordination.
     pub fn empty(earn: f64, cap: f64) -> Self {
         Self {
             units: 0.0,
@@ -43,23 +42,23 @@
         }
     }
 
-    /// Changes what the bucket holds at most.
+    /// Sets the capacity, and drops units beyond it.
     pub fn resize(&mut self, cap: f64) {
         self.cap = cap;
         self.units = self.units.min(cap);
     }
 
-    /// Units left, from 0 to the most the bucket holds.
+    /// Units left, from 0 to the capacity.
     pub fn units(&self) -> f64 {
         self.units
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.units = (self.units + self.earn).min(self.cap);
     }
 
-    /// Takes one retry out; false where none is left.
+    /// Spends one unit for a retry; returns false if less than one is left.
     pub fn spend(&mut self) -> bool {
         let enough = self.units >= 1.0;
         if enough {
@@ -69,32 +68,33 @@
     }
 }
 
-/// Second sends that operators allow a service, over all entries.
+/// Second sends that operators allow a service, over all its entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// For each request of the service.
+    /// Second sends per request of the service.
     pub share: f64,
-    /// Beside these, in any window.
+    /// Additional second sends in any window.
     pub spare: f64,
 }
 
-/// Part of the share that entries use: requests and second sends that fall
-/// into different windows need the rest.
+/// Part of the share that entries use. The rest covers second sends that fall into
+/// another window than their requests.
 const USED_SHARE: f64 = 0.75;
-/// Part of the spare ones that entries use.
+/// Part of the additional second sends that entries use.
 const USED_SPARE: f64 = 0.8;
-/// Fewest entries that the spare ones are divided by. An entry that starts may
-/// be told of fewer than there are; its bucket is empty then, and fills slowly.
-const LEAST_ENTRIES: u32 = 8;
+/// Fewest entries among which the additional second sends are divided. A starting entry
+/// may see fewer entries than there are; its bucket is empty then, and fills slowly.
+const MIN_ENTRIES: u32 = 8;
 
 impl Allowance {
-    /// Part of a second send that one request earns.
+    /// Second sends that one request earns, as the `earn` of [`Budget::empty`].
     pub fn earn(&self) -> f64 {
         self.share * USED_SHARE
     }
 
-    /// What one of `entries` entries may save up; 0 entries: unknown.
+    /// Second sends that one of `entries` entries may save up; 0 entries if their number
+    /// is unknown.
     pub fn cap(&self, entries: u32) -> f64 {
-        self.spare * USED_SPARE / f64::from(entries.max(LEAST_ENTRIES))
+        self.spare * USED_SPARE / f64::from(entries.max(MIN_ENTRIES))
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,10 +1,10 @@
-//! Waiting and placement of one service in one entry, as one machine.
+//! Queueing and placement of one service in one entry, as one state machine.
 //!
-//! Events are method calls with the present time; what to do comes back as
-//! [`Action`]s, in order. Every request that arrives leaves through exactly
-//! one action that ends its wait (`Start`, `Shed` or `Expired`) or is dropped
-//! by [`Dispatcher::tick`] because its caller is gone; a started one comes
-//! back through [`Dispatcher::refused`] or ends through [`Dispatcher::ended`].
+//! Events are method calls with the current time; each returns the [`Action`]s to
+//! perform, in order. Every request that arrives leaves the queue through exactly one
+//! action (`Start`, `Shed` or `Expired`), or is dropped by [`Dispatcher::tick`] because
+//! its caller disconnected. A started request returns through [`Dispatcher::refused`] or
+//! ends through [`Dispatcher::ended`].
 
 use crate::Moment;
 use crate::placement::{Placement, PlacementRequest};
@@ -14,94 +14,97 @@
 use dogwoodhill_core::load::Load;
 use rand::Rng;
 
-/// Shortest time in which any endpoint answers: a request with less time
-/// left than this is told so instead of being sent.
+/// Shortest time in which any endpoint answers. A request with no more time left than
+/// this expires instead of being sent.
 pub const MIN_TIME_LEFT: Moment = Moment::from_millis(2);
-/// Shortest advice to a caller when to come back.
+/// Lower bound of the retry delay that is sent to a caller.
 const MIN_RETRY: Moment = Moment::from_secs(1);
-/// Longest such advice.
+/// Upper bound of that delay.
 const MAX_RETRY: Moment = Moment::from_secs(60);
 /// Weight of a new sample in the mean time between starts.
-const SAMPLE: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// A request that was given an endpoint.
+/// A request placed on an endpoint.
 #[derive(Debug)]
 pub struct Started<P> {
-    /// Position of the endpoint's view, for the calls that follow.
+    /// Index of the endpoint's view, passed to later calls.
     pub view: usize,
     /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// Whether its class was owed the start.
+    /// Whether the start was due to the starvation limit of its class.
     pub due: bool,
-    /// Highest fencing number the endpoint's agent has shown.
+    /// Highest fencing number that the endpoint's agent has reported.
     pub fence: Fence,
-    /// The request itself.
+    /// The request with its payload.
     pub waiting: Waiting<P>,
 }
 
-/// What the owner has to do.
+/// A step that the caller of the dispatcher performs.
 #[derive(Debug)]
 pub enum Action<P> {
     /// Send the request to the endpoint.
     Start(Started<P>),
-    /// Tell the caller that its request gave way, and when to come back.
+    /// Reject the request because the queue is full.
     Shed {
         /// The request.
         waiting: Waiting<P>,
-        /// Advice before jitter.
+        /// Delay after which to retry, before jitter.
         after: Moment,
     },
-    /// Tell the caller that its deadline passed while it waited.
+    /// Reject the request because its deadline passed in the queue.
     Expired(Waiting<P>),
 }
 
-/// Endpoint as the document lists it.
+/// An endpoint as the service document lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
-    /// Name.
+    /// Name, unique within the service.
     pub name: EndpointId,
     /// Failure domain.
     pub domain: DomainId,
 }
 
-/// Class name under which a policy without tiers queues everything.
-const ONE_QUEUE: &str = "all";
+/// Class and workspace under which a policy without tiers queues all requests.
+const SINGLE_CLASS: &str = "all";
 
-/// The machine.
+/// The state machine of one service; `P` is the payload that the caller keeps per
+/// request.
 #[derive(Debug)]
 pub struct Dispatcher<P> {
     queue: Queue<P>,
     views: Vec<View>,
     policy: Box<dyn Placement>,
     running: u32,
-    pace: f64,
+    /// Mean time between starts, in seconds.
+    start_gap: f64,
     last: Option<Moment>,
 }
 
 impl<P> Dispatcher<P> {
-    /// Makes a machine without endpoints.
+    /// Creates a dispatcher without endpoints.
     pub fn new(bounds: Bounds, policy: Box<dyn Placement>) -> Self {
         Self {
             queue: Queue::new(bounds),
             views: Vec::new(),
             policy,
             running: 0,
-            pace: 0.0,
+            start_gap: 0.0,
             last: None,
         }
     }
 
-    /// What is believed of the endpoints.
+    /// Estimated state of the endpoints; indices stay valid while work runs on them.
     pub fn views(&self) -> &[View] {
         &self.views
     }
 
-    /// What waits.
+    /// The waiting requests.
     pub fn queue(&self) -> &Queue<P> {
         &self.queue
     }
 
-    /// Follows the document: endpoints not in `listed` get no new work.
+    /// Replaces the set of endpoints by that of the document. Endpoints not in `listed`
+    /// get no new work.
     pub fn set_endpoints(&mut self, listed: &[ListedEndpoint]) {
         let mut wanted: Vec<&ListedEndpoint> = listed.iter().collect();
         wanted.sort_by(|a, b| a.name.cmp(&b.name));
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Reuses the place of an endpoint that left and has no work, so that
-    /// positions stay valid and the list does not grow with replacements.
+    /// Reuses the slot of an unlisted endpoint without work, so that indices stay valid
+    /// and the list does not grow with replacements.
     fn add(&mut self, endpoint: &ListedEndpoint) {
         let view = View::new(endpoint.name.clone(), endpoint.domain.clone());
         let unused = |view: &View| !view.listed() && view.outstanding() == 0;
@@ -131,7 +134,7 @@
         }
     }
 
-    /// A request arrived.
+    /// Queues a request and starts what can start.
     pub fn arrive(
         &mut self,
         now: Moment,
@@ -140,19 +143,19 @@
         random: &mut dyn Rng,
     ) -> Vec<Action<P>> {
         if !self.policy.tiered() {
-            item.class = ONE_QUEUE.to_string();
+            item.class = SINGLE_CLASS.to_string();
             item.tier = 0;
             item.weight = 1;
-            item.workspace = ONE_QUEUE.to_string();
+            item.workspace = SINGLE_CLASS.to_string();
         }
         let shed = self.queue.push(now, item, payload);
         let mut actions = self.shed(shed);
-        self.pump(now, None, random, &mut actions);
+        self.start_ready(now, None, random, &mut actions);
         actions
     }
 
-    /// An agent refused a request; it goes back to the head of its queue
-    /// unless another endpoint may take it at once.
+    /// Places a request that an agent refused on an endpoint not in `tried`, or returns
+    /// it to the head of its queue if none has room.
     pub fn refused(
         &mut self,
         now: Moment,
@@ -164,55 +167,56 @@
     ) -> Vec<Action<P>> {
         self.views[view].end();
         self.running -= 1;
-        self.note(now, view, report);
+        self.update(now, view, report);
         let mut actions = Vec::new();
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             now,
             tier: waiting.item.tier,
             due: false,
             freed: None,
             backlog: self.backlog(),
         };
-        match self.policy.pick(&self.views, &wish, tried, random) {
+        match self.policy.pick(&self.views, &request, tried, random) {
             Some(next) => actions.push(self.start(next, false, waiting)),
             None => self.queue.put_back(waiting),
         }
         actions
     }
 
-    /// An endpoint or its agent could not be reached.
+    /// Pauses placement on an endpoint that could not be reached, or whose agent could
+    /// not.
     pub fn unreachable(&mut self, now: Moment, view: usize) {
         self.views[view].failed(now);
     }
 
-    /// A request on an endpoint ended, whole or not.
+    /// Ends a request on an endpoint; `complete` if its answer arrived to the end.
     pub fn ended(
         &mut self,
         now: Moment,
         view: usize,
         report: Option<&Load>,
-        whole: bool,
+        complete: bool,
         random: &mut dyn Rng,
     ) -> Vec<Action<P>> {
         self.views[view].end();
         self.running -= 1;
-        self.note(now, view, report);
-        if whole {
+        self.update(now, view, report);
+        if complete {
             self.views[view].succeeded();
         }
         let mut actions = Vec::new();
-        self.pump(now, Some(view), random, &mut actions);
+        self.start_ready(now, Some(view), random, &mut actions);
         actions
     }
 
-    /// A report arrived while requests run.
+    /// Applies a load report that counts all own outstanding requests.
     pub fn report(&mut self, now: Moment, view: usize, report: &Load) {
         let own = self.views[view].outstanding();
         self.views[view].report(now, report, own);
     }
 
-    /// Time passed: requests whose caller is `gone` are dropped, deadlines
-    /// checked and the rest tried again.
+    /// Drops requests whose caller is `gone`, expires those past their deadline and
+    /// retries placement of the rest. To be called periodically.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -220,23 +224,24 @@
         random: &mut dyn Rng,
     ) -> Vec<Action<P>> {
         self.queue.extract(|waiting| gone(&waiting.payload));
-        let late = |waiting: &Waiting<P>| waiting.item.deadline <= now + MIN_TIME_LEFT;
-        let expired = self.queue.extract(late);
+        let past_deadline =
+            |waiting: &Waiting<P>| waiting.item.deadline <= now + MIN_TIME_LEFT;
+        let expired = self.queue.extract(past_deadline);
         let mut actions: Vec<_> = expired.into_iter().map(Action::Expired).collect();
-        self.pump(now, None, random, &mut actions);
+        self.start_ready(now, None, random, &mut actions);
         actions
     }
 
-    fn note(&mut self, now: Moment, view: usize, report: Option<&Load>) {
+    fn update(&mut self, now: Moment, view: usize, report: Option<&Load>) {
         if let Some(report) = report {
             self.report(now, view, report);
         }
     }
 
-    /// Starts whatever can start now. A class that finds no room is skipped
-    /// for the rest of the pass, as are less urgent ones of its tier or below
-    /// that need the same room; an owed class is tried with its own right.
-    fn pump(
+    /// Starts all requests that can start now. Once a class finds no room, all classes of
+    /// its tier and of less urgent ones are skipped for the rest of the pass, since they
+    /// need the same room. Due classes are placed as tier 0 and are skipped separately.
+    fn start_ready(
         &mut self,
         now: Moment,
         freed: Option<usize>,
@@ -244,11 +249,11 @@
         actions: &mut Vec<Action<P>>,
     ) {
         let mut full: Option<Tier> = None;
-        let mut owed_full = false;
+        let mut due_full = false;
         loop {
             let skip = |_: &ClassId, tier: Tier, due: bool| {
                 if due {
-                    owed_full
+                    due_full
                 } else {
                     full.is_some_and(|full| tier >= full)
                 }
@@ -258,7 +263,7 @@
             };
             match self.place(now, &turn, freed, random) {
                 Some(action) => actions.push(action),
-                None if turn.due => owed_full = true,
+                None if turn.due => due_full = true,
                 None => full = Some(turn.tier),
             }
         }
@@ -271,16 +276,16 @@
         freed: Option<usize>,
         random: &mut dyn Rng,
     ) -> Option<Action<P>> {
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             now,
             tier: turn.tier,
             due: turn.due,
             freed,
             backlog: self.backlog(),
         };
-        let view = self.policy.pick(&self.views, &wish, &[], random)?;
+        let view = self.policy.pick(&self.views, &request, &[], random)?;
         let waiting = self.queue.take(turn)?;
-        self.measure(now);
+        self.record_start(now);
         Some(self.start(view, turn.due, waiting))
     }
 
@@ -296,27 +301,27 @@
         })
     }
 
-    /// Keeps the mean time between starts, for the advice on when to return.
-    fn measure(&mut self, now: Moment) {
+    /// Updates the mean time between starts, from which the retry delay follows.
+    fn record_start(&mut self, now: Moment) {
         if let Some(last) = self.last.replace(now) {
             let gap = now.saturating_sub(last).as_secs_f64();
-            self.pace += SAMPLE * (gap - self.pace);
+            self.start_gap += SAMPLE_WEIGHT * (gap - self.start_gap);
         }
     }
 
-    /// Waiting requests for each one that this entry has running.
+    /// Waiting requests per running request of this entry.
     fn backlog(&self) -> f64 {
         self.queue.len() as f64 / f64::from(self.running.max(1))
     }
 
-    /// When the queue as it is now will have been worked off.
-    fn advice(&self) -> Moment {
-        let wait = self.pace * self.queue.len() as f64;
+    /// Estimated time to drain the present queue, within the bounds of the retry delay.
+    fn retry_delay(&self) -> Moment {
+        let wait = self.start_gap * self.queue.len() as f64;
         Moment::from_secs_f64(wait.min(MAX_RETRY.as_secs_f64())).max(MIN_RETRY)
     }
 
     fn shed(&self, shed: Vec<Waiting<P>>) -> Vec<Action<P>> {
-        let after = self.advice();
+        let after = self.retry_delay();
         shed.into_iter()
             .map(|waiting| Action::Shed { waiting, after })
             .collect()
--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/gate.rs
@@ -1,129 +1,135 @@
 //! The agent's decision to start a request or refuse it.
 //!
-//! The agent is the only authority on its endpoint, so its decision is exact
-//! where an entry can only guess. While more urgent requests were seen lately,
-//! each step of tier leaves a part of the slots free for them; tier 0 may use
-//! all. Without such requests nothing is kept free, so a queue of patient work
-//! drains at full speed. A class that is owed a start ([`crate::queue::STARVATION_LIMIT`]) is treated as tier 0, which
-//! is how the least urgent class progresses under endless urgent load.
-//! Nothing that runs is ever stopped to make room.
+//! The agent counts all requests on its endpoint, so its decision is exact where an entry
+//! can only estimate. While more urgent requests have started recently, each tier leaves
+//! a part of the slots free for them, growing with the tier number; tier 0 may use all
+//! slots. Otherwise no slot is kept free, so that background work runs at full speed. A
+//! class that is due by [`crate::queue::STARVATION_LIMIT`] is treated as tier 0, so that
+//! the least urgent class progresses under permanent urgent load. Running requests are
+//! never stopped to make room.
 //!
-//! An endpoint that breaks its answers off ends them sooner than a healthy
-//! one, so it always has free slots and would draw all work to itself. After
-//! [`PROBATION_FAILURES`] broken answers in a row the gate is on probation: nothing starts
-//! for a pause that doubles with each further one, then one request at a time
-//! until one is answered whole. The tiers that may least be lost are only
-//! risked as such a probe where nothing else has come for a while.
+//! An endpoint that breaks off its answers ends them sooner than a healthy one; it always
+//! has free slots and would attract all work. After [`PROBATION_FAILURES`] broken answers
+//! in a row the gate is on probation: no request starts for a pause that doubles with
+//! each further one, then one request at a time until one is answered completely.
+//! Requests of the most urgent tiers serve as probes only if no other request has come
+//! for a while.
 
 use crate::Moment;
 use crate::limit::Limit;
 use dogwoodhill_core::ids::{AttemptId, TIERS, Tier};
 use std::collections::VecDeque;
 
-/// Part of the limit that each step of tier leaves free.
+/// Part of the limit that is kept free, per tier number.
 const RESERVE: f64 = 0.03;
-/// How long after its last start a tier counts as seen lately.
-const LATELY: Moment = Moment::from_secs(2);
-/// Broken answers in a row that put an endpoint on probation.
+/// How long after its last start a tier has slots kept free for it.
+const RECENT: Moment = Moment::from_secs(2);
+/// Consecutive broken answers that put an endpoint on probation.
 pub const PROBATION_FAILURES: u32 = 2;
 /// First pause on probation.
 const MIN_PAUSE: Moment = Moment::from_millis(200);
-/// Tiers up to this one are not risked as probes at first.
-const URGENT: usize = 1;
-/// How long after the pause they are kept from it.
-const SPARED: Moment = Moment::from_secs(3);
-/// Longest pause.
+/// Tiers up to this number are not used as probes at first.
+const MAX_URGENT_TIER: usize = 1;
+/// How long after the pause these tiers are not used as probes.
+const URGENT_GRACE: Moment = Moment::from_secs(3);
+/// Longest pause on probation.
 const MAX_PAUSE: Moment = Moment::from_secs(5);
-/// Attempt ids remembered in order to refuse a second delivery. An attempt is
-/// delivered again at most by a broken connection or a repeated frame, within
-/// seconds; an endpoint starts far fewer requests than this in that time.
+/// Attempt ids remembered to refuse a second delivery. A broken connection or a repeated
+/// frame delivers an attempt again within seconds; an endpoint starts far fewer requests
+/// than this in that time.
 pub const MAX_REMEMBERED: usize = 8_192;
 /// Weight of a new sample in the running means.
-const SAMPLE: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Why a request was not started.
+/// Reason for which a request was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No free slot for this tier.
     Full,
-    /// The endpoint takes no new work.
+    /// The endpoint accepts no new work.
     Leaving,
     /// This attempt was delivered before.
     Repeated,
 }
 
-/// What the decision depends on.
+/// The properties of a request on which admission depends.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// Tier of its class.
+    /// Tier of the request's class.
     pub tier: Tier,
-    /// Whether its class is owed a start.
+    /// Whether the class is due by the starvation limit.
     pub due: bool,
 }
 
-/// State of one endpoint, as its agent keeps it.
+/// Admission state of one endpoint.
 #[derive(Debug)]
 pub struct Gate {
     running: u32,
     limit: Limit,
     leaving: bool,
-    gap: f64,
+    /// Mean token gap in seconds; 0 before the first sample.
+    token_gap: f64,
+    /// Mean time to the first token in seconds; 0 before the first sample.
     first: f64,
+    /// Last start of each tier.
     starts: [Option<Moment>; TIERS],
+    /// Consecutive broken answers.
     broken: u32,
-    paused: Moment,
-    seen: Vec<AttemptId>,
+    paused_until: Moment,
+    /// Remembered attempts, sorted.
+    attempts: Vec<AttemptId>,
+    /// The same by age, oldest first.
     order: VecDeque<AttemptId>,
 }
 
 impl Gate {
-    /// An endpoint with nothing running.
+    /// Creates the state of an endpoint without running requests.
     pub fn new(limit: Limit) -> Self {
         Self {
             running: 0,
             limit,
             leaving: false,
-            gap: 0.0,
+            token_gap: 0.0,
             first: 0.0,
             starts: [None; TIERS],
             broken: 0,
-            paused: Moment::ZERO,
-            seen: Vec::new(),
+            paused_until: Moment::ZERO,
+            attempts: Vec::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// Requests started and not ended.
+    /// Number of requests that have started and not ended.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Most requests that may run.
+    /// Number of requests that may run at once.
     pub fn limit(&self) -> u32 {
         self.limit.value()
     }
 
-    /// Most requests that may run for one more of `tier` to start, for each
-    /// tier.
+    /// Highest number of running requests, the new one included, at which a request of
+    /// each tier may start.
     pub fn ceilings(&self, now: Moment) -> [u32; TIERS] {
         let limit = self.limit.value();
         if self.broken >= PROBATION_FAILURES {
-            let mut probes = [u32::from(now >= self.paused); TIERS];
-            if now < self.paused + SPARED {
-                probes[..=URGENT].fill(0);
+            let mut probes = [u32::from(now >= self.paused_until); TIERS];
+            if now < self.paused_until + URGENT_GRACE {
+                probes[..=MAX_URGENT_TIER].fill(0);
             }
             return probes;
         }
         let mut ceilings = [limit; TIERS];
-        let lately = |start: &Option<Moment>| start.is_some_and(|at| now < at + LATELY);
-        let Some(urgent) = self.starts.iter().position(lately) else {
+        let recent = |start: &Option<Moment>| start.is_some_and(|at| now < at + RECENT);
+        let Some(urgent) = self.starts.iter().position(recent) else {
             return ceilings;
         };
         for (tier, ceiling) in ceilings.iter_mut().enumerate().skip(urgent + 1) {
-            let kept = (f64::from(limit) * RESERVE * tier as f64) as u32;
-            *ceiling = (limit - kept.min(limit)).max(1);
+            let reserved = (f64::from(limit) * RESERVE * tier as f64) as u32;
+            *ceiling = (limit - reserved.min(limit)).max(1);
         }
         ceilings
     }
@@ -133,12 +139,12 @@
         self.leaving
     }
 
-    /// Mean token gap.
+    /// Mean token gap; zero before the first sample.
     pub fn token_gap(&self) -> Moment {
-        Moment::from_secs_f64(self.gap)
+        Moment::from_secs_f64(self.token_gap)
     }
 
-    /// Mean time to the first token.
+    /// Mean time to the first token; zero before the first sample.
     pub fn first(&self) -> Moment {
         Moment::from_secs_f64(self.first)
     }
@@ -148,98 +154,103 @@
         self.leaving = leaving;
     }
 
-    /// Decides on a request; where it may start, it counts as running.
+    /// Admits a request, which counts as running until [`Gate::end`].
     ///
     /// # Errors
     ///
-    /// [`Refusal`]; the request has not been and will not be started.
-    pub fn admit(&mut self, now: Moment, ask: &AdmissionRequest) -> Result<(), Refusal> {
+    /// Returns a [`Refusal`] if the endpoint is leaving, the attempt is known already or
+    /// no slot is free for the tier. The request is not started in any of these cases.
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        request: &AdmissionRequest,
+    ) -> Result<(), Refusal> {
         if self.leaving {
             return Err(Refusal::Leaving);
         }
-        let place = self.seen.binary_search(&ask.attempt);
-        let Err(place) = place else {
+        let position = self.attempts.binary_search(&request.attempt);
+        let Err(position) = position else {
             return Err(Refusal::Repeated);
         };
-        let tier = usize::from(ask.tier);
-        let ceiling = self.ceilings(now)[if ask.due { 0 } else { tier }];
+        let tier = usize::from(request.tier);
+        let ceiling = self.ceilings(now)[if request.due { 0 } else { tier }];
         if self.running + 1 > ceiling {
             return Err(Refusal::Full);
         }
         self.starts[tier] = Some(now);
-        self.remember(place, ask.attempt);
+        self.remember(position, request.attempt);
         self.running += 1;
         Ok(())
     }
 
-    /// Notes that a started request ended.
+    /// Records the end of an admitted request.
     pub fn end(&mut self) {
         debug_assert!(self.running > 0, "end without admit");
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Notes that an answer broke off at the endpoint's side.
+    /// Records an answer that the endpoint broke off.
     pub fn record_broken(&mut self, now: Moment) {
-        // Those that were running together break together: one pause for all.
-        if self.broken >= PROBATION_FAILURES && now < self.paused {
+        // Answers that run together break together and cause a single pause.
+        if self.broken >= PROBATION_FAILURES && now < self.paused_until {
             return;
         }
         self.broken += 1;
         if let Some(beyond) = self.broken.checked_sub(PROBATION_FAILURES) {
             let pause = MIN_PAUSE * 2u32.saturating_pow(beyond.min(8));
-            self.paused = now + pause.min(MAX_PAUSE);
+            self.paused_until = now + pause.min(MAX_PAUSE);
         }
     }
 
-    /// Notes that an answer arrived whole.
+    /// Records a complete answer, which ends probation.
     pub fn record_complete(&mut self) {
         self.broken = 0;
     }
 
-    /// Notes the time to a first token.
+    /// Records the time to a first token.
     pub fn record_first_token(&mut self, first: Moment) {
-        mix(&mut self.first, first);
+        update_mean(&mut self.first, first);
     }
 
-    /// Notes the endpoint's own report. Requests that wait inside it are
-    /// beyond what it runs at once.
+    /// Applies the endpoint's own report. If requests wait inside the endpoint, the
+    /// number that run caps the limit.
     pub fn record_report(&mut self, now: Moment, running: u32, waiting: u32) {
         if waiting > 0 {
             self.limit.cap(now, running);
         }
     }
 
-    /// Notes a token gap, and the gap its class allows.
+    /// Records a token gap, and the gap that the request's class allows, if any.
     pub fn record_token_gap(
         &mut self,
         now: Moment,
         gap: Moment,
         allowed: Option<Moment>,
     ) {
-        mix(&mut self.gap, gap);
+        update_mean(&mut self.token_gap, gap);
         if let Some(allowed) = allowed {
-            let mean = Moment::from_secs_f64(self.gap);
+            let mean = Moment::from_secs_f64(self.token_gap);
             self.limit.learn(now, mean, allowed, self.running);
         }
     }
 
-    fn remember(&mut self, place: usize, attempt: AttemptId) {
-        self.seen.insert(place, attempt);
+    fn remember(&mut self, position: usize, attempt: AttemptId) {
+        self.attempts.insert(position, attempt);
         self.order.push_back(attempt);
         if self.order.len() > MAX_REMEMBERED {
             let oldest = self.order.pop_front();
-            let at = oldest.map(|oldest| self.seen.binary_search(&oldest));
+            let at = oldest.map(|oldest| self.attempts.binary_search(&oldest));
             if let Some(Ok(at)) = at {
-                self.seen.remove(at);
+                self.attempts.remove(at);
             }
         }
     }
 }
 
-fn mix(mean: &mut f64, sample: Moment) {
+fn update_mean(mean: &mut f64, sample: Moment) {
     let sample = sample.as_secs_f64();
     *mean = if *mean > 0.0 {
-        *mean + SAMPLE * (sample - *mean)
+        *mean + SAMPLE_WEIGHT * (sample - *mean)
     } else {
         sample
     };
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,233 +1,244 @@
-//! How far an endpoint is trusted with requests.
+//! Passive health check of an endpoint.
 //!
-//! Endpoints die without a word, answer part of their requests with failures
-//! while they call themselves healthy, or stop answering on all connections at
-//! once. An entry learns that from its own requests: what came back lately, and for how
-//! long nothing did. Beside that it goes by what all entries together see
-//! ([`crate::sightings`]), as long as that is fresh and nothing here disproves it.
+//! Endpoints disappear without closing connections, fail part of their requests while
+//! they report themselves healthy, or stop answering on all connections at once. An entry
+//! detects this from its own requests: their recent outcomes, and the time since it last
+//! received anything. The verdict of all entries together ([`crate::sightings`]) is used
+//! as well, while it is fresh and own observations do not contradict it.
 
 use crate::sightings::{LATELY, Sight, Verdict};
 use std::time::Duration;
 
-/// Weight of the newest outcome in the share of failures: about the last ten
-/// requests count.
-const NEWEST: f64 = 0.12;
-/// Share of failures from which an endpoint counts as failing. Ordinary
-/// endpoints fail up to 14% of some requests by themselves.
-const FAILING: f64 = 0.3;
-/// Time without a byte, with streams that have begun, after which an endpoint
-/// counts as silent. Several times the longest pause of one that works.
-const SILENCE: Duration = Duration::from_millis(900);
-/// The same where everything still waits for a first byte: under load an
-/// endpoint lets requests wait for a few seconds before it begins them, and one
-/// that is gone is mostly found by the next connection to it.
-const LONG_SILENCE: Duration = Duration::from_secs(4);
-/// Silence where everything still waits, as a multiple of the usual time until
-/// a first byte: a plain service that answers in 30 ms is silent much sooner
-/// than an engine under load.
-const SILENT_USUALS: u32 = 8;
-/// Shortest such silence: above the slowest answers of plain services.
-const SHORT_SILENCE: Duration = Duration::from_millis(250);
-/// Weight of the newest first byte in the usual time.
-const NEWEST_USUAL: f64 = 0.1;
-/// First time for which an endpoint that can't be reached is left alone.
-const FIRST_REST: Duration = Duration::from_millis(300);
-/// Longest such time: what comes back is used again within seconds.
-const LONGEST_REST: Duration = Duration::from_secs(3);
-/// How long what was told of an endpoint is used: three of the intervals at which it is
-/// told.
-const TOLD_KEPT: Duration = Duration::from_millis(1_600);
-/// Time constant with which failures are forgotten where no request comes.
-const FORGET: f64 = 3.0;
-
-/// What an entry believes of one endpoint.
+/// Weight of a new outcome in the failure rate: about the last ten requests count.
+const OUTCOME_WEIGHT: f64 = 0.12;
+/// Failure rate from which an endpoint counts as failing. Working endpoints fail up to
+/// 14% of some requests.
+const FAILURE_THRESHOLD: f64 = 0.3;
+/// Time without received bytes after which an endpoint with open streams counts as
+/// silent. Several times the longest pause of a working one.
+const STREAM_SILENCE: Duration = Duration::from_millis(900);
+/// Upper bound of that time while all requests still wait for a first byte: under load an
+/// endpoint queues requests for a few seconds, and a lost endpoint is usually detected by
+/// the next connection to it.
+const MAX_SILENCE: Duration = Duration::from_secs(4);
+/// Silence while all requests wait for a first byte, as a multiple of the mean time to
+/// first byte: a plain service that answers in 30 ms counts as silent much sooner than an
+/// engine under load.
+const SILENCE_FACTOR: u32 = 8;
+/// Lower bound of that silence: above the slowest answers of plain services.
+const MIN_SILENCE: Duration = Duration::from_millis(250);
+/// Weight of a new sample in the mean time to first byte.
+const FIRST_BYTE_WEIGHT: f64 = 0.1;
+/// First pause after an endpoint could not be reached.
+const MIN_PAUSE: Duration = Duration::from_millis(300);
+/// Longest such pause: a recovered endpoint is used again within seconds.
+const MAX_PAUSE: Duration = Duration::from_secs(3);
+/// Lifetime of a verdict that is not renewed: three of the intervals at which verdicts
+/// are sent.
+const VERDICT_LIFETIME: Duration = Duration::from_millis(1_600);
+/// Time constant with which the failure rate decays without requests.
+const FAILURE_DECAY_SECONDS: f64 = 3.0;
+
+/// Health of one endpoint as an entry estimates it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// It works.
+    /// Working.
     Sound,
-    /// It works, but fails more than others: the last resort before a refusal.
+    /// Reachable, but with a high failure rate; sound endpoints are preferred.
     Failing,
-    /// Nothing comes from it or reaches it; one request may try it now and
-    /// then.
+    /// Unreachable or not responding: used as the last resort, apart from single probes.
     Silent,
 }
 
-/// Record of one endpoint. Times are measured from the entry's start.
+/// Outcomes and silence of one endpoint. Times are durations since the entry's start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HealthRecord {
-    failures: f64,
-    judged: Duration,
-    heard: Duration,
-    waiting: u32,
-    begun: u32,
-    usual: Option<Duration>,
-    since: Duration,
-    unreached: u32,
-    rest: Duration,
-    unanswered: Option<Duration>,
-    /// When it was told that the endpoint has started again since.
-    over: Option<Duration>,
-    /// What all entries together see, as it was told last.
-    told: Option<(Duration, Verdict)>,
-    /// What this entry met since it told the others last.
+    /// Failure rate at `outcome_at`.
+    failure_rate: f64,
+    outcome_at: Duration,
+    received_at: Duration,
+    /// Requests sent and not ended.
+    outstanding: u32,
+    /// Outstanding requests whose first byte has arrived.
+    streaming: u32,
+    /// Mean time to first byte.
+    first_byte: Option<Duration>,
+    /// When the oldest of an unbroken sequence of outstanding requests was sent.
+    waiting_since: Duration,
+    /// Failures to reach the endpoint since bytes were last received.
+    connect_failures: u32,
+    paused_until: Duration,
+    /// When a connection last got no answer, cleared by received bytes.
+    timed_out_at: Option<Duration>,
+    /// When a later run of the endpoint became known.
+    superseded_at: Option<Duration>,
+    /// Last verdict of all entries, and when it was received.
+    merged: Option<(Duration, Verdict)>,
+    /// Observations since the last call of [`HealthRecord::take_sighting`].
     news: Sight,
 }
 
 impl HealthRecord {
-    /// A request was sent there.
+    /// Records that a request was sent to the endpoint.
     pub fn sent(&mut self, now: Duration) {
-        if self.waiting == 0 {
-            self.since = now;
+        if self.outstanding == 0 {
+            self.waiting_since = now;
         }
-        self.waiting += 1;
+        self.outstanding += 1;
     }
 
-    /// A request that waits there got its first byte, `took` after it was sent.
+    /// Records the first byte of an outstanding request, `took` after it was sent.
     pub fn record_first_byte(&mut self, took: Duration) {
-        self.begun += 1;
-        let usual = self.usual.unwrap_or(took);
-        let kept = usual.mul_f64(1.0 - NEWEST_USUAL);
-        self.usual = Some(kept + took.mul_f64(NEWEST_USUAL));
+        self.streaming += 1;
+        let mean = self.first_byte.unwrap_or(took);
+        let kept = mean.mul_f64(1.0 - FIRST_BYTE_WEIGHT);
+        self.first_byte = Some(kept + took.mul_f64(FIRST_BYTE_WEIGHT));
     }
 
-    /// A request no longer waits there, however it ended; `begun`: whether it
-    /// had got its first byte.
+    /// Records that a request is no longer outstanding, whatever its outcome; `begun` if
+    /// its first byte had arrived.
     pub fn ended(&mut self, begun: bool) {
-        self.waiting = self.waiting.saturating_sub(1);
-        self.begun = self.begun.saturating_sub(u32::from(begun));
+        self.outstanding = self.outstanding.saturating_sub(1);
+        self.streaming = self.streaming.saturating_sub(u32::from(begun));
     }
 
-    /// Bytes came from there.
+    /// Records that bytes were received from the endpoint.
     pub fn received(&mut self, now: Duration) {
-        self.heard = now;
-        self.unreached = 0;
-        self.unanswered = None;
+        self.received_at = now;
+        self.connect_failures = 0;
+        self.timed_out_at = None;
     }
 
-    /// A request ended with an answer (`failed`: a failure of the endpoint), or its
-    /// connection broke.
+    /// Records an answer, or a connection that broke. `failed` if the endpoint is at
+    /// fault.
     pub fn record_outcome(&mut self, now: Duration, failed: bool) {
-        self.weigh(now, failed);
+        self.add_outcome(now, failed);
         self.news.answered += 1;
         self.news.failed += u32::from(failed);
     }
 
-    /// A request got no answer in time. That says something of the wait at the endpoint,
-    /// and is weighed here (`failed`: as a failure), but it is no failure to tell others:
-    /// under overload it happens everywhere.
+    /// Records a request without an answer in time, as a failure if `failed`. It counts
+    /// in the failure rate of this entry only and is not reported to others: under
+    /// overload time-outs occur at all endpoints.
     pub fn timed_out(&mut self, now: Duration, failed: bool) {
-        self.weigh(now, failed);
+        self.add_outcome(now, failed);
     }
 
-    fn weigh(&mut self, now: Duration, failed: bool) {
+    fn add_outcome(&mut self, now: Duration, failed: bool) {
         let before = self.failure_rate(now);
         let newest = if failed { 1.0 } else { 0.0 };
-        self.failures = before + (newest - before) * NEWEST;
-        self.judged = now;
+        self.failure_rate = before + (newest - before) * OUTCOME_WEIGHT;
+        self.outcome_at = now;
     }
 
-    /// No connection could be made, or nothing came for too long.
+    /// Records that no connection could be made, or that the endpoint was silent for too
+    /// long.
     pub fn mark_unreachable(&mut self, now: Duration) {
-        let doubled = FIRST_REST * 2u32.pow(self.unreached.min(8));
-        self.rest = now + doubled.min(LONGEST_REST);
-        self.unreached += 1;
+        let doubled = MIN_PAUSE * 2u32.pow(self.connect_failures.min(8));
+        self.paused_until = now + doubled.min(MAX_PAUSE);
+        self.connect_failures += 1;
         self.news.unreached = true;
     }
 
-    /// A new connection got no answer at all, not even a refusal.
+    /// Records a new connection without any answer, not even a refusal.
     pub fn connect_timed_out(&mut self, now: Duration) {
-        self.unanswered = Some(now);
+        self.timed_out_at = Some(now);
         self.mark_unreachable(now);
     }
 
-    /// Another run answered at its address.
+    /// Records that another run of the endpoint answered at its address.
     pub fn replaced(&mut self) {
         self.news.replaced = true;
     }
 
-    /// What this entry met since it told the others last, if anything.
+    /// Returns and resets the observations since the last call, if there are any.
     pub fn take_sighting(&mut self, now: Duration) -> Option<Sight> {
         let news = std::mem::take(&mut self.news);
-        let heard = self.heard > Duration::ZERO;
-        let heard = heard && now.saturating_sub(self.heard) < LATELY;
+        let heard = self.received_at > Duration::ZERO;
+        let heard = heard && now.saturating_sub(self.received_at) < LATELY;
         let sight = Sight { heard, ..news };
         (sight != Sight::default()).then_some(sight)
     }
 
-    /// All entries together see this of it, or nothing of note.
+    /// Sets the verdict of all entries together; `None` if there is none.
     pub fn set_verdict(&mut self, now: Duration, verdict: Option<Verdict>) {
-        self.told = verdict.map(|verdict| (now, verdict));
+        self.merged = verdict.map(|verdict| (now, verdict));
     }
 
-    /// What was told of it, unless that is old or has been proved wrong here.
+    /// The verdict of all entries, unless it is old or contradicted by received bytes.
     fn verdict(&self, now: Duration) -> Option<Verdict> {
-        let (at, verdict) = self.told?;
-        let old = now.saturating_sub(at) >= TOLD_KEPT;
-        let disproved = verdict == Verdict::Silent && self.heard > at;
-        (!old && !disproved).then_some(verdict)
+        let (at, verdict) = self.merged?;
+        let old = now.saturating_sub(at) >= VERDICT_LIFETIME;
+        let contradicted = verdict == Verdict::Silent && self.received_at > at;
+        (!old && !contradicted).then_some(verdict)
     }
 
-    /// A later start of the endpoint was told: this run is over.
+    /// Marks this run as superseded by a later start of the endpoint.
     pub fn mark_superseded(&mut self, now: Duration) {
-        self.over.get_or_insert(now);
+        self.superseded_at.get_or_insert(now);
     }
 
-    /// For how long no bytes came from there; `None` where none ever did.
+    /// Time since bytes were last received; `None` if there never were any.
     pub fn idle_time(&self, now: Duration) -> Option<Duration> {
-        let ever = self.heard > Duration::ZERO;
-        ever.then(|| now.saturating_sub(self.heard))
+        let ever = self.received_at > Duration::ZERO;
+        ever.then(|| now.saturating_sub(self.received_at))
     }
 
-    /// Share of failures, as it counts now.
+    /// Share of failures among recent requests, decayed to `now`.
     pub fn failure_rate(&self, now: Duration) -> f64 {
-        let idle = now.saturating_sub(self.judged).as_secs_f64();
-        self.failures * (-idle / FORGET).exp()
+        let idle = now.saturating_sub(self.outcome_at).as_secs_f64();
+        self.failure_rate * (-idle / FAILURE_DECAY_SECONDS).exp()
     }
 
-    /// For how long nothing came while requests waited for something.
+    /// Time without received bytes while requests were outstanding.
     pub fn silence(&self, now: Duration) -> Duration {
-        if self.waiting == 0 {
+        if self.outstanding == 0 {
             return Duration::ZERO;
         }
-        now.saturating_sub(self.heard.max(self.since))
+        now.saturating_sub(self.received_at.max(self.waiting_since))
     }
 
-    /// Whether a request that has waited there since `sent` had better be
-    /// elsewhere: nothing came since for too long, or a new connection got no
-    /// answer. A refused connection is no reason: an endpoint whose queue is
-    /// long refuses connections and still answers what it has taken. A run that is
-    /// said to be over is left as soon as it is quiet as well: a crash behind a cut
-    /// closes no connection. So is one that others have lost.
+    /// Whether a request outstanding since `sent` should be sent to another endpoint: the
+    /// endpoint has been silent for too long, or a later connection got no answer. A
+    /// refused connection is no reason: an endpoint with a long queue refuses connections
+    /// and still answers accepted requests. For a superseded run, or one that other
+    /// entries find silent, the shortest silence suffices: a crash behind a network
+    /// partition closes no connection.
     pub fn should_abandon(&self, now: Duration, sent: Duration) -> bool {
         let waited = now.saturating_sub(sent);
-        let lost = self.over.is_some() || self.verdict(now) == Some(Verdict::Silent);
-        if lost && self.silence(now).min(waited) >= SHORT_SILENCE {
+        let lost =
+            self.superseded_at.is_some() || self.verdict(now) == Some(Verdict::Silent);
+        if lost && self.silence(now).min(waited) >= MIN_SILENCE {
             return true;
         }
-        let dark = self.unanswered.is_some_and(|at| at > sent);
-        dark || self.silence(now).min(waited) >= self.patience()
+        let unanswered = self.timed_out_at.is_some_and(|at| at > sent);
+        unanswered || self.silence(now).min(waited) >= self.silence_limit()
     }
 
-    /// Silence from which it counts as silent.
-    fn patience(&self) -> Duration {
-        if self.begun > 0 {
-            return SILENCE;
+    /// Time without received bytes from which the endpoint counts as silent.
+    fn silence_limit(&self) -> Duration {
+        if self.streaming > 0 {
+            return STREAM_SILENCE;
         }
-        let usual = self.usual.map(|usual| usual * SILENT_USUALS);
-        let waiting = usual.unwrap_or(LONG_SILENCE);
-        waiting.clamp(SHORT_SILENCE, LONG_SILENCE)
+        let mean = self.first_byte.map(|mean| mean * SILENCE_FACTOR);
+        let waiting = mean.unwrap_or(MAX_SILENCE);
+        waiting.clamp(MIN_SILENCE, MAX_SILENCE)
     }
 
-    /// What the record says now.
+    /// Health of the endpoint at `now`.
     pub fn health(&self, now: Duration) -> Health {
-        // After its rest one request tries it; the others follow when something
-        // came back.
-        let tried = self.unreached > 0 && self.waiting > 0;
-        let told = self.verdict(now);
-        let silent = now < self.rest || tried || self.silence(now) >= self.patience();
-        if silent || told == Some(Verdict::Silent) {
+        // After the pause a single request probes the endpoint; others follow once bytes
+        // have been received.
+        let probing = self.connect_failures > 0 && self.outstanding > 0;
+        let verdict = self.verdict(now);
+        let silent = now < self.paused_until
+            || probing
+            || self.silence(now) >= self.silence_limit();
+        if silent || verdict == Some(Verdict::Silent) {
             Health::Silent
-        } else if told == Some(Verdict::Failing) || self.failure_rate(now) >= FAILING {
+        } else if verdict == Some(Verdict::Failing)
+            || self.failure_rate(now) >= FAILURE_THRESHOLD
+        {
             Health::Failing
         } else {
             Health::Sound
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,41 +1,40 @@
 //! Decisions on the path of a request, as state machines without I/O.
 //!
-//! Everything here is driven by events and a `now` that the caller passes in;
-//! randomness comes from a source that is passed in as well. That makes each
-//! decision testable without sockets, replayable, and cheap to measure. The
-//! parts, from the caller's side to the endpoint's:
+//! Callers pass in events, the current time and a source of randomness, so every decision
+//! can be tested without sockets and replayed. From the caller's side to the endpoint's:
 //!
-//! * [`quota`]: a workspace's limits on requests in flight and per second;
-//! * [`queue`]: requests that wait in the entry, ordered by tier, slack and
-//!   workspace share, bounded in count and bytes;
-//! * [`view`]: what an entry believes of one endpoint's load;
-//! * [`subset`]: which endpoints an entry uses at all;
+//! * [`quota`]: limits of a workspace on requests in flight and per second;
+//! * [`queue`]: requests that wait in the entry, ordered by tier, slack and workspace
+//!   share, bounded in count and bytes;
+//! * [`view`]: the estimated load of one endpoint;
+//! * [`subset`]: the endpoints that an entry uses;
 //! * [`placement`]: the choice of an endpoint;
-//! * [`dispatch`]: the three above joined into one machine per service;
-//! * [`budget`]: how many retries a service may add to its load;
-//! * [`affinity`]: the choice of an endpoint for a prompt whose beginning other
-//!   requests share;
-//! * [`interference`]: whether streams with short pauses are kept apart at all;
-//! * [`reservation`]: which endpoints are kept free of long prompts;
-//! * [`packing`]: how many endpoints streams with short pauses are packed on;
-//! * [`rate`]: how fast endpoints read prompts;
-//! * [`incarnations`]: which run of each endpoint is the newest one;
+//! * [`dispatch`]: queue, views and placement of one service combined;
+//! * [`budget`]: the retries that a service may add to its load;
+//! * [`backlog`] and [`queue_wait`]: the time until a prompt is prefilled;
+//! * [`affinity`]: the choice of an endpoint for a prompt with a shared prefix;
+//! * [`interference`]: whether latency-sensitive streams need endpoints of their own;
+//! * [`reservation`]: how many endpoints are reserved for latency-sensitive streams;
+//! * [`packing`]: how many of the reserved endpoints are used;
+//! * [`event_gap`]: which endpoints are too slow for latency-sensitive streams;
+//! * [`rate`]: the prefill rate of endpoints;
+//! * [`incarnations`]: the newest run of each endpoint;
 //! * [`reads`]: when an entry reads the list of endpoints by itself;
-//! * [`backoff`]: endpoints that ask to be left alone for a while;
-//! * [`permits`]: limits on the rate of requests that endpoints name;
-//! * [`sightings`]: what all entries together see of each endpoint;
-//! * [`quarantine`]: which requests crash endpoints, and are not sent on;
-//! * [`served`]: which requests were served lately;
-//! * [`transfer`]: fetching a large text that several sources have;
-//! * [`true_time`]: what time it is, by many wall clocks;
-//! * [`urgency`]: who goes first at an endpoint;
-//! * [`usage`]: how many requests of each workspace were begun in a window of time;
-//! * [`health`]: which endpoints an entry may use after what came back lately;
-//! * [`gate`]: the agent's decision to start or refuse, with [`limit`], the
-//!   number of requests its endpoint can run at once, learned from token gaps.
+//! * [`backoff`]: endpoints that request a pause before the next request;
+//! * [`permits`]: limits on the request rate that endpoints announce;
+//! * [`sightings`]: the state of each endpoint as all entries together observe it;
+//! * [`quarantine`]: requests that crash endpoints and are no longer sent;
+//! * [`served`]: requests that were served recently;
+//! * [`transfer`]: fetching a large text that several sources hold;
+//! * [`true_time`]: the current time, from many wall clocks;
+//! * [`urgency`]: the priority of a request at an endpoint;
+//! * [`usage`]: requests of each workspace that began in a window of time;
+//! * [`health`]: the endpoints that an entry may use after recent outcomes;
+//! * [`gate`]: the agent's decision to start or refuse a request, with [`limit`], the
+//!   concurrency of its endpoint, learned from token gaps.
 //!
-//! Times are durations since a start that the caller fixes (its own clock),
-//! since only differences matter.
+//! Times are durations since a start that the caller fixes (its own clock), since only
+//! differences matter.
 
 pub mod affinity;
 pub mod backlog;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,30 +1,29 @@
-//! How many requests an endpoint runs well at once, learned from token gaps.
+//! Adaptive concurrency limit of an endpoint, learned from token gaps.
 //!
-//! Additive increase, multiplicative decrease on the ratio of the measured
-//! token gap to the gap that the most demanding running class allows. The
-//! limit only rises while it is in use, since an idle endpoint proves nothing,
-//! and changes at most once in [`MIN_HOLD`], so that the effect of one change is
-//! seen before the next (a decision is held for a minimum time, as in section
-//! 6.2 of "You Can Teach Elephants to Dance").
+//! Additive increase, multiplicative decrease (AIMD) on the ratio of the mean token gap
+//! to the gap that the most demanding running class allows. The limit rises only while it
+//! is in use, since an idle endpoint gives no evidence, and changes at most once per
+//! [`MIN_HOLD`], so that the effect of a change is seen before the next one (decisions
+//! are held for a minimum time, as in section 6.2 of "You Can Teach Elephants to Dance").
 //!
-//! An endpoint that reports requests waiting inside it says how many it runs
-//! at once; that number caps the limit until it has not been confirmed for
-//! [`CAP_LIFETIME`], since an endpoint may be given more slots later.
+//! If an endpoint reports requests that wait inside it, the number that it runs is its
+//! capacity and caps the limit. The cap expires after [`CAP_LIFETIME`] without
+//! confirmation, since an endpoint may be given more slots later.
 
 use crate::Moment;
 
-/// Shortest time between two changes.
+/// Shortest time between two changes of the limit.
 pub const MIN_HOLD: Moment = Moment::from_millis(250);
-/// How long a reported cap holds.
+/// Lifetime of a reported cap that is not renewed.
 pub const CAP_LIFETIME: Moment = Moment::from_secs(60);
 /// Factor of a decrease.
-const BACK_OFF: f64 = 0.85;
-/// Part of the allowed gap up to which the limit may rise.
-const COMFORT: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.85;
+/// Ratio of mean to allowed gap below which the limit may rise.
+const RISE_RATIO: f64 = 0.8;
 /// Part of the limit that must be in use for it to rise.
-const IN_USE: f64 = 0.9;
+const RISE_UTILIZATION: f64 = 0.9;
 
-/// A learned limit between fixed bounds.
+/// A concurrency limit between fixed bounds.
 #[derive(Clone, Debug)]
 pub struct Limit {
     value: f64,
@@ -41,7 +40,7 @@
 }
 
 impl Limit {
-    /// Starts at `first`, between `least` and `most`.
+    /// Starts at `first`, clamped to `least` (at least 1) and `most`.
     pub fn new(first: u32, least: u32, most: u32) -> Self {
         let least = least.max(1);
         let most = most.max(least);
@@ -54,28 +53,31 @@
         }
     }
 
-    /// The limit now.
+    /// Number of requests that may run at once.
     pub fn value(&self) -> u32 {
         self.value as u32
     }
 
-    /// The endpoint ran `running` requests at once while others waited in it.
+    /// Caps the limit at `running`, the number of requests that the endpoint ran while
+    /// others waited inside it.
     pub fn cap(&mut self, now: Moment, running: u32) {
         let value = running.clamp(self.least, self.most);
         self.cap = Some(Cap { value, since: now });
         self.value = self.value.min(f64::from(value));
     }
 
-    /// Learns from a mean `gap` measured while `running` requests ran, of
-    /// which the most demanding allows `allowed`.
+    /// Adjusts the limit by the mean token `gap` while `running` requests ran, of which
+    /// the most demanding one allows a gap of `allowed`.
     pub fn learn(&mut self, now: Moment, gap: Moment, allowed: Moment, running: u32) {
         if now < self.changed + MIN_HOLD || gap.is_zero() {
             return;
         }
         let ratio = gap.as_secs_f64() / allowed.as_secs_f64().max(1e-9);
         let next = if ratio > 1.0 {
-            self.value * BACK_OFF
-        } else if ratio < COMFORT && f64::from(running) >= self.value * IN_USE {
+            self.value * DECREASE_FACTOR
+        } else if ratio < RISE_RATIO
+            && f64::from(running) >= self.value * RISE_UTILIZATION
+        {
             self.value + 1.0
         } else {
             return;
--- a/crates/policy/src/packing.rs
+++ b/crates/policy/src/packing.rs
@@ -1,31 +1,30 @@
-//! On how many endpoints of their lane streams with short pauses run.
+//! How many of their reserved endpoints latency-sensitive streams use.
 //!
-//! The pattern: some dozens of short streams that run beside one another. What
-//! disturbs them is each other's prompts, so the more endpoints they use, the
-//! rarer prompts meet streams. Filling one endpoint to a quarter of its slots
-//! before the next, where prompts have 1,460 tokens and streams last a second,
-//! keeps an endpoint reading for half of the time: 9 to 19 in 100 of the most
-//! urgent streams were late, and 8 to 14 when they used all.
+//! Short streams are delayed by the prompts of each other. The more endpoints they use,
+//! the more rarely a prompt is prefilled beside a stream. Filling one endpoint to a
+//! quarter of its slots before the next, with prompts of 1,460 tokens and streams of one
+//! second, keeps an endpoint prefilling half of the time: 9 to 19 in 100 of the most
+//! urgent streams were late, against 8 to 14 with all endpoints in use.
 //!
-//! Slow endpoints are the exception: there every stream is late that is disturbed
-//! at all, so they are used when the others are filled.
+//! Slow endpoints are an exception: every stream that a prompt delays there is late, so
+//! they are used only when the others are filled.
 
-/// Share of its slots up to which an endpoint is filled before slow ones are used:
-/// 38 of 64. What is left is for bursts and for what other entries send.
-const FILLED: f64 = 0.6;
+/// Share of its slots up to which an endpoint is filled before slow ones are used: 38 of
+/// 64. The rest is left for bursts and for requests of other entries.
+const FILL_TARGET: f64 = 0.6;
 
-/// What runs on one endpoint.
+/// Load of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Occupancy {
-    /// Requests that run or wait.
+    /// Running and waiting requests.
     pub busy: f64,
     /// Requests that can run at once.
     pub slots: f64,
 }
 
-/// How many of the endpoints, in their order, are used, of which the first `quick`
-/// are not slow: these, and as many of the others as are needed so that together
-/// they are not filled beyond their share.
+/// Number of endpoints, from the start of their order, that streams use. The `quick` ones
+/// that come first and are not slow are all used, and as many of the others as keep all
+/// of them together within [`FILL_TARGET`].
 pub fn endpoints_used(
     endpoints: impl ExactSizeIterator<Item = Occupancy>,
     quick: usize,
@@ -33,7 +32,7 @@
     let all = endpoints.len();
     let mut room = 0.0;
     for (at, endpoint) in endpoints.enumerate() {
-        room += endpoint.slots * FILLED - endpoint.busy;
+        room += endpoint.slots * FILL_TARGET - endpoint.busy;
         if room > 0.0 {
             return (at + 1).max(quick).min(all);
         }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,7 +1,6 @@
 //! The choice of an endpoint for one request.
 //!
-//! [`Predicted`] is the product's own policy; the others are the baselines it
-//! is measured against and stay in the code for that reason.
+//! [`Predicted`] is the default policy. The others are baselines for experiments.
 
 use crate::Moment;
 use crate::view::View;
@@ -10,57 +9,56 @@
 use rand::Rng;
 use rand::RngExt;
 
-/// Random candidates that are compared for one request.
+/// Random endpoints with room whose cost is compared for one request.
 pub const MAX_CANDIDATES: usize = 3;
-/// Most endpoints that are looked at for one request and stage. It bounds the
-/// cost of a decision whatever the number of endpoints; where all of them are
-/// full the request waits, and the next freed slot is offered to it directly.
+/// Endpoints examined per request and stage. Bounds the cost of a decision for any number
+/// of endpoints; if all of them are full the request waits, and the next freed slot is
+/// offered to it directly.
 pub const MAX_PROBES: usize = 48;
-/// An endpoint slower than this many times the median of its peers is a
-/// straggler. It is used only while so much waits that a request is done
-/// sooner on it than after waiting for another: with `n` requests running and
-/// `w` waiting, the queue is worked off in `w/n` times a request's length, so
-/// an endpoint `r` times slower is worth it while `r - 1 < w/n`.
+/// An endpoint whose latency is above this multiple of the median is a straggler. It is
+/// used only while the queue is so long that a request finishes sooner on it than after
+/// waiting for another endpoint: with `n` requests running and `w` waiting, the queue
+/// drains in `w/n` request durations, so an endpoint `r` times slower pays off while `r -
+/// 1 < w/n`.
 pub const STRAGGLER_FACTOR: f64 = 3.0;
-/// A straggler of which nothing was heard for this long gets one request that
-/// is not of the most urgent tier, so that it can show it recovered.
+/// A straggler without a report for this long gets one request, not of the most urgent
+/// tier, so that a recovery is noticed.
 const PROBE_AFTER: Moment = Moment::from_secs(3);
-/// Fewest endpoints among which a straggler can be told.
-const PEERS: usize = 3;
+/// Fewest endpoints with a known latency among which stragglers are identified.
+const MIN_PEERS: usize = 3;
 
-/// What a choice depends on besides the views.
+/// The request to be placed and the state of its queue.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest {
-    /// Present time.
+    /// Current time.
     pub now: Moment,
     /// Tier of the request.
     pub tier: Tier,
-    /// Whether the class is owed this start.
+    /// Whether the start is due to the starvation limit, and uses the room of tier 0.
     pub due: bool,
-    /// View of an endpoint that just got a free slot.
+    /// Index of the endpoint that has just got a free slot.
     pub freed: Option<usize>,
-    /// Waiting requests for each running one.
+    /// Waiting requests per running one.
     pub backlog: f64,
 }
 
-/// Chooses an endpoint.
+/// A placement policy.
 pub trait Placement: Send + std::fmt::Debug {
-    /// Index of the chosen view, or `None` where the request has to wait.
-    /// `tried` holds indices that refused this request already.
+    /// Returns the index of the chosen view, or `None` if the request has to wait.
+    /// `tried` holds the indices of endpoints that have refused this request.
     fn pick(
         &mut self,
         views: &[View],
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize>;
 
-    /// Whether requests wait in the order of tiers (true) or in one queue
-    /// first come, first served.
+    /// Whether requests wait in the order of tiers (true) or in one FIFO queue (false).
     fn tiered(&self) -> bool;
 }
 
-/// Names of the policies, as settings write them.
+/// The placement policies that settings can select.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum Policy {
     /// [`Predicted`].
@@ -86,11 +84,11 @@
         Self::RoundRobin,
         Self::LeastLoad,
     ];
-    /// Their names in settings.
+    /// Names in settings.
     pub const NAMES: [&'static str; 4] =
         ["predicted", "random", "round-robin", "least-load"];
 
-    /// Makes the policy for an entry in `domain`.
+    /// Creates the policy for an entry in `domain`.
     pub fn build(self, domain: DomainId) -> Box<dyn Placement> {
         match self {
             Self::Predicted => Box::new(Predicted::new(domain)),
@@ -101,16 +99,16 @@
     }
 }
 
-/// A few random candidates with room, in the own failure domain first, and of
-/// those the one with the least believed cost. Randomness keeps entries with
-/// the same stale reports from choosing the same endpoint.
+/// The cheapest of a few random endpoints with room, in the own failure domain first.
+/// Random candidates keep entries with the same stale reports from choosing the same
+/// endpoint.
 #[derive(Debug)]
 pub struct Predicted {
     domain: DomainId,
 }
 
 impl Predicted {
-    /// Policy of an entry in `domain`.
+    /// Creates the policy of an entry in `domain`.
     pub fn new(domain: DomainId) -> Self {
         Self { domain }
     }
@@ -118,25 +116,28 @@
     fn sample(
         &self,
         views: &[View],
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         random: &mut dyn Rng,
         fits: impl Fn(usize) -> bool,
     ) -> Option<usize> {
         let count = views.len();
         let start = random.random_range(0..count);
-        // A random start and a stride that has no common divisor with the
-        // count visit every view once, in an order that differs per request.
+        // A random start and a stride coprime to the count visit every view once, in an
+        // order that differs per request.
         let stride = coprime(count, random.random_range(1..=count));
-        let free = |i: usize| fits(i) && views[i].has_room(wish.now, wish.tier, wish.due);
-        let mut best = wish.freed.filter(|i| free(*i));
+        let free = |i: usize| {
+            fits(i) && views[i].has_room(request.now, request.tier, request.due)
+        };
+        let mut best = request.freed.filter(|i| free(*i));
         let mut found = 0;
         for step in 0..count.min(MAX_PROBES) {
             let i = (start + step * stride) % count;
             if !free(i) {
                 continue;
             }
-            let cheaper = best
-                .is_none_or(|best| views[i].cost(wish.now) < views[best].cost(wish.now));
+            let cheaper = best.is_none_or(|best| {
+                views[i].cost(request.now) < views[best].cost(request.now)
+            });
             if cheaper {
                 best = Some(i);
             }
@@ -153,30 +154,30 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize> {
         if views.is_empty() {
             return None;
         }
-        let median = median_speed(views);
-        let patient = (1.0 + wish.backlog).max(STRAGGLER_FACTOR);
+        let median = median_latency(views);
+        let tolerance = (1.0 + request.backlog).max(STRAGGLER_FACTOR);
         let within = |i: usize, factor: f64| {
             median.is_none_or(|median| views[i].latency() <= median * factor)
         };
-        let fresh = |i: usize| !tried.contains(&i);
+        let untried = |i: usize| !tried.contains(&i);
         let probed = |i: usize| {
-            wish.tier > 0
+            request.tier > 0
                 && views[i].outstanding() == 0
-                && views[i].stale(wish.now, PROBE_AFTER)
+                && views[i].stale(request.now, PROBE_AFTER)
         };
-        let quick = |i: usize| fresh(i) && (within(i, STRAGGLER_FACTOR) || probed(i));
-        let near = |i: usize| quick(i) && views[i].domain == self.domain;
-        let any = |i: usize| fresh(i) && within(i, patient);
-        self.sample(views, wish, random, near)
-            .or_else(|| self.sample(views, wish, random, quick))
-            .or_else(|| self.sample(views, wish, random, any))
+        let usable = |i: usize| untried(i) && (within(i, STRAGGLER_FACTOR) || probed(i));
+        let local = |i: usize| usable(i) && views[i].domain == self.domain;
+        let any = |i: usize| untried(i) && within(i, tolerance);
+        self.sample(views, request, random, local)
+            .or_else(|| self.sample(views, request, random, usable))
+            .or_else(|| self.sample(views, request, random, any))
     }
 
     fn tiered(&self) -> bool {
@@ -184,22 +185,22 @@
     }
 }
 
-/// Median speed of a bounded sample of the views whose speed is known; `None`
-/// where too few are.
-fn median_speed(views: &[View]) -> Option<f64> {
+/// Median latency of a bounded sample of the views, in seconds; `None` if it is known for
+/// fewer than [`MIN_PEERS`] of them.
+fn median_latency(views: &[View]) -> Option<f64> {
     const SAMPLE: usize = 32;
     let step = views.len().div_ceil(SAMPLE).max(1);
-    let mut speeds: Vec<f64> = views
+    let mut latencies: Vec<f64> = views
         .iter()
         .step_by(step)
         .map(View::latency)
-        .filter(|speed| *speed > 0.0)
+        .filter(|latency| *latency > 0.0)
         .collect();
-    if speeds.len() < PEERS {
+    if latencies.len() < MIN_PEERS {
         return None;
     }
-    let middle = speeds.len() / 2;
-    let (_, median, _) = speeds.select_nth_unstable_by(middle, f64::total_cmp);
+    let middle = latencies.len() / 2;
+    let (_, median, _) = latencies.select_nth_unstable_by(middle, f64::total_cmp);
     Some(*median)
 }
 
@@ -215,16 +216,16 @@
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
-/// What baselines choose from: endpoints believed to have a free slot. Without
-/// this they would send everything that waits to full endpoints over and over,
-/// and be measured for that instead of their choice.
-fn open(views: &[View], wish: &PlacementRequest, tried: &[usize]) -> Vec<usize> {
+/// The endpoints among which baselines choose: those estimated to have a free slot.
+/// Without this restriction baselines would send waiting requests to full endpoints over
+/// and over, which would dominate their results.
+fn candidates(views: &[View], request: &PlacementRequest, tried: &[usize]) -> Vec<usize> {
     (0..views.len())
-        .filter(|i| views[*i].has_room(wish.now, 0, false) && !tried.contains(i))
+        .filter(|i| views[*i].has_room(request.now, 0, false) && !tried.contains(i))
         .collect()
 }
 
-/// Baseline: any endpoint with room.
+/// Baseline: a random endpoint with room.
 #[derive(Debug)]
 pub struct Random;
 
@@ -232,15 +233,15 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize> {
-        let open = open(views, wish, tried);
-        if open.is_empty() {
+        let candidates = candidates(views, request, tried);
+        if candidates.is_empty() {
             return None;
         }
-        Some(open[random.random_range(0..open.len())])
+        Some(candidates[random.random_range(0..candidates.len())])
     }
 
     fn tiered(&self) -> bool {
@@ -248,7 +249,7 @@
     }
 }
 
-/// Baseline: one endpoint after the other.
+/// Baseline: the endpoints with room in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -258,16 +259,16 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[usize],
         _random: &mut dyn Rng,
     ) -> Option<usize> {
-        let open = open(views, wish, tried);
-        if open.is_empty() {
+        let candidates = candidates(views, request, tried);
+        if candidates.is_empty() {
             return None;
         }
         self.next = self.next.wrapping_add(1);
-        Some(open[self.next % open.len()])
+        Some(candidates[self.next % candidates.len()])
     }
 
     fn tiered(&self) -> bool {
@@ -275,7 +276,7 @@
     }
 }
 
-/// Baseline: the endpoint whose last report named the fewest requests.
+/// Baseline: an endpoint with the fewest running requests in its last report.
 #[derive(Debug)]
 pub struct LeastLoad;
 
@@ -283,16 +284,16 @@
     fn pick(
         &mut self,
         views: &[View],
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[usize],
         random: &mut dyn Rng,
     ) -> Option<usize> {
-        let open = open(views, wish, tried);
-        let least = open
+        let candidates = candidates(views, request, tried);
+        let least = candidates
             .iter()
             .map(|i| views[*i].reported())
             .fold(f64::INFINITY, f64::min);
-        let tied: Vec<usize> = open
+        let tied: Vec<usize> = candidates
             .into_iter()
             .filter(|i| views[*i].reported() <= least)
             .collect();
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,20 +1,19 @@
-//! Requests that wait in an entry for a place at an endpoint.
+//! Requests that wait in an entry for a free slot at an endpoint.
 //!
-//! Order: the lowest tier number first; inside a tier the class whose oldest
-//! request has the least slack to its target; inside a class the workspaces
-//! share by weight (stride scheduling); inside a workspace first come, first
-//! served. Beside that order every class is owed a start: once [`STARVATION_LIMIT`]
-//! requests have started since a waiting class last had its turn, it goes
-//! next, whatever its tier. With `k` classes waiting, each of them therefore
-//! starts one request in every `OWED + k` starts, under any load above it.
+//! Order: the lowest tier number first; inside a tier the class whose next request has
+//! the least slack to its latency target; inside a class the workspaces share by weight
+//! (stride scheduling); inside a workspace FIFO. To prevent starvation a class is due for
+//! a start, whatever its tier, once [`STARVATION_LIMIT`] requests have started since its
+//! last turn. With `k` classes waiting, each of them therefore starts one request in
+//! every `STARVATION_LIMIT + k` starts, under any load of more urgent tiers.
 //!
-//! Bounds: at most `count` requests and `bytes` bytes. When a bound is met the
-//! newest request of the lowest tier gives way, so a request is never shed
-//! for one of a lower tier.
+//! Bounds: at most `count` requests and `bytes` bytes. When a bound is exceeded, the
+//! newest request of the least urgent tier is shed, so a request is never shed for a less
+//! urgent one.
 //!
-//! Entries are kept in a slab and referred to by tickets; lists hold tickets
-//! and drop stale ones lazily, so that every operation costs at most a
-//! logarithm of what waits.
+//! Requests are stored in a slab and referred to by tickets. Lists hold tickets and drop
+//! stale ones lazily, so that the cost of every operation is at most logarithmic in the
+//! number of waiting requests.
 
 mod class;
 
@@ -22,52 +21,53 @@
 use class::ClassQueue;
 use dogwoodhill_core::ids::{ClassId, TIERS, Tier, WorkspaceId};
 
-/// Starts after which a waiting class gets a turn whatever its tier.
+/// Starts of other requests after which a waiting class is due, whatever its tier.
 pub const STARVATION_LIMIT: u64 = 32;
-/// Stale tickets that a tier's arrival list keeps before it is compacted.
-const STALE: usize = 64;
+/// Stale tickets that a tier's arrival list may hold beyond the number of live ones
+/// before it is compacted.
+const MAX_STALE: usize = 64;
 
-/// Names one waiting request; never used again after it left.
+/// Identifies one waiting request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     seq: u64,
     slot: usize,
 }
 
-/// What the order depends on.
+/// The properties of a request that determine its position in the queue.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// Class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Tier of the class.
+    /// Tier of the class; 0 is the most urgent.
     pub tier: Tier,
-    /// Workspace.
+    /// Workspace that sent the request.
     pub workspace: WorkspaceId,
     /// Weight of the workspace, at least 1.
     pub weight: u32,
-    /// Time until the class's latency target, counted from arrival.
+    /// Latency target of the class, counted from arrival.
     pub target: Moment,
     /// When the caller's deadline passes.
     pub deadline: Moment,
-    /// Memory the request holds.
+    /// Memory that the request occupies.
     pub bytes: usize,
 }
 
-/// A request on its way out of the queue.
+/// A queued request with its payload.
 #[derive(Clone, Debug)]
 pub struct Waiting<P> {
-    /// Its ticket.
+    /// Identifier within the queue.
     pub ticket: Ticket,
-    /// When it arrived first.
+    /// When the request first arrived; kept when it is put back.
     pub arrived: Moment,
-    /// What the order depended on.
+    /// Properties that determine its position.
     pub item: Item,
-    /// What the owner stored with it.
+    /// Data that the caller of the queue keeps with the request.
     pub payload: P,
 }
 
 impl<P> Waiting<P> {
-    /// Exchanges the payload, and hands back the one it had.
+    /// Replaces the payload and returns the old one beside the request.
     pub fn swap<Q>(self, payload: Q) -> Swapped<P, Q> {
         let waiting = Waiting {
             ticket: self.ticket,
@@ -82,21 +82,21 @@
     }
 }
 
-/// A request with its payload exchanged.
+/// Result of [`Waiting::swap`].
 #[derive(Debug)]
 pub struct Swapped<P, Q> {
     /// The request with the new payload.
     pub waiting: Waiting<Q>,
-    /// The payload it had.
+    /// The old payload.
     pub payload: P,
 }
 
-/// Bounds of a queue.
+/// Bounds of a queue, both inclusive.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most requests.
+    /// Number of waiting requests.
     pub count: usize,
-    /// Most bytes held by them.
+    /// Memory that the waiting requests occupy.
     pub bytes: usize,
 }
 
@@ -107,7 +107,9 @@
     slab: Vec<Option<Waiting<P>>>,
     free: Vec<usize>,
     classes: Vec<ClassQueue>,
+    /// Tickets of each tier by arrival, stale ones among them.
     arrivals: [Vec<Ticket>; TIERS],
+    /// Waiting requests of each tier.
     live: [usize; TIERS],
     bytes: usize,
     next: u64,
@@ -115,7 +117,7 @@
 }
 
 impl<P> Queue<P> {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
@@ -135,12 +137,12 @@
         self.live.iter().sum()
     }
 
-    /// Tells whether nothing waits.
+    /// Whether there are no waiting requests.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes held by waiting requests.
+    /// Memory that the waiting requests occupy, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -150,18 +152,17 @@
         self.live[usize::from(tier)]
     }
 
-    /// Tells whether a request of `tier` would have to wait behind another.
+    /// Whether a request of `tier` would wait behind one of an equal or more urgent tier.
     pub fn blocks(&self, tier: Tier) -> bool {
         self.live[..=usize::from(tier)].iter().any(|n| *n > 0)
     }
 
-    /// Adds a request and returns those that gave way for it, which may
-    /// include itself.
+    /// Adds a request and returns those that were shed for it, which may include itself.
     pub fn push(&mut self, now: Moment, item: Item, payload: P) -> Vec<Waiting<P>> {
         let ticket = self.insert(now, item, payload);
-        self.enter(ticket, false);
+        self.enqueue(ticket, false);
         let mut shed = Vec::new();
-        while self.over() {
+        while self.exceeds_bounds() {
             let newest = self
                 .newest()
                 .expect("a queue over its bounds holds something");
@@ -170,32 +171,33 @@
         shed
     }
 
-    /// Puts a request that was taken out back to the head of its workspace.
-    /// The bounds are not applied: it had its place before.
+    /// Returns a request to the head of its workspace. The bounds are not applied, since
+    /// the request was admitted before.
     pub fn put_back(&mut self, waiting: Waiting<P>) {
         let slot = self.slot();
         let ticket = Ticket {
             seq: waiting.ticket.seq,
             slot,
         };
-        self.hold(ticket, Waiting { ticket, ..waiting });
-        self.enter(ticket, true);
+        self.store_request(ticket, Waiting { ticket, ..waiting });
+        self.enqueue(ticket, true);
     }
 
-    /// The class whose turn it is, with whether the turn is owed, or `None`
-    /// where nothing waits. `skip` tells which classes can't start now.
+    /// Selects the class that starts next; `None` if no class waits that may start.
+    /// `skip` is called with class, tier and whether the turn is due, and excludes
+    /// classes that can't start now.
     pub fn turn(
         &mut self,
         now: Moment,
         skip: impl Fn(&ClassId, Tier, bool) -> bool,
     ) -> Option<Turn> {
         for i in 0..self.classes.len() {
-            self.classes[i].settle(&self.slab);
+            self.classes[i].drop_stale(&self.slab);
         }
-        self.owed(&skip).or_else(|| self.ordered(now, &skip))
+        self.due_turn(&skip).or_else(|| self.next_turn(now, &skip))
     }
 
-    /// Takes the next request of the class that `turn` names.
+    /// Removes and returns the next request of the class of `turn`, and counts a start.
     pub fn take(&mut self, turn: &Turn) -> Option<Waiting<P>> {
         self.starts += 1;
         let starts = self.starts;
@@ -204,13 +206,13 @@
         self.remove(ticket)
     }
 
-    /// Removes a request, because its caller went away.
+    /// Removes a request; `None` if the ticket is stale.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting<P>> {
-        let place = self.slab.get_mut(ticket.slot)?;
-        if place.as_ref()?.ticket != ticket {
+        let entry = self.slab.get_mut(ticket.slot)?;
+        if entry.as_ref()?.ticket != ticket {
             return None;
         }
-        let waiting = place.take()?;
+        let waiting = entry.take()?;
         self.free.push(ticket.slot);
         let tier = usize::from(waiting.item.tier);
         self.live[tier] -= 1;
@@ -218,13 +220,13 @@
         Some(waiting)
     }
 
-    /// Removes every request that `out` names.
-    pub fn extract(&mut self, out: impl Fn(&Waiting<P>) -> bool) -> Vec<Waiting<P>> {
+    /// Removes and returns all requests for which `out` is true.
+    pub fn extract(&mut self, matches: impl Fn(&Waiting<P>) -> bool) -> Vec<Waiting<P>> {
         let tickets: Vec<Ticket> = self
             .slab
             .iter()
             .flatten()
-            .filter(|waiting| out(waiting))
+            .filter(|waiting| matches(waiting))
             .map(|waiting| waiting.ticket)
             .collect();
         let mut extracted = Vec::new();
@@ -245,7 +247,7 @@
             item,
             payload,
         };
-        self.hold(ticket, waiting);
+        self.store_request(ticket, waiting);
         ticket
     }
 
@@ -256,13 +258,13 @@
         })
     }
 
-    fn hold(&mut self, ticket: Ticket, waiting: Waiting<P>) {
+    fn store_request(&mut self, ticket: Ticket, waiting: Waiting<P>) {
         self.bytes += waiting.item.bytes;
         self.live[usize::from(waiting.item.tier)] += 1;
         self.slab[ticket.slot] = Some(waiting);
     }
 
-    fn enter(&mut self, ticket: Ticket, first: bool) {
+    fn enqueue(&mut self, ticket: Ticket, first: bool) {
         let waiting = self.slab[ticket.slot].as_ref().expect("held above");
         let item = &waiting.item;
         let found = self
@@ -276,29 +278,29 @@
         self.classes[index].push(ticket, item, first, self.starts);
         let tier = usize::from(item.tier);
         let arrivals = &mut self.arrivals[tier];
-        let place = arrivals.partition_point(|other| *other < ticket);
-        arrivals.insert(place, ticket);
+        let position = arrivals.partition_point(|other| *other < ticket);
+        arrivals.insert(position, ticket);
         self.compact(tier);
     }
 
-    /// Drops stale tickets of a tier once they outnumber live ones.
+    /// Drops the stale tickets of a tier once they outnumber live ones by [`MAX_STALE`].
     fn compact(&mut self, tier: usize) {
-        if self.arrivals[tier].len() <= 2 * self.live[tier] + STALE {
+        if self.arrivals[tier].len() <= 2 * self.live[tier] + MAX_STALE {
             return;
         }
         let slab = &self.slab;
-        self.arrivals[tier].retain(|ticket| live(slab, *ticket));
+        self.arrivals[tier].retain(|ticket| is_live(slab, *ticket));
     }
 
-    fn over(&self) -> bool {
+    fn exceeds_bounds(&self) -> bool {
         self.len() > self.bounds.count || self.bytes > self.bounds.bytes
     }
 
-    /// The newest request of the lowest tier.
+    /// The newest request of the least urgent tier.
     fn newest(&mut self) -> Option<Ticket> {
         for tier in (0..TIERS).rev() {
             while let Some(ticket) = self.arrivals[tier].pop() {
-                if live(&self.slab, ticket) {
+                if is_live(&self.slab, ticket) {
                     return Some(ticket);
                 }
             }
@@ -306,12 +308,12 @@
         None
     }
 
-    fn owed(&self, skip: &impl Fn(&ClassId, Tier, bool) -> bool) -> Option<Turn> {
+    fn due_turn(&self, skip: &impl Fn(&ClassId, Tier, bool) -> bool) -> Option<Turn> {
         let starts = self.starts;
         let due = self.classes.iter().enumerate().filter(|(_, class)| {
-            class.owed(starts) && !skip(class.name(), class.tier(), true)
+            class.is_due(starts) && !skip(class.name(), class.tier(), true)
         });
-        let oldest = due.min_by_key(|(_, class)| class.turned())?;
+        let oldest = due.min_by_key(|(_, class)| class.last_turn())?;
         Some(Turn {
             index: oldest.0,
             class: oldest.1.name().clone(),
@@ -320,7 +322,7 @@
         })
     }
 
-    fn ordered(
+    fn next_turn(
         &self,
         now: Moment,
         skip: &impl Fn(&ClassId, Tier, bool) -> bool,
@@ -340,19 +342,19 @@
     }
 }
 
-/// Whose turn it is.
+/// The class that starts next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turn {
     index: usize,
-    /// Class.
+    /// Name of the class.
     pub class: ClassId,
-    /// Its tier.
+    /// Tier of the class.
     pub tier: Tier,
-    /// Whether the class is owed this start.
+    /// Whether the start is due to [`STARVATION_LIMIT`] instead of the usual order.
     pub due: bool,
 }
 
-fn live<P>(slab: &[Option<Waiting<P>>], ticket: Ticket) -> bool {
+fn is_live<P>(slab: &[Option<Waiting<P>>], ticket: Ticket) -> bool {
     let held = slab.get(ticket.slot).and_then(Option::as_ref);
     held.is_some_and(|waiting| waiting.ticket == ticket)
 }
--- a/crates/policy/src/queue/class.rs
+++ b/crates/policy/src/queue/class.rs
@@ -1,33 +1,34 @@
 //! The waiting requests of one class, shared between workspaces by weight.
 //!
-//! Stride scheduling: each workspace has a pass value; the one with the least
-//! goes next and its pass grows by `STRIDE / weight`. A workspace that comes
-//! back after it was empty starts at the class's present pass, so idle time
-//! earns it nothing.
+//! Stride scheduling: each workspace has a pass value; the one with the lowest goes next
+//! and its pass grows by `STRIDE / weight`. A workspace that was empty resumes at the
+//! present pass of the class, so that idle time earns no credit.
 
-use super::{Item, STARVATION_LIMIT, Ticket, Waiting, live};
+use super::{Item, STARVATION_LIMIT, Ticket, Waiting, is_live};
 use crate::Moment;
 use dogwoodhill_core::ids::{ClassId, Tier, WorkspaceId};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Pass that a workspace of weight 1 adds for each start.
+/// Increment of the pass of a workspace of weight 1 for each start.
 const STRIDE: u64 = 1 << 20;
 
+/// The waiting requests of one workspace.
 #[derive(Debug)]
-struct Lane {
+struct Flow {
     workspace: WorkspaceId,
     weight: u32,
     pass: u64,
+    /// Whether the workspace has an entry in the order.
     queued: bool,
     tickets: VecDeque<Ticket>,
 }
 
-/// A workspace's place in the order: pass first, then lane.
+/// Position of a workspace in the order: by pass, then by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Position {
     pass: u64,
-    lane: usize,
+    flow: usize,
 }
 
 /// Waiting requests of one class.
@@ -35,11 +36,14 @@
 pub(super) struct ClassQueue {
     name: ClassId,
     tier: Tier,
-    lanes: Vec<Lane>,
-    names: Vec<usize>,
-    order: BinaryHeap<Reverse<Place>>,
+    flows: Vec<Flow>,
+    /// Indices of `flows`, sorted by workspace.
+    by_name: Vec<usize>,
+    order: BinaryHeap<Reverse<Position>>,
+    /// Pass of the workspace that started last.
     pass: u64,
-    turned: u64,
+    /// Starts of the whole queue at this class's last turn.
+    last_turn: u64,
 }
 
 impl ClassQueue {
@@ -47,11 +51,11 @@
         Self {
             name,
             tier,
-            lanes: Vec::new(),
-            names: Vec::new(),
+            flows: Vec::new(),
+            by_name: Vec::new(),
             order: BinaryHeap::new(),
             pass: 0,
-            turned: 0,
+            last_turn: 0,
         }
     }
 
@@ -63,68 +67,68 @@
         self.tier
     }
 
-    /// Tells whether nothing waits; exact after [`Self::settle`].
+    /// Whether no requests wait; exact after [`Self::drop_stale`].
     pub(super) fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
     /// Starts of the whole queue at this class's last turn.
-    pub(super) fn turned(&self) -> u64 {
-        self.turned
+    pub(super) fn last_turn(&self) -> u64 {
+        self.last_turn
     }
 
-    pub(super) fn owed(&self, starts: u64) -> bool {
-        !self.is_empty() && starts - self.turned >= STARVATION_LIMIT
+    pub(super) fn is_due(&self, starts: u64) -> bool {
+        !self.is_empty() && starts - self.last_turn >= STARVATION_LIMIT
     }
 
     pub(super) fn push(&mut self, ticket: Ticket, item: &Item, first: bool, starts: u64) {
         if self.is_empty() {
-            self.turned = self.turned.max(starts.saturating_sub(STARVATION_LIMIT));
+            self.last_turn = self.last_turn.max(starts.saturating_sub(STARVATION_LIMIT));
         }
         self.tier = item.tier;
-        let lane = self.lane(&item.workspace);
+        let flow = self.flow(&item.workspace);
         let pass = self.pass;
-        let state = &mut self.lanes[lane];
-        state.weight = item.weight.max(1);
+        let entry = &mut self.flows[flow];
+        entry.weight = item.weight.max(1);
         if first {
-            state.tickets.push_front(ticket);
+            entry.tickets.push_front(ticket);
         } else {
-            state.tickets.push_back(ticket);
+            entry.tickets.push_back(ticket);
         }
-        if !state.queued {
-            state.queued = true;
-            state.pass = state.pass.max(pass);
-            let pass = state.pass;
-            self.order.push(Reverse(Place { pass, lane }));
+        if !entry.queued {
+            entry.queued = true;
+            entry.pass = entry.pass.max(pass);
+            let pass = entry.pass;
+            self.order.push(Reverse(Position { pass, flow }));
         }
     }
 
-    /// Takes the next ticket out and notes the turn.
+    /// Removes the next ticket and records the turn.
     pub(super) fn pop<P>(
         &mut self,
         starts: u64,
         slab: &[Option<Waiting<P>>],
     ) -> Option<Ticket> {
-        self.settle(slab);
-        let Reverse(place) = self.order.pop()?;
-        let lane = &mut self.lanes[place.lane];
-        let ticket = lane.tickets.pop_front()?;
-        self.turned = starts;
-        self.pass = place.pass;
-        lane.pass = place.pass + STRIDE / u64::from(lane.weight);
-        lane.queued = !lane.tickets.is_empty();
-        if lane.queued {
-            let pass = lane.pass;
-            self.order.push(Reverse(Place { pass, ..place }));
+        self.drop_stale(slab);
+        let Reverse(position) = self.order.pop()?;
+        let flow = &mut self.flows[position.flow];
+        let ticket = flow.tickets.pop_front()?;
+        self.last_turn = starts;
+        self.pass = position.pass;
+        flow.pass = position.pass + STRIDE / u64::from(flow.weight);
+        flow.queued = !flow.tickets.is_empty();
+        if flow.queued {
+            let pass = flow.pass;
+            self.order.push(Reverse(Position { pass, ..position }));
         }
         Some(ticket)
     }
 
-    /// Slack of the request that would go next: time until its target, in
-    /// nanoseconds, negative once it is past.
+    /// Slack of the request that starts next: time until its latency target in
+    /// nanoseconds, negative once the target is missed.
     pub(super) fn slack<P>(&self, now: Moment, slab: &[Option<Waiting<P>>]) -> i128 {
-        let head = self.order.peek().and_then(|Reverse(place)| {
-            let ticket = self.lanes[place.lane].tickets.front()?;
+        let head = self.order.peek().and_then(|Reverse(position)| {
+            let ticket = self.flows[position.flow].tickets.front()?;
             slab[ticket.slot].as_ref()
         });
         head.map_or(i128::MAX, |waiting| {
@@ -133,39 +137,39 @@
         })
     }
 
-    /// Drops stale tickets from the head of the order, so that its top names
-    /// a live request or nothing waits.
-    pub(super) fn settle<P>(&mut self, slab: &[Option<Waiting<P>>]) {
-        while let Some(Reverse(place)) = self.order.peek().copied() {
-            let lane = &mut self.lanes[place.lane];
-            while lane.tickets.front().is_some_and(|t| !live(slab, *t)) {
-                lane.tickets.pop_front();
+    /// Drops stale tickets from the head of the order, so that its top is a live request
+    /// or the order is empty.
+    pub(super) fn drop_stale<P>(&mut self, slab: &[Option<Waiting<P>>]) {
+        while let Some(Reverse(position)) = self.order.peek().copied() {
+            let flow = &mut self.flows[position.flow];
+            while flow.tickets.front().is_some_and(|t| !is_live(slab, *t)) {
+                flow.tickets.pop_front();
             }
-            if !lane.tickets.is_empty() {
+            if !flow.tickets.is_empty() {
                 return;
             }
-            lane.queued = false;
+            flow.queued = false;
             self.order.pop();
         }
     }
 
-    fn lane(&mut self, workspace: &WorkspaceId) -> usize {
-        let lanes = &self.lanes;
+    fn flow(&mut self, workspace: &WorkspaceId) -> usize {
+        let flows = &self.flows;
         let found = self
-            .names
-            .binary_search_by(|lane| lanes[*lane].workspace.cmp(workspace));
+            .by_name
+            .binary_search_by(|flow| flows[*flow].workspace.cmp(workspace));
         match found {
-            Ok(at) => self.names[at],
+            Ok(at) => self.by_name[at],
             Err(at) => {
-                self.lanes.push(Lane {
+                self.flows.push(Flow {
                     workspace: workspace.clone(),
                     weight: 1,
                     pass: 0,
                     queued: false,
                     tickets: VecDeque::new(),
                 });
-                self.names.insert(at, self.lanes.len() - 1);
-                self.lanes.len() - 1
+                self.by_name.insert(at, self.flows.len() - 1);
+                self.flows.len() - 1
             }
         }
     }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,40 +1,41 @@
 //! A workspace's limits on requests in flight and per second.
 //!
-//! Limits hold for the whole deployment. Each of `n` entries applies `1/n` of
-//! them to its own callers, so no call needs a central hop. The error: with
-//! callers spread unevenly by the balancer a workspace may be held below its
-//! limit (at worst to `1/n` of it, when one entry gets all of its calls), and
-//! while entries disagree on `n` the sum may pass the limit by the ratio of
-//! their counts. A share is never below one request.
+//! Limits apply to the whole deployment. Each of `n` entries applies `1/n` of them to its
+//! own callers, so no request needs a central service. The error: if the load balancer
+//! spreads callers unevenly, a workspace may be held below its limit (at worst to `1/n`
+//! of it, if one entry gets all of its requests), and while entries disagree on `n` the
+//! sum may exceed the limit by the ratio of their counts. A share is never below one
+//! request.
 
 use crate::Moment;
 
-/// Seconds of unused rate a workspace may save up for a burst.
+/// Unused rate that a workspace may save up for a burst.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Why a request is over its workspace's limits.
+/// The limit that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Excess {
     /// Too many requests in flight.
     InFlight,
-    /// Too many requests a second; one fits again after this long.
+    /// Too many requests per second; the next one fits after this time.
     Rate(Moment),
 }
 
-/// Counts of one workspace in one entry.
+/// Usage of one workspace in one entry.
 #[derive(Clone, Debug)]
 pub struct Quota {
     in_flight: u32,
+    /// Requests of unused rate.
     saved: f64,
-    seen: Moment,
+    refilled_at: Moment,
 }
 
-/// Limits of one workspace, as its document states them.
+/// Limits of one workspace from its document.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Most requests in flight over all entries.
+    /// Requests in flight over all entries.
     pub in_flight: Option<u32>,
-    /// Most requests a second over all entries.
+    /// Requests per second over all entries.
     pub rate: Option<f64>,
     /// Number of entries that share the limits.
     pub entries: u32,
@@ -52,25 +53,25 @@
 }
 
 impl Quota {
-    /// Starts counting at `now` with a full burst saved up.
+    /// Starts at `now` with a full burst saved up.
     pub fn new(now: Moment) -> Self {
         Self {
             in_flight: 0,
             saved: f64::INFINITY,
-            seen: now,
+            refilled_at: now,
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Takes one request in.
+    /// Counts a request as in flight if it is within the limits.
     ///
     /// # Errors
     ///
-    /// [`Excess`] where a limit is met; nothing is counted then.
+    /// Returns the [`Excess`] if a limit is reached; the request is not counted then.
     pub fn take(&mut self, now: Moment, limits: &Limits) -> Result<(), Excess> {
         if limits
             .flight_share()
@@ -90,7 +91,7 @@
         Ok(())
     }
 
-    /// Notes that a request ended.
+    /// Records the end of a counted request.
     pub fn release(&mut self) {
         debug_assert!(self.in_flight > 0, "release without take");
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -98,8 +99,8 @@
 
     fn refill(&mut self, now: Moment, rate: f64) {
         let most = (rate * BURST_SECONDS).max(1.0);
-        let earned = now.saturating_sub(self.seen).as_secs_f64() * rate;
+        let earned = now.saturating_sub(self.refilled_at).as_secs_f64() * rate;
         self.saved = (self.saved + earned).min(most);
-        self.seen = now;
+        self.refilled_at = now;
     }
 }
--- a/crates/policy/src/reservation.rs
+++ b/crates/policy/src/reservation.rs
@@ -1,157 +1,161 @@
-//! Which endpoints are kept free of long prompts.
+//! How many endpoints are reserved for latency-sensitive streams.
 //!
-//! Streams with the shortest pauses of a service get endpoints of their own where
-//! prompts that are read beside them would make them late ([`interference`] tells
-//! whether they would). How many follows from the share of the work they bring,
-//! which every entry measures by itself; which ones follows from a fixed order of
-//! the endpoints. A dozen requests a second make a poor measure: entries alone
-//! differ by half, and an endpoint that some keep free and others don't serves both
-//! kinds badly. So they tell each other what came, and go by the sums ([`Reservation`]).
+//! Streams with the shortest allowed pauses of a service get endpoints of their own where
+//! prompts that are prefilled beside them would delay them too long (see
+//! [`interference`]). The number of endpoints follows from the share of the work that
+//! these streams cause; the endpoints themselves follow from a fixed order.
+//!
+//! A dozen requests per second are too few to estimate the share: single entries differ
+//! by half, and an endpoint that is reserved by some entries only serves both kinds
+//! badly. Entries therefore report their work to each other and use the sums
+//! ([`Reservation`]).
 //!
 //! [`interference`]: crate::interference
 
 use std::time::Duration;
 
-/// Endpoints for fragile streams beyond their share of the work, so that they
-/// don't queue when they alone burst.
+/// Factor on the share of the sensitive streams, so that they don't queue when only they
+/// burst.
 const MARGIN: f64 = 1.1;
-/// Work that counts beside what was measured, so that an entry which starts
-/// agrees with the others: two seconds of one endpoint's time.
-const PRIOR: f64 = 2.0;
-/// Share of it that is fragile.
+/// Work, as one endpoint's time, that is added to the recorded work, so that an entry
+/// agrees with the others just after its start.
+const PRIOR_SECONDS: f64 = 2.0;
+/// Share of [`PRIOR_SECONDS`] that counts as sensitive.
 const PRIOR_SHARE: f64 = 0.24;
-/// Time constant of the measured share. A burst lasts four to nine seconds, and an
-/// entry sees some ten requests a second.
-const MEMORY: f64 = 7.0;
-
-/// The same where the work of all entries is known: with so many requests a
-/// burst is followed sooner.
-const SHARED_MEMORY: f64 = 2.5;
-
-/// How long the sums over all entries are used that are not renewed: three of
-/// the intervals at which entries tell each other.
-const AGREED: Duration = Duration::from_millis(1_600);
-
-/// Work of both kinds that came lately, fading.
+/// Time constant of own work. A burst lasts four to nine seconds, and an entry receives
+/// about ten requests per second.
+const OWN_DECAY_SECONDS: f64 = 7.0;
+/// Time constant of the work of all entries. Their larger number of requests allows a
+/// quicker reaction to a burst.
+const TOTAL_DECAY_SECONDS: f64 = 2.5;
+/// Lifetime of sums over all entries that are not renewed: three report intervals.
+const TOTAL_LIFETIME: Duration = Duration::from_millis(1_600);
+
+/// Recent work of sensitive streams and of other requests, with exponential decay.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkMix {
-    memory: f64,
-    fragile: f64,
+    /// Time constant in seconds.
+    decay: f64,
+    /// Work in seconds of an endpoint's time, at `at`.
+    sensitive: f64,
     other: f64,
     at: Duration,
 }
 
 impl Default for WorkMix {
     fn default() -> Self {
-        Self::fading(MEMORY)
+        Self::with_decay(OWN_DECAY_SECONDS)
     }
 }
 
 impl WorkMix {
-    fn fading(memory: f64) -> Self {
+    fn with_decay(decay: f64) -> Self {
         Self {
-            memory,
-            fragile: 0.0,
+            decay,
+            sensitive: 0.0,
             other: 0.0,
             at: Duration::ZERO,
         }
     }
 
-    /// Work of fragile streams and of others, as it counts now.
+    /// Work of sensitive streams and of other requests, decayed to `now`.
     fn work(&self, now: Duration) -> (f64, f64) {
-        let fade = self.fade(now);
-        (self.fragile * fade, self.other * fade)
+        let factor = self.factor(now);
+        (self.sensitive * factor, self.other * factor)
     }
 
-    /// A request came that will take an endpoint `work` of its time. Requests
-    /// in the background don't count: under overload their work is more than
-    /// the endpoints have, and the share of the fragile streams, which are more
-    /// urgent, would shrink while they need as much as before. What is in front
-    /// is about what the endpoints left to it can do, so the fragile streams
-    /// get what they need and a tenth more.
-    pub fn record(&mut self, now: Duration, fragile: bool, work: Duration) {
-        let fade = self.fade(now);
-        self.fragile *= fade;
-        self.other *= fade;
+    /// Records a request that needs `work` of an endpoint's time.
+    ///
+    /// Requests in the background are not to be recorded: under overload their work
+    /// exceeds the capacity, and the share of the sensitive streams, which are more
+    /// urgent, would shrink although they need as much as before. The other recorded work
+    /// is about what the remaining endpoints can do, so the sensitive streams get what
+    /// they need and a tenth more.
+    pub fn record(&mut self, now: Duration, sensitive: bool, work: Duration) {
+        let factor = self.factor(now);
+        self.sensitive *= factor;
+        self.other *= factor;
         self.at = now.max(self.at);
-        let kind = if fragile {
-            &mut self.fragile
+        let kind = if sensitive {
+            &mut self.sensitive
         } else {
             &mut self.other
         };
         *kind += work.as_secs_f64();
     }
 
-    /// How many of `endpoints` fragile streams have for themselves where both
-    /// kinds may come: at least one, and never all.
+    /// Number of `endpoints` to reserve for sensitive streams: at least one and never
+    /// all, or none of a single endpoint.
     pub fn reserved(&self, endpoints: usize) -> usize {
         if endpoints < 2 {
             return 0;
         }
-        let fragile = MARGIN * (self.fragile + PRIOR * PRIOR_SHARE);
-        let other = self.other + PRIOR * (1.0 - PRIOR_SHARE);
-        let share = fragile / (fragile + other);
+        let sensitive = MARGIN * (self.sensitive + PRIOR_SECONDS * PRIOR_SHARE);
+        let other = self.other + PRIOR_SECONDS * (1.0 - PRIOR_SHARE);
+        let share = sensitive / (sensitive + other);
         let wanted = (endpoints as f64 * share).ceil() as usize;
         wanted.clamp(1, endpoints - 1)
     }
 
-    fn fade(&self, now: Duration) -> f64 {
-        (-now.saturating_sub(self.at).as_secs_f64() / self.memory).exp()
+    fn factor(&self, now: Duration) -> f64 {
+        (-now.saturating_sub(self.at).as_secs_f64() / self.decay).exp()
     }
 }
 
-/// The lanes of one service at one entry, by its own count and by that of all
-/// entries together.
+/// Reserved endpoints of one service at one entry, from its own work and from that of all
+/// entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
     own: WorkMix,
-    /// What is told to the others.
-    told: WorkMix,
-    /// What came at all of them, and when that was heard.
-    agreed: Option<(WorkMix, Duration)>,
+    /// Own work as it is reported to other entries.
+    reported: WorkMix,
+    /// Work of all entries, and when it was received.
+    total: Option<(WorkMix, Duration)>,
 }
 
 impl Default for Reservation {
     fn default() -> Self {
         Self {
             own: WorkMix::default(),
-            told: WorkMix::fading(SHARED_MEMORY),
-            agreed: None,
+            reported: WorkMix::with_decay(TOTAL_DECAY_SECONDS),
+            total: None,
         }
     }
 }
 
 impl Reservation {
-    /// A request came that will take an endpoint `work` of its time.
-    pub fn record(&mut self, now: Duration, fragile: bool, work: Duration) {
-        self.own.record(now, fragile, work);
-        self.told.record(now, fragile, work);
+    /// Records a request that needs `work` of an endpoint's time; see
+    /// [`WorkMix::record`].
+    pub fn record(&mut self, now: Duration, sensitive: bool, work: Duration) {
+        self.own.record(now, sensitive, work);
+        self.reported.record(now, sensitive, work);
     }
 
-    /// Work of fragile streams and of others for the other entries to know, in
-    /// seconds of an endpoint's time.
+    /// Own work of sensitive streams and of other requests, to be reported to other
+    /// entries, in seconds of an endpoint's time.
     pub fn local_work(&self, now: Duration) -> (f64, f64) {
-        self.told.work(now)
+        self.reported.work(now)
     }
 
-    /// Takes in the sums of what all entries told.
-    pub fn set_total(&mut self, now: Duration, fragile: f64, other: f64) {
-        let lanes = WorkMix {
-            memory: SHARED_MEMORY,
-            fragile,
+    /// Sets the work of all entries, in seconds of an endpoint's time.
+    pub fn set_total(&mut self, now: Duration, sensitive: f64, other: f64) {
+        let total = WorkMix {
+            decay: TOTAL_DECAY_SECONDS,
+            sensitive,
             other,
             at: now,
         };
-        self.agreed = Some((lanes, now));
+        self.total = Some((total, now));
     }
 
-    /// How many of `endpoints` fragile streams have for themselves: by the sums,
-    /// or by the entry's own count where it hears of none.
+    /// Number of `endpoints` to reserve for sensitive streams, from the work of all
+    /// entries, or from own work if no fresh sums are known.
     pub fn reserved(&self, now: Duration, endpoints: usize) -> usize {
-        let fresh = |(_, at): &(WorkMix, Duration)| now.saturating_sub(*at) < AGREED;
-        let agreed = self.agreed.filter(fresh);
-        agreed
-            .map_or(self.own, |(lanes, _)| lanes)
+        let fresh =
+            |(_, at): &(WorkMix, Duration)| now.saturating_sub(*at) < TOTAL_LIFETIME;
+        let total = self.total.filter(fresh);
+        total
+            .map_or(self.own, |(total, _)| total)
             .reserved(endpoints)
     }
 }
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -1,32 +1,30 @@
-//! Which endpoints an entry uses at all.
+//! Subsetting: the endpoints that an entry uses.
 //!
-//! With hundreds of entries before a thousand endpoints, every entry knowing
-//! every endpoint would make connections grow with their product, and each
-//! entry would see too little of each endpoint to judge it. So an entry uses a
-//! part of them, chosen by rendezvous hashing of both names: the same entry
-//! always chooses the same part, a joining or leaving endpoint changes it by
-//! one place, and the parts of different entries are independent, so every
-//! endpoint is used by about [`COVERAGE`] entries. Half of the part comes from the
-//! entry's own failure domain where that has as many.
+//! If hundreds of entries used all of a thousand endpoints, the number of connections
+//! would grow with their product, and each entry would have too few samples of each
+//! endpoint. An entry therefore uses a subset, chosen by rendezvous hashing of both
+//! names. It is stable for an entry, a joining or leaving endpoint changes at most one of
+//! its members, and subsets of different entries are independent, so that every endpoint
+//! is used by about [`COVERAGE`] entries. Half of the subset comes from the entry's own
+//! failure domain, if that has enough endpoints.
 
 use crate::dispatch::ListedEndpoint;
 use sha2::{Digest, Sha256};
 
-/// Entries that should use each endpoint, on average. The chance that an
-/// endpoint is used by none is e^-24; that it is used by fewer than 10 is
-/// under 0.1% (Poisson).
+/// Mean number of entries that use an endpoint. The probability that an endpoint is used
+/// by none is e^-24, and that it is used by fewer than 10 is under 0.1% (Poisson).
 pub const COVERAGE: usize = 24;
-/// Smallest part, so that tail waits stay near those of the whole: with 64
-/// endpoints of 90% load the chance that none of 3 probes has room is small.
+/// Smallest subset. Keeps tail waits near those of the full set: with 64 endpoints at 90%
+/// load the probability that none of 3 probes has room is small.
 pub const MIN_SIZE: usize = 64;
 
-/// Number of endpoints an entry uses out of `endpoints`, with `entries` around.
+/// Size of the subset of `endpoints` that each of `entries` entries uses.
 pub fn size(endpoints: usize, entries: usize) -> usize {
     let fair = (endpoints * COVERAGE).div_ceil(entries.max(1));
     fair.max(MIN_SIZE).min(endpoints)
 }
 
-/// The part that `entry` in `domain` uses.
+/// Chooses the subset that `entry` in failure domain `domain` uses.
 pub fn choose(
     entry: &str,
     domain: &str,
@@ -58,6 +56,7 @@
     chosen.into_iter().map(|one| one.endpoint.clone()).collect()
 }
 
+/// An endpoint with its rendezvous hash for one entry.
 struct Ranked<'l> {
     rank: u128,
     endpoint: &'l ListedEndpoint,
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -1,41 +1,43 @@
-//! The level of urgency that an endpoint is told with a request.
+//! The priority level that is sent to an endpoint with a request.
 //!
-//! Endpoints admit the more urgent first, and put the least urgent back when
-//! their memory runs out. Three things order requests, in this order:
+//! Endpoints admit requests of higher priority first, and preempt those of the lowest
+//! when their memory runs out. Requests are ordered by:
 //!
-//! * the tier of the route: a cue is never left waiting, or put back, for a
-//!   re-voice, whoever sent either of them and however late the cue is;
-//! * whether the request may still be in time: one that is late anyway goes
-//!   behind those of its own tier, and only behind those;
-//! * the tier of the workspace.
+//! 1. the tier of the route: a request never waits, or is preempted, for one of a less
+//!    urgent route, for any workspace and however late it is;
+//! 2. whether the request can still be in time: a late one goes to the background, behind
+//!    the others of its own tier and behind no others;
+//! 3. the tier of the workspace.
 //!
-//! Under a threefold burst a tier with a short objective is late first. One
-//! background behind all tiers left 14 of 98 of its requests without any answer
-//! while less urgent prompts of twice their size were read.
+//! The background is one per tier: under a burst of three times the capacity the tier
+//! with the shortest objective is late first, and a single background behind all tiers
+//! left 14 of 98 of its requests unanswered while less urgent prompts of twice their size
+//! were prefilled.
 
-/// A request's place among all that a route set knows.
+/// Position of a request among the tiers of its route set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
-    /// Place of its route; 0 is the most urgent.
+    /// Tier of the route; 0 is the most urgent.
     pub route: usize,
-    /// Number of such places.
+    /// Number of route tiers.
     pub routes: usize,
-    /// Place of its workspace among requests of equally urgent routes.
+    /// Tier of the workspace, among requests of equally urgent routes; 0 is the most
+    /// urgent.
     pub workspace: usize,
-    /// Number of such places.
+    /// Number of workspace tiers.
     pub workspaces: usize,
 }
 
 impl Rank {
-    /// The rank as one of `levels`; 0 is the most urgent. `background`: the
-    /// request goes behind all others of its tier.
+    /// Maps the rank to one of `levels`; 0 is the most urgent. With `background` the
+    /// request goes behind all others of its route tier.
     ///
-    /// Each tier gets as many levels as there are for it. The last one is its
-    /// background; where it has only one, its background shares the first level
-    /// of the next tier.
+    /// The levels are divided evenly among the route tiers. The last level of a tier is
+    /// its background; a tier with a single level shares its background with the first
+    /// level of the next tier.
     pub fn level(&self, levels: usize, background: bool) -> usize {
-        let each = (levels / self.routes.max(1)).max(1);
-        let front = (each - 1).max(1);
+        let per_tier = (levels / self.routes.max(1)).max(1);
+        let front = (per_tier - 1).max(1);
         let inside = if background {
             front
         } else if self.workspaces <= front {
@@ -43,6 +45,6 @@
         } else {
             self.workspace * front / self.workspaces
         };
-        (self.route * each + inside).min(levels - 1)
+        (self.route * per_tier + inside).min(levels - 1)
     }
 }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,82 +1,84 @@
-//! What one entry believes of one endpoint.
+//! The load of one endpoint as one entry estimates it.
 //!
-//! A report is old when it arrives and older when it is used. The view keeps
-//! apart what the entry knows for certain (its own outstanding requests) and
-//! what it was told (everything else on the endpoint). What it was told fades
-//! with age, so that an endpoint that once reported itself full is tried
-//! again after a while without any polling: the cost of a wrong guess is one
-//! refusal, which brings a fresh report.
+//! A report is out of date when it arrives and more so when it is used. The view
+//! therefore separates the entry's own outstanding requests, whose number is exact, from
+//! the reported requests of other entries. The latter decay with the age of the report,
+//! so that an endpoint that reported itself full is tried again without polling: a wrong
+//! estimate costs one refusal, which carries a new report.
 
 use crate::Moment;
 use dogwoodhill_core::ids::{DomainId, EndpointId, Fence, TIERS, Tier};
 use dogwoodhill_core::load::Load;
 
-/// Time in which the believed load of others fades to about a third.
-const FADE: Moment = Moment::from_millis(400);
+/// Time constant with which the reported load of other entries decays.
+const LOAD_DECAY: Moment = Moment::from_millis(400);
 /// Concurrency assumed before the first report.
-const FIRST_LIMIT: u32 = 8;
-/// Weight of a new latency sample in the running mean.
-const SAMPLE: f64 = 0.2;
+const INITIAL_LIMIT: u32 = 8;
+/// Weight of a new sample in the running means.
+const SAMPLE_WEIGHT: f64 = 0.2;
 /// First pause after an endpoint could not be reached.
 const MIN_PAUSE: Moment = Moment::from_millis(200);
-/// Longest such pause.
+/// Upper bound of that pause.
 const MAX_PAUSE: Moment = Moment::from_secs(5);
 
-/// Belief about one endpoint.
+/// Estimated state of one endpoint.
 #[derive(Clone, Debug)]
 pub struct View {
     /// Name of the endpoint.
     pub name: EndpointId,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    own: u32,
+    outstanding: u32,
+    /// Requests of other entries in the last report.
     others: f64,
     limit: u32,
     ceilings: [u32; TIERS],
-    told: Moment,
+    reported_at: Moment,
+    /// Mean time to the first token in seconds; 0 if unknown.
     first: f64,
-    gap: f64,
+    /// Mean token gap in seconds; 0 if unknown.
+    token_gap: f64,
     pause: Moment,
-    paused: Moment,
+    paused_until: Moment,
     leaving: bool,
     listed: bool,
     fence: Fence,
 }
 
 impl View {
-    /// Belief about an endpoint of which nothing was heard yet.
+    /// Creates the view of a listed endpoint that has not reported yet.
     pub fn new(name: EndpointId, domain: DomainId) -> Self {
         Self {
             name,
             domain,
-            own: 0,
+            outstanding: 0,
             others: 0.0,
-            limit: FIRST_LIMIT,
-            ceilings: [FIRST_LIMIT; TIERS],
-            told: Moment::ZERO,
+            limit: INITIAL_LIMIT,
+            ceilings: [INITIAL_LIMIT; TIERS],
+            reported_at: Moment::ZERO,
             first: 0.0,
-            gap: 0.0,
+            token_gap: 0.0,
             pause: Moment::ZERO,
-            paused: Moment::ZERO,
+            paused_until: Moment::ZERO,
             leaving: false,
             listed: true,
             fence: 0,
         }
     }
 
-    /// Whether nothing was heard of the endpoint for `time`.
+    /// Whether the last report is at least `time` old.
     pub fn stale(&self, now: Moment, time: Moment) -> bool {
-        now >= self.told + time
+        now >= self.reported_at + time
     }
 
-    /// Requests of this entry on the endpoint.
+    /// Number of this entry's requests on the endpoint.
     pub fn outstanding(&self) -> u32 {
-        self.own
+        self.outstanding
     }
 
-    /// Whether the endpoint may get new work at all.
+    /// Whether the endpoint may get new work, apart from free slots.
     pub fn available(&self, now: Moment) -> bool {
-        self.listed && !self.leaving && now >= self.paused
+        self.listed && !self.leaving && now >= self.paused_until
     }
 
     /// Whether the endpoint is in the document in force.
@@ -84,13 +86,15 @@
         self.listed
     }
 
-    /// Believed requests on the endpoint.
+    /// Estimated number of requests on the endpoint.
     pub fn running(&self, now: Moment) -> f64 {
-        let age = now.saturating_sub(self.told).as_secs_f64();
-        f64::from(self.own) + self.others * (-age / FADE.as_secs_f64()).exp()
+        let age = now.saturating_sub(self.reported_at).as_secs_f64();
+        f64::from(self.outstanding)
+            + self.others * (-age / LOAD_DECAY.as_secs_f64()).exp()
     }
 
-    /// Whether a request of `tier` is believed to find a free slot.
+    /// Whether a request of `tier` is expected to find a free slot; a due one uses the
+    /// slots of tier 0.
     pub fn has_room(&self, now: Moment, tier: Tier, due: bool) -> bool {
         if !self.available(now) {
             return false;
@@ -99,76 +103,79 @@
         self.running(now) + 1.0 <= f64::from(self.ceilings[tier]).max(1.0)
     }
 
-    /// Believed cost of one more request: the token gap or first-token time
-    /// seen lately, scaled by how full the endpoint would be.
+    /// Estimated cost of one more request: the latency scaled by the resulting
+    /// utilization.
     pub fn cost(&self, now: Moment) -> f64 {
-        let fill = (self.running(now) + 1.0) / f64::from(self.limit.max(1));
-        (self.latency() + f64::EPSILON) * (0.5 + fill)
+        let utilization = (self.running(now) + 1.0) / f64::from(self.limit.max(1));
+        (self.latency() + f64::EPSILON) * (0.5 + utilization)
     }
 
-    /// Seconds per token where known, else seconds to the first byte; 0
+    /// Mean token gap in seconds if known, else the mean time to the first token; 0
     /// before the first sample.
     pub fn latency(&self) -> f64 {
-        if self.gap > 0.0 { self.gap } else { self.first }
+        if self.token_gap > 0.0 {
+            self.token_gap
+        } else {
+            self.first
+        }
     }
 
-    /// Requests reported running, as the last report had it, without fading
-    /// and without own later work: what a least-load baseline sees.
+    /// Requests of other entries in the last report, without decay and without own
+    /// requests: the input of the least-load baseline.
     pub fn reported(&self) -> f64 {
         self.others
     }
 
-    /// Notes that this entry starts a request here.
+    /// Records that this entry starts a request on the endpoint.
     pub fn start(&mut self) {
-        self.own += 1;
+        self.outstanding += 1;
     }
 
-    /// Notes that such a request ended.
+    /// Records the end of a request of this entry.
     pub fn end(&mut self) {
-        debug_assert!(self.own > 0, "end without start");
-        self.own = self.own.saturating_sub(1);
+        debug_assert!(self.outstanding > 0, "end without start");
+        self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// Highest fencing number seen.
+    /// Highest fencing number in any report.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// Takes a report in. `own_included` is the number of this entry's own
-    /// requests that the report counts.
+    /// Applies a report that counts `own_included` requests of this entry.
     pub fn report(&mut self, now: Moment, report: &Load, own_included: u32) {
         self.others = f64::from(report.running.saturating_sub(own_included));
         self.limit = report.limit;
         self.ceilings = report.ceilings;
         self.leaving = report.leaving;
         self.fence = self.fence.max(report.fence);
-        self.told = now;
-        mix(&mut self.gap, f64::from(report.gap_us) / 1e6);
-        mix(&mut self.first, f64::from(report.first_us) / 1e6);
+        self.reported_at = now;
+        update_mean(&mut self.token_gap, f64::from(report.gap_us) / 1e6);
+        update_mean(&mut self.first, f64::from(report.first_us) / 1e6);
     }
 
-    /// Notes that the endpoint or its agent could not be reached: no new
-    /// work for a pause that doubles with each failure in a row.
+    /// Records that the endpoint or its agent could not be reached. No new work is sent
+    /// for a pause that doubles with each consecutive failure.
     pub fn failed(&mut self, now: Moment) {
         self.pause = (self.pause * 2).clamp(MIN_PAUSE, MAX_PAUSE);
-        self.paused = now + self.pause;
+        self.paused_until = now + self.pause;
     }
 
-    /// Notes that an answer arrived whole.
+    /// Records a complete answer, which resets the pause.
     pub fn succeeded(&mut self) {
         self.pause = Moment::ZERO;
     }
 
-    /// Puts the endpoint on or off the list of the document in force.
+    /// Sets whether the endpoint is in the document in force.
     pub fn set_listed(&mut self, listed: bool) {
         self.listed = listed;
     }
 }
 
-fn mix(mean: &mut f64, sample: f64) {
+fn update_mean(mean: &mut f64, sample: f64) {
     if sample > 0.0 {
         *mean = if *mean > 0.0 {
-            *mean + SAMPLE * (sample - *mean)
+            *mean + SAMPLE_WEIGHT * (sample - *mean)
         } else {
             sample
         };
