--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! What endpoints ask that turn requests away.
+//! Pauses that endpoints request in refusals.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backoff::{Backoff, Retry};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn left_until_the_end_that_was_asked() {
+fn remaining_until_requested_end() {
     let mut backoff = Backoff::default();
     assert_eq!(backoff.remaining(ms(0)), None);
     backoff.record(ms(1_000), Retry::After(ms(3_000)));
@@ -16,9 +16,9 @@
     assert_eq!(backoff.remaining(ms(4_000)), None);
 }
 
-/// A refusal that was under way tells a shorter time.
+/// A late refusal with a shorter time does not shorten the pause.
 #[test]
-fn left_shorter_time_takes_nothing_back() {
+fn remaining_not_shortened_by_refusal() {
     let mut backoff = Backoff::default();
     backoff.record(ms(1_000), Retry::After(ms(3_000)));
     backoff.record(ms(1_100), Retry::After(ms(100)));
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn left_bounded_where_a_day_is_asked() {
+fn remaining_bounded() {
     let mut backoff = Backoff::default();
     backoff.record(ms(0), Retry::After(Duration::from_hours(24)));
-    let left = backoff.remaining(ms(0)).expect("it asked");
+    let left = backoff.remaining(ms(0)).expect("a pause was requested");
     assert!(left <= Duration::from_hours(1), "{left:?}");
 }
--- a/crates/policy/tests/direct.rs
+++ b/crates/policy/tests/direct.rs
@@ -1,5 +1,4 @@
-//! Decisions of an entry that talks to endpoints without agents. Each test
-//! names the load it answers.
+//! Decisions of an entry that sends requests to endpoints without agents.
 
 use dogwoodhill_policy::affinity::{Candidate, choose, hash};
 use dogwoodhill_policy::backlog::Backlog;
@@ -31,10 +30,9 @@
     (0..count).map(candidate).collect()
 }
 
-/// Chapters of some hundred books, each with its own beginning: the beginnings
-/// spread over all endpoints, and each stays where it is.
+/// Some hundred prefixes spread evenly over all endpoints.
 #[test]
-fn choose_spreads_beginnings_evenly() {
+fn choose_spreads_prefixes() {
     let mut counts = [0; 9];
     for key in 0..900u64 {
         let key = hash(&key.to_le_bytes());
@@ -44,9 +42,9 @@
     assert!(*least > 50 && *most < 170, "{counts:?}");
 }
 
-/// An endpoint is replaced: only its own beginnings move.
+/// When an endpoint is removed, only its own prefixes move.
 #[test]
-fn choose_moves_only_what_must() {
+fn choose_removed_endpoint_moves_own_prefixes() {
     let all = candidates(9);
     let fewer: Vec<Candidate> = all[..8].to_vec();
     for key in 0..300u64 {
@@ -57,26 +55,28 @@
     }
 }
 
-/// A burst: one more request of the entry's own waits at the endpoint that has
-/// the beginning. Reading it anew elsewhere would delay all that wait there.
+/// With one more waiting request the endpoint that holds the prefix is still chosen,
+/// since prefilling the prefix elsewhere would delay all requests there. A long queue
+/// moves it.
 #[test]
-fn choose_stays_under_load_and_leaves_a_hot_spot() {
+fn choose_stays_under_load_leaves_hot_spot() {
     let key = hash(b"chapter");
     let mut all = candidates(9);
     let home = choose(key, &all).expect("some");
     all[home].wait = ms(200);
-    assert_eq!(choose(key, &all), Some(home), "one request more");
+    assert_eq!(choose(key, &all), Some(home), "one more request");
     all[home].wait = ms(2_000);
     assert_ne!(
         choose(key, &all),
         Some(home),
-        "one beginning gets all the traffic"
+        "one prefix gets all the traffic"
     );
 }
 
-/// The entry that moved a beginning knows that it is kept there as well.
+/// An entry that has recently sent a prefix to another endpoint uses that one if the
+/// first has a queue.
 #[test]
-fn choose_prefers_where_it_was_sent() {
+fn choose_prefers_endpoint_sent_to() {
     let key = hash(b"chapter");
     let mut all = candidates(9);
     let home = choose(key, &all).expect("some");
@@ -86,52 +86,51 @@
     assert_eq!(choose(key, &all), Some(other));
 }
 
-/// The calm day of twelve endpoints: 18 cue streams a second with 70 events
-/// each (about 70 ms of an endpoint's time) beside 24 chapters of 9,190 tokens
-/// (300 ms) and 28 notes of 2,400 (80 ms), as one of eight entries sees them.
+/// Moderate load on twelve endpoints, as one of eight entries receives it: 18 sensitive
+/// streams per second with 70 events each (about 70 ms of an endpoint's time) beside 24
+/// prompts of 9,190 tokens (300 ms) and 28 of 2,400 (80 ms).
 #[test]
-fn lanes_calm_day_keeps_a_few_endpoints() {
-    let mut lanes = WorkMix::default();
+fn work_mix_moderate_load() {
+    let mut mix = WorkMix::default();
     for i in 0..400u64 {
         let now = ms(i * 114);
-        let (fragile, work) = match i % 70 {
+        let (sensitive, work) = match i % 70 {
             0..18 => (true, ms(70)),
             18..42 => (false, ms(300)),
             _ => (false, ms(80)),
         };
-        lanes.record(now, fragile, work);
+        mix.record(now, sensitive, work);
     }
-    let reserved = lanes.reserved(12);
+    let reserved = mix.reserved(12);
     assert!((2..=3).contains(&reserved), "{reserved}");
 }
 
 #[test]
-fn lanes_never_all_nor_none() {
-    let mut lanes = WorkMix::default();
-    assert_eq!(lanes.reserved(1), 0, "one endpoint serves both");
+fn work_mix_never_all_nor_none() {
+    let mut mix = WorkMix::default();
+    assert_eq!(mix.reserved(1), 0, "one endpoint serves both");
     for i in 0..1_000 {
-        lanes.record(ms(i), true, ms(500));
+        mix.record(ms(i), true, ms(500));
     }
-    assert_eq!(lanes.reserved(4), 3);
+    assert_eq!(mix.reserved(4), 3);
     for i in 1_000..60_000 {
-        lanes.record(ms(i), false, ms(500));
+        mix.record(ms(i), false, ms(500));
     }
-    assert_eq!(lanes.reserved(4), 1);
+    assert_eq!(mix.reserved(4), 1);
 }
 
-/// An entry that starts in the middle of a day, with nothing measured, keeps
-/// about as many endpoints as the others.
+/// An entry that has just started reserves about as many endpoints as the others.
 #[test]
-fn lanes_at_the_start() {
+fn work_mix_at_start() {
     assert_eq!(WorkMix::default().reserved(12), 4);
     assert_eq!(WorkMix::default().reserved(9), 3);
 }
 
-/// Endpoints that are not slow are all used; slow ones, which come last, only where
-/// the others are filled to three fifths. The load: a burst of cues before endpoints of which
-/// a third are slower by a third, where pauses beside a prompt are too long for a cue.
+/// Endpoints that are not slow are all used; slow ones, which come last, only once the
+/// others are filled to three fifths. On endpoints slower by a third, pauses beside a
+/// prompt are too long for sensitive streams.
 #[test]
-fn packing_slow_endpoints_last() {
+fn endpoints_used_slow_ones_last() {
     let with = |busy: &[f64], quick| {
         let one = |busy: &f64| Occupancy {
             busy: *busy,
@@ -144,58 +143,56 @@
     assert_eq!(with(&[0.0; 7], 0), 1, "all are slow");
     assert_eq!(with(&[17.0, 0.0, 0.0], 1), 1);
     assert_eq!(with(&[39.0, 0.0, 0.0], 1), 2);
-    assert_eq!(with(&[64.0, 20.0, 0.0, 0.0], 2), 3, "what is over counts");
-    assert_eq!(with(&[64.0, 64.0], 1), 2, "all of them where none has room");
+    assert_eq!(with(&[64.0, 20.0, 0.0, 0.0], 2), 3, "excess counts");
+    assert_eq!(with(&[64.0, 64.0], 1), 2, "all of them if none has room");
     assert_eq!(with(&[], 0), 0);
 }
 
-/// 42 streams a second that last 0.9 s, with prompts that are read in 30 ms, before
-/// six endpoints: the share of its time that the busiest one reads decides how many
-/// of the streams are late. On as few endpoints as have room it is two fifths, on
-/// all a fifth.
+/// 42 streams per second of 0.9 s, with prompts of 30 ms of prefill, on six endpoints:
+/// the share of time that the busiest endpoint prefills determines how many streams are
+/// late. It is two fifths on as few endpoints as have room, and a fifth on all.
 #[test]
-fn packing_streams_share_their_prompts() {
+fn endpoints_used_spreads_prompts() {
     let busiest = |quick: usize| {
         let mut ends: Vec<Vec<u64>> = vec![Vec::new(); 6];
-        let mut reads = [0u64; 6];
+        let mut prefill = [0u64; 6];
         for stream in 0..420u64 {
             let now = stream * 1_000 / 42;
             ends.iter_mut()
                 .for_each(|ends| ends.retain(|end| *end > now));
-            let packings: Vec<Occupancy> = ends
+            let occupancies: Vec<Occupancy> = ends
                 .iter()
                 .map(|ends| Occupancy {
                     busy: ends.len() as f64,
                     slots: 64.0,
                 })
                 .collect();
-            let most = endpoints_used(packings.iter().copied(), quick);
+            let most = endpoints_used(occupancies.iter().copied(), quick);
             let least = (0..most).min_by_key(|at| ends[*at].len()).expect("some");
             ends[least].push(now + 900);
-            reads[least] += 30;
+            prefill[least] += 30;
         }
-        *reads.iter().max().expect("some") as f64 / 10_000.0
+        *prefill.iter().max().expect("some") as f64 / 10_000.0
     };
     let (few, all) = (busiest(1), busiest(6));
     assert!(few > 0.35, "{few}");
     assert!(all < 0.25, "{all}");
 }
 
-/// Two endpoints of nine are slower by a third, as in the users' deployments,
-/// and one turns five times slower. The first are known after one stream of a
-/// calm hour, the last after a few events.
+/// Two endpoints of nine are slower by a third, and one becomes five times slower. The
+/// first are detected after a single stream, the last after a few events.
 #[test]
-fn pace_slow_endpoints_found() {
+fn event_gap_slow_endpoints_found() {
     let mut all = [EventGap::default(); 9];
-    for (at, pace) in all.iter_mut().enumerate() {
+    for (at, gap) in all.iter_mut().enumerate() {
         let pause = if at < 7 { ms(21) } else { ms(28) };
         for event in 0..81u64 {
-            pace.record(ms(event * 21), pause);
+            gap.record(ms(event * 21), pause);
         }
     }
     let slow = |all: &[EventGap], now| {
-        let from = slow_threshold(all.iter().filter_map(|pace| pace.mean(now)));
-        let slow = |pace: &EventGap| pace.mean(now).is_some_and(|known| known > from);
+        let from = slow_threshold(all.iter().filter_map(|gap| gap.mean(now)));
+        let slow = |gap: &EventGap| gap.mean(now).is_some_and(|known| known > from);
         all.iter().map(slow).collect::<Vec<bool>>()
     };
     let mut found = [vec![false; 7], vec![true; 2]].concat();
@@ -205,68 +202,71 @@
     }
     found[0] = true;
     assert_eq!(slow(&all, ms(2_600)), found);
-    assert_eq!(slow(&all, ms(60_000)), vec![false; 9], "tried again");
+    assert_eq!(slow(&all, ms(60_000)), vec![false; 9], "expired");
 }
 
-/// A burst of cues slows all endpoints alike: moving streams about would help
-/// nobody. One pause in a stream is no proof either.
+/// A burst that slows all endpoints alike makes none of them slow, and neither does a
+/// single long pause.
 #[test]
-fn pace_burst_slows_all_alike() {
+fn event_gap_burst_slows_all_alike() {
     let all = [ms(45), ms(42), ms(48), ms(47), ms(44)];
     let from = slow_threshold(all.into_iter());
-    assert!(all.iter().all(|pace| *pace <= from), "{from:?}");
-    let mut pace = EventGap::default();
-    (0..20).for_each(|event| pace.record(ms(event * 45), ms(45)));
-    pace.record(ms(1_000), ms(150));
-    assert!(pace.mean(ms(1_000)).expect("fresh") <= from);
+    assert!(all.iter().all(|gap| *gap <= from), "{from:?}");
+    let mut gap = EventGap::default();
+    (0..20).for_each(|event| gap.record(ms(event * 45), ms(45)));
+    gap.record(ms(1_000), ms(150));
+    assert!(gap.mean(ms(1_000)).expect("fresh") <= from);
 }
 
-/// A beginning that gets much of the traffic through two dozen entries: this
-/// one has nothing of its own at the endpoint, and its last prompt waited there
-/// for two seconds. It knows the queue, and forgets it within seconds.
+/// Without own prompts at an endpoint, the wait of the last ones predicts the queue of
+/// prompts that other entries sent; it decays within seconds.
 #[test]
-fn waits_queue_of_others_seen() {
-    let mut waits = QueueWait::default();
-    assert_eq!(waits.predicted(ms(900)), ms(0));
-    waits.sent(ms(1_000), 9_000.0, false);
-    waits.dequeued(ms(1_000), 9_000.0, false);
-    waits.record(ms(3_000), ms(2_000));
-    assert!(waits.tokens_ahead(false) < 1.0);
-    let now = waits.predicted(ms(3_000));
+fn queue_wait_predicts_from_last_wait() {
+    let mut queue_wait = QueueWait::default();
+    assert_eq!(queue_wait.predicted(ms(900)), ms(0));
+    queue_wait.sent(ms(1_000), 9_000.0, false);
+    queue_wait.dequeued(ms(1_000), 9_000.0, false);
+    queue_wait.record(ms(3_000), ms(2_000));
+    assert!(queue_wait.tokens_ahead(false) < 1.0);
+    let now = queue_wait.predicted(ms(3_000));
     assert!(now >= ms(700), "{now:?}");
-    waits.record(ms(3_300), ms(2_000));
+    queue_wait.record(ms(3_300), ms(2_000));
     assert!(
-        waits.predicted(ms(3_300)) > now,
+        queue_wait.predicted(ms(3_300)) > now,
         "the second one confirms it"
     );
-    assert!(waits.predicted(ms(13_300)) < ms(50), "ten seconds later");
+    assert!(
+        queue_wait.predicted(ms(13_300)) < ms(50),
+        "ten seconds later"
+    );
 }
 
-/// The queue is growing: a prompt sent two seconds ago still waits, before any
-/// answer could tell of it. Prompts in the background wait by design, and say
-/// nothing.
+/// The age of the oldest waiting prompt counts before any answer has arrived. Prompts in
+/// the background wait by design and do not count.
 #[test]
-fn waits_oldest_counts_in_front_only() {
-    let mut waits = QueueWait::default();
-    waits.sent(ms(1_000), 9_000.0, false);
-    waits.sent(ms(2_000), 9_000.0, false);
-    assert_eq!(waits.predicted(ms(3_000)), ms(2_000));
-    waits.dequeued(ms(1_000), 9_000.0, false);
-    assert_eq!(waits.predicted(ms(3_000)), ms(1_000));
-    waits.dequeued(ms(2_000), 9_000.0, false);
-    waits.sent(ms(3_000), 9_000.0, true);
-    assert_eq!(waits.predicted(ms(9_000)), ms(0));
+fn queue_wait_oldest_in_foreground() {
+    let mut queue_wait = QueueWait::default();
+    queue_wait.sent(ms(1_000), 9_000.0, false);
+    queue_wait.sent(ms(2_000), 9_000.0, false);
+    assert_eq!(queue_wait.predicted(ms(3_000)), ms(2_000));
+    queue_wait.dequeued(ms(1_000), 9_000.0, false);
+    assert_eq!(queue_wait.predicted(ms(3_000)), ms(1_000));
+    queue_wait.dequeued(ms(2_000), 9_000.0, false);
+    queue_wait.sent(ms(3_000), 9_000.0, true);
+    assert_eq!(queue_wait.predicted(ms(9_000)), ms(0));
     assert_eq!(
-        (waits.tokens_ahead(false), waits.tokens_ahead(true)),
+        (
+            queue_wait.tokens_ahead(false),
+            queue_wait.tokens_ahead(true)
+        ),
         (0.0, 9_000.0)
     );
 }
 
 proptest! {
-    /// Whatever the order, no more is spent than the cap and the share of the
-    /// requests, over any stretch of time.
+    /// In any window, at most the cap plus the earnings of the requests in it is spent.
     #[test]
-    fn budget_bounded_over_any_stretch(steps in proptest::collection::vec(any::<bool>(), 1..400)) {
+    fn budget_bounded_in_any_window(steps in proptest::collection::vec(any::<bool>(), 1..400)) {
         let mut budget = Budget::empty(0.15, 3.0);
         let mut spent = vec![0u32];
         let mut earned = vec![0u32];
@@ -291,8 +291,7 @@
     }
 }
 
-/// Eight to sixteen entries, or twenty-two, that all save up what they may: the
-/// operators' spare second sends are not used up even then.
+/// The caps of all entries together stay within the additional second sends.
 #[test]
 fn allowance_shared_by_entries() {
     for (spare, counts) in [(58.0, 8..=16), (84.0, 8..=30)] {
@@ -305,102 +304,101 @@
     }
 }
 
-/// Sums over all entries go before the own count, and an entry that is told
-/// nothing more goes back to its own: cut off from control it decides alone.
+/// Sums over all entries take precedence over own work. Without fresh sums, for example
+/// behind a network partition, an entry uses its own work again.
 #[test]
-fn shares_agreed_then_alone() {
-    let mut shares = Reservation::default();
-    (0..100).for_each(|at| shares.record(ms(at * 10), true, ms(100)));
-    let alone = shares.reserved(ms(1_000), 34);
-    shares.set_total(ms(1_000), 10.0, 90.0);
-    let agreed = shares.reserved(ms(1_000), 34);
-    assert!(agreed < alone, "{agreed} of {alone}");
-    assert_eq!(shares.reserved(ms(2_500), 34), agreed);
-    let after = shares.reserved(ms(2_700), 34);
-    assert!(after > agreed, "{after}");
+fn reservation_total_then_own() {
+    let mut reservation = Reservation::default();
+    (0..100).for_each(|at| reservation.record(ms(at * 10), true, ms(100)));
+    let own = reservation.reserved(ms(1_000), 34);
+    reservation.set_total(ms(1_000), 10.0, 90.0);
+    let total = reservation.reserved(ms(1_000), 34);
+    assert!(total < own, "{total} of {own}");
+    assert_eq!(reservation.reserved(ms(2_500), 34), total);
+    let after = reservation.reserved(ms(2_700), 34);
+    assert!(after > total, "{after}");
 }
 
-/// What entries tell fades, so that one which gets nothing more counts for
-/// nothing soon.
+/// Reported work decays, so that an entry without new requests soon counts for nothing.
 #[test]
-fn shares_told_work_fades() {
-    let mut shares = Reservation::default();
-    shares.record(ms(0), true, ms(500));
-    shares.record(ms(0), false, ms(1_500));
-    let (fragile, other) = shares.local_work(ms(0));
-    assert!((fragile - 0.5).abs() < 1e-9 && (other - 1.5).abs() < 1e-9);
-    let (fragile, other) = shares.local_work(ms(12_500));
-    assert!(fragile < 0.01 && other < 0.02);
+fn reservation_local_work_decays() {
+    let mut reservation = Reservation::default();
+    reservation.record(ms(0), true, ms(500));
+    reservation.record(ms(0), false, ms(1_500));
+    let (sensitive, other) = reservation.local_work(ms(0));
+    assert!((sensitive - 0.5).abs() < 1e-9 && (other - 1.5).abs() < 1e-9);
+    let (sensitive, other) = reservation.local_work(ms(12_500));
+    assert!(sensitive < 0.01 && other < 0.02);
 }
 
-/// A burst of chapters at the users' larger deployment: 57 endpoints' worth of
-/// long prompts and 10 of cues before 34 endpoints. Only what is in front
-/// counts, which is what the endpoints left to long prompts can do; the cues
-/// keep what they need, and long prompts keep the rest.
+/// Overload of 34 endpoints: long prompts for 57 endpoints and sensitive streams for 10.
+/// Only foreground work is recorded, which is what the endpoints left to long prompts can
+/// do, so the sensitive streams get what they need and long prompts get the rest.
 #[test]
-fn lanes_under_overload_cover_what_is_urgent() {
+fn work_mix_overload() {
     let endpoints = 34;
-    let mut lanes = WorkMix::default();
-    let mut reserved = lanes.reserved(endpoints);
+    let mut mix = WorkMix::default();
+    let mut reserved = mix.reserved(endpoints);
     for step in 0..200u64 {
         let now = ms(step * 100);
-        lanes.record(now, true, ms(1_000));
-        let front = (endpoints - reserved) as u64 * 100;
-        lanes.record(now, false, ms(front.min(5_700)));
-        reserved = lanes.reserved(endpoints);
+        mix.record(now, true, ms(1_000));
+        let foreground = (endpoints - reserved) as u64 * 100;
+        mix.record(now, false, ms(foreground.min(5_700)));
+        reserved = mix.reserved(endpoints);
     }
     assert!((11..=15).contains(&reserved), "{reserved}");
 }
 
-/// How chapters of 9,000 tokens fare that come at two and a half times the rate
-/// at which twenty endpoints read 30 tokens a millisecond, through ten entries
-/// that don't talk. Returns the number that was read within the objective, and
-/// the number that was read at all.
+/// Simulates prompts of 9,000 tokens that arrive at two and a half times the prefill rate
+/// of twenty endpoints, 30 tokens per millisecond each, through ten entries that exchange
+/// no messages. `choose` returns whether a prompt goes to the foreground. Returns the
+/// number of prompts that were prefilled within the objective, and of all that were
+/// prefilled.
 fn burst(choose: impl Fn(&Backlog, Duration) -> bool) -> (usize, usize) {
     const TOKENS: f64 = 9_000.0;
     const RATE: f64 = 20.0 * 30.0;
     const ENTRIES: usize = 10;
     let objective = ms(1_500);
-    let patience = ms(6_000);
+    let time_limit = ms(6_000);
     let mut entries = vec![Backlog::default(); ENTRIES];
-    let mut front: VecDeque<(u64, usize)> = VecDeque::new();
-    let mut back = front.clone();
-    let (mut in_time, mut all, mut budget, mut owed) = (0, 0, 0.0, 0.0);
+    let mut foreground: VecDeque<(u64, usize)> = VecDeque::new();
+    let mut background = foreground.clone();
+    let (mut in_time, mut all, mut budget, mut due) = (0, 0, 0.0, 0.0);
     for now in 0..15_000u64 {
-        // The burst lasts nine seconds; before and after it half of what is
-        // possible comes.
+        // The burst lasts nine seconds; before and after it the load is half of the
+        // capacity.
         let load = if (2_000..11_000).contains(&now) {
             2.5
         } else {
             0.5
         };
-        owed += load * RATE / TOKENS;
-        while owed >= 1.0 {
-            owed -= 1.0;
+        due += load * RATE / TOKENS;
+        while due >= 1.0 {
+            due -= 1.0;
             let entry = (now as usize * 7 + all) % ENTRIES;
             if choose(&entries[entry], ms(now)) {
                 entries[entry].sent(ms(now), 0, TOKENS, false);
-                front.push_back((now, entry));
+                foreground.push_back((now, entry));
             } else {
-                back.push_back((now, entry));
+                background.push_back((now, entry));
             }
         }
         budget = (budget + RATE).min(TOKENS);
         while budget >= TOKENS {
-            let (next, in_front) = match front.pop_front() {
+            let (next, in_foreground) = match foreground.pop_front() {
                 Some(next) => (next, true),
-                None => match back.pop_front() {
+                None => match background.pop_front() {
                     Some(next) => (next, false),
                     None => break,
                 },
             };
-            let (came, entry) = next;
-            let waited = ms(now - came);
-            if in_front {
-                entries[entry].dequeued(ms(came), 0, TOKENS, false);
+            let (arrived, entry) = next;
+            let waited = ms(now - arrived);
+            if in_foreground {
+                entries[entry].dequeued(ms(arrived), 0, TOKENS, false);
                 entries[entry].record_wait(ms(now), waited);
             }
-            if waited > patience {
+            if waited > time_limit {
                 continue;
             }
             budget -= TOKENS;
@@ -412,24 +410,31 @@
     (in_time, all)
 }
 
-/// In one queue nearly all of the burst is late. With a background as many are
-/// read, and four in five of those in time.
+/// In one FIFO queue less than half of the prompts of a burst are in time. With a
+/// background about as many prompts are prefilled, and more than four in five of them in
+/// time.
 #[test]
-fn backlog_burst_served_in_time() {
+fn backlog_burst_in_time() {
     let least = 20.0 * 30_000.0 / 10.0 * 0.5;
-    let (queue, read) = burst(|_, _| true);
-    let (ours, also) =
+    let (fifo_in_time, fifo_prefilled) = burst(|_, _| true);
+    let (in_time, prefilled) =
         burst(|backlog, now| backlog.can_meet_objective(now, 0, least, ms(1_500)));
-    assert!(also + 20 >= read, "{also} read, {read} in one queue");
-    assert!(queue * 2 < read, "{queue} of {read} in one queue");
-    assert!(ours * 10 > also * 8, "{ours} of {also}");
+    assert!(
+        prefilled + 20 >= fifo_prefilled,
+        "{prefilled} prefilled, {fifo_prefilled} in one queue"
+    );
+    assert!(
+        fifo_in_time * 2 < fifo_prefilled,
+        "{fifo_in_time} of {fifo_prefilled} in one queue"
+    );
+    assert!(in_time * 10 > prefilled * 8, "{in_time} of {prefilled}");
 }
 
-/// A calm day: one prompt a second at one of nine entries, and now and then
-/// three at once, each read at an endpoint of its own in a third of a second.
-/// Together they look like a queue, and nobody is sent to the background.
+/// At low load an entry gets one prompt per second and now and then three at once, each
+/// prefilled on an endpoint of its own in a third of a second. Three together look like a
+/// queue, but none goes to the background.
 #[test]
-fn backlog_calm_day_all_in_front() {
+fn backlog_low_load_all_in_foreground() {
     let least = 15_000.0;
     let objective = ms(2_000);
     let mut backlog = Backlog::default();
@@ -446,19 +451,21 @@
         }
         queue_suspected |= backlog.predicted_wait(now, 0, least) > objective;
         for _ in 0..prompts {
-            let read = now + ms(350);
+            let prefilled = now + ms(350);
             backlog.dequeued(now, 0, 12_000.0, false);
-            backlog.prefilled(read, 12_000.0);
-            backlog.record_wait(read, ms(20));
+            backlog.prefilled(prefilled, 12_000.0);
+            backlog.record_wait(prefilled, ms(20));
         }
     }
-    assert!(queue_suspected, "the rate alone would have sent some back");
+    assert!(
+        queue_suspected,
+        "the rate alone would send some to the background"
+    );
 }
 
-/// More urgent prompts are read first: what is less urgent doesn't make them
-/// wait.
+/// More urgent prompts are prefilled first and do not wait for less urgent ones.
 #[test]
-fn backlog_counts_what_goes_first() {
+fn backlog_counts_more_urgent_only() {
     let mut backlog = Backlog::default();
     backlog.sent(ms(0), 2, 90_000.0, false);
     backlog.sent(ms(0), 1, 3_000.0, false);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,5 +1,4 @@
-//! How far an endpoint is trusted, and when a request had better leave it. Each test
-//! names the load it answers.
+//! Passive health checks of an endpoint, and when a request is moved to another one.
 
 use dogwoodhill_policy::health::{Health, HealthRecord};
 use std::time::Duration;
@@ -8,10 +7,10 @@
     Duration::from_millis(millis)
 }
 
-/// A burst: an endpoint whose queue is long refuses new connections and goes on
-/// with what it has taken. Requests that wait there stay.
+/// An endpoint with a long queue refuses new connections and still serves accepted
+/// requests: it gets no new requests, but the waiting ones stay.
 #[test]
-fn deserted_refused_connection_is_no_reason() {
+fn should_abandon_not_on_refused_connection() {
     let mut record = HealthRecord::default();
     record.sent(ms(1_000));
     record.mark_unreachable(ms(1_100));
@@ -19,10 +18,10 @@
     assert!(!record.should_abandon(ms(1_200), ms(1_000)));
 }
 
-/// An endpoint is cut off without a word: whoever waits there finds out by the
-/// next connection that nobody answers, and new requests by their own silence.
+/// An endpoint behind a network partition closes no connection: waiting requests are
+/// abandoned after silence, or once a later connection gets no answer.
 #[test]
-fn deserted_dark_endpoint_is_left() {
+fn should_abandon_silent_endpoint() {
     let mut record = HealthRecord::default();
     record.sent(ms(1_000));
     record.record_first_byte(ms(100));
@@ -43,79 +42,86 @@
     record.received(ms(1_500));
     assert!(
         !record.should_abandon(ms(1_501), ms(1_000)),
-        "it speaks again"
+        "bytes received again"
     );
 }
 
-/// An endpoint crashes behind a cut, which closes no connection, and is back within a
-/// second: a prompt that waits at the earlier run is waited for by nobody any more. One
-/// that still answers is left alone, whatever a list says of it.
+/// An endpoint crashes behind a network partition, which closes no connection, and
+/// restarts within a second: requests that wait for the earlier run are abandoned. They
+/// stay if the run still sends bytes, whatever a list says of it.
 #[test]
-fn deserted_run_that_is_over() {
+fn should_abandon_superseded_run() {
     let mut record = HealthRecord::default();
     record.sent(ms(1_000));
     record.mark_superseded(ms(1_500));
     assert!(
         record.should_abandon(ms(1_500), ms(1_000)),
-        "nothing came for 500 ms"
+        "500 ms of silence"
     );
     assert!(
         !record.should_abandon(ms(1_500), ms(1_400)),
         "sent a moment ago"
     );
     record.received(ms(1_550));
-    assert!(!record.should_abandon(ms(1_600), ms(1_000)), "it speaks");
+    assert!(
+        !record.should_abandon(ms(1_600), ms(1_000)),
+        "bytes received"
+    );
     assert!(record.should_abandon(ms(1_900), ms(1_000)));
 }
 
-/// An endpoint lies dark for some seconds while every entry gets ten requests a
-/// second: after its rest one request tries it, and the others don't follow
-/// before something came back.
+/// After the pause of an unreachable endpoint a single request probes it; the others
+/// follow only once bytes are received.
 #[test]
-fn trust_rested_endpoint_gets_one_trial() {
+fn health_single_probe_after_pause() {
     let mut record = HealthRecord::default();
     record.sent(ms(1_000));
     record.connect_timed_out(ms(1_400));
     record.ended(false);
-    assert_eq!(record.health(ms(1_500)), Health::Silent, "it rests");
-    assert_eq!(record.health(ms(1_701)), Health::Sound, "one may try it");
+    assert_eq!(record.health(ms(1_500)), Health::Silent, "paused");
+    assert_eq!(
+        record.health(ms(1_701)),
+        Health::Sound,
+        "one request may probe it"
+    );
     record.sent(ms(1_701));
-    assert_eq!(record.health(ms(1_702)), Health::Silent, "the others wait");
+    assert_eq!(
+        record.health(ms(1_702)),
+        Health::Silent,
+        "the others wait for the probe"
+    );
     record.received(ms(1_760));
-    assert_eq!(record.health(ms(1_761)), Health::Sound, "it is back");
+    assert_eq!(record.health(ms(1_761)), Health::Sound, "recovered");
 }
 
 #[test]
-fn trust_silent_endpoint_left_and_tried_again() {
+fn health_silent_endpoint_is_retried() {
     let mut record = HealthRecord::default();
     record.sent(ms(1_000));
     record.record_first_byte(ms(100));
     record.received(ms(1_100));
-    assert_eq!(
-        record.health(ms(1_900)),
-        Health::Sound,
-        "a pause is no silence"
-    );
+    assert_eq!(record.health(ms(1_900)), Health::Sound, "a short pause");
     assert_eq!(record.health(ms(2_100)), Health::Silent);
     record.mark_unreachable(ms(2_100));
     record.ended(true);
-    assert_eq!(record.health(ms(2_200)), Health::Silent, "it is left alone");
-    assert_eq!(record.health(ms(2_500)), Health::Sound, "and tried again");
+    assert_eq!(record.health(ms(2_200)), Health::Silent, "paused");
+    assert_eq!(record.health(ms(2_500)), Health::Sound, "retried");
 }
 
-/// Under load an endpoint lets requests wait for a few seconds.
+/// Under load an endpoint queues requests for a few seconds, which is not silence.
 #[test]
-fn trust_queueing_endpoint_is_no_silent_one() {
+fn health_queueing_endpoint_is_sound() {
     let mut record = HealthRecord::default();
     record.sent(ms(1_000));
     assert_eq!(record.health(ms(4_900)), Health::Sound);
     assert_eq!(record.health(ms(5_100)), Health::Silent);
 }
 
-/// A plain service answers in 15 ms; one of its endpoints goes dark with
-/// requests under way, whose callers wait a second. Others are spared soon.
+/// An endpoint of a plain service that answers in 15 ms becomes silent with a request
+/// outstanding: it is detected within 260 ms, so that few callers, who wait for a second,
+/// are affected.
 #[test]
-fn trust_plain_endpoint_dark_found_soon() {
+fn health_silence_limit_follows_first_byte() {
     let mut record = HealthRecord::default();
     for i in 0..50 {
         record.sent(ms(i * 20));
@@ -128,9 +134,11 @@
     assert_eq!(record.health(ms(2_260)), Health::Silent);
 }
 
-/// One endpoint fails half of its requests while it calls itself healthy.
+/// An endpoint fails half of its requests while it reports itself healthy; without
+/// further requests the failure rate decays and it is tried again. A failure rate of 14%
+/// is usual.
 #[test]
-fn trust_failing_endpoint_found_and_forgiven() {
+fn health_failing_endpoint_recovers() {
     let mut record = HealthRecord::default();
     for i in 0..20 {
         record.record_outcome(ms(i * 10), i % 2 == 0);
@@ -139,7 +147,7 @@
     assert_eq!(
         record.health(ms(10_000)),
         Health::Sound,
-        "without news it is tried"
+        "tried again without outcomes"
     );
     let mut usual = HealthRecord::default();
     for i in 0..100 {
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,5 @@
-//! What the queue and the dispatcher promise under any events.
+//! Order, bounds and starvation limit of the queue, and conservation of requests in the
+//! dispatcher, under random events.
 
 use dogwoodhill_core::load::Load;
 use dogwoodhill_policy::Moment;
@@ -37,27 +38,27 @@
     TestRunner::new_with_rng(config, random)
 }
 
-fn everything(_: &String, _: u8, _: bool) -> bool {
+fn skip_none(_: &String, _: u8, _: bool) -> bool {
     false
 }
 
 #[test]
-fn push_keeps_bounds_and_sheds_lowest_newest() {
+fn push_sheds_newest_of_lowest_tier() {
     let arrivals = proptest::collection::vec((0u8..6, 0u8..4, 1usize..400), 1..120);
     let result = runner(1).run(&arrivals, |arrivals| {
         let mut queue = Queue::new(BOUNDS);
-        let mut held: Vec<(u8, usize)> = Vec::new();
+        let mut queued: Vec<(u8, usize)> = Vec::new();
         for (number, (tier, workspace, bytes)) in arrivals.into_iter().enumerate() {
-            held.push((tier, number));
+            queued.push((tier, number));
             let shed = queue.push(Moment::ZERO, item(tier, workspace, bytes), number);
-            for gone in shed {
-                let worst = held.iter().copied().max().unwrap();
-                prop_assert_eq!((gone.item.tier, gone.payload), worst);
-                held.retain(|known| *known != worst);
+            for dropped in shed {
+                let worst = queued.iter().copied().max().unwrap();
+                prop_assert_eq!((dropped.item.tier, dropped.payload), worst);
+                queued.retain(|known| *known != worst);
             }
             prop_assert!(queue.len() <= BOUNDS.count);
             prop_assert!(queue.bytes() <= BOUNDS.bytes);
-            prop_assert_eq!(queue.len(), held.len());
+            prop_assert_eq!(queue.len(), queued.len());
         }
         Ok(())
     });
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn every_class_progresses_under_endless_urgent_load() {
+fn turn_no_starvation_under_urgent_load() {
     let mut queue = Queue::new(Bounds {
         count: 1_000,
         bytes: usize::MAX,
@@ -78,11 +79,10 @@
     let mut last = [0u64; 6];
     for start in 1..=2_000u64 {
         queue.push(Moment::ZERO, item(0, 0, 1), 0);
-        let turn = queue.turn(Moment::ZERO, everything).unwrap();
+        let turn = queue.turn(Moment::ZERO, skip_none).unwrap();
         let taken = queue.take(&turn).unwrap();
         let tier = usize::from(taken.item.tier);
-        // The bound that the module states: OWED starts and one for each
-        // waiting class.
+        // Bound of the module docs: STARVATION_LIMIT starts plus one per waiting class.
         for (waiting, last) in last.iter().enumerate() {
             if queue.waiting(waiting as u8) > 0 {
                 assert!(
@@ -105,7 +105,7 @@
     queue.push(Moment::ZERO, relaxed, "relaxed");
     queue.push(Moment::from_secs(2), item(1, 0, 1), "pressing");
     let mut order = Vec::new();
-    while let Some(turn) = queue.turn(Moment::from_secs(2), everything) {
+    while let Some(turn) = queue.turn(Moment::from_secs(2), skip_none) {
         order.push(queue.take(&turn).unwrap().payload);
     }
     assert_eq!(order, ["pressing", "relaxed", "patient"]);
@@ -123,23 +123,23 @@
     }
     let mut heavy = 0;
     for _ in 0..500 {
-        let turn = queue.turn(Moment::ZERO, everything).unwrap();
+        let turn = queue.turn(Moment::ZERO, skip_none).unwrap();
         let taken = queue.take(&turn).unwrap();
         heavy += u32::from(taken.item.workspace == "workspace-3");
     }
-    // Weights 1 and 4: four in five, but for rounding.
+    // Weights 1 and 4: four in five, up to rounding.
     assert!((398..=402).contains(&heavy), "{heavy}");
 }
 
 #[test]
-fn put_back_goes_first_again() {
+fn put_back_to_the_head() {
     let mut queue = Queue::new(BOUNDS);
     queue.push(Moment::ZERO, item(0, 0, 1), "first");
     queue.push(Moment::ZERO, item(0, 0, 1), "second");
-    let turn = queue.turn(Moment::ZERO, everything).unwrap();
+    let turn = queue.turn(Moment::ZERO, skip_none).unwrap();
     let first = queue.take(&turn).unwrap();
     queue.put_back(first);
-    let turn = queue.turn(Moment::ZERO, everything).unwrap();
+    let turn = queue.turn(Moment::ZERO, skip_none).unwrap();
     assert_eq!(queue.take(&turn).unwrap().payload, "first");
 }
 
@@ -157,7 +157,7 @@
     prop_oneof![
         6 => (0u8..6, 0u8..4).prop_map(|(t, w)| Event::Arrive(t, w)),
         2 => (any::<usize>(), 0u32..4).prop_map(|(n, limit)| Event::Refuse(n, limit)),
-        4 => any::<(usize, bool)>().prop_map(|(n, whole)| Event::End(n, whole)),
+        4 => any::<(usize, bool)>().prop_map(|(n, complete)| Event::End(n, complete)),
         1 => any::<usize>().prop_map(Event::Unreachable),
         2 => (1u16..2_000).prop_map(Event::Tick),
         1 => (0u8..4).prop_map(Event::List),
@@ -181,15 +181,15 @@
     }
 }
 
-/// Every request leaves by exactly one end, and none is started twice.
+/// Every request ends exactly once, and none is started twice.
 #[test]
-fn dispatcher_one_outcome_for_each_request() {
+fn dispatcher_one_outcome_per_request() {
     let events = proptest::collection::vec(event(), 1..150);
     let result = runner(3).run(&events, |events| {
         let mut random = SmallRng::seed_from_u64(1);
         let policy = Policy::Predicted.build("domain-0".to_string());
-        let mut machine = Dispatcher::new(BOUNDS, policy);
-        machine.set_endpoints(&listed(3));
+        let mut dispatcher = Dispatcher::new(BOUNDS, policy);
+        dispatcher.set_endpoints(&listed(3));
         let mut now = Moment::ZERO;
         let mut next = 0usize;
         let mut running = Vec::new();
@@ -202,13 +202,13 @@
                     arrived += 1;
                     let mut item = item(tier, workspace, 1);
                     item.deadline = now + Moment::from_secs(5);
-                    machine.arrive(now, item, next, &mut random)
+                    dispatcher.arrive(now, item, next, &mut random)
                 }
                 Event::Refuse(n, limit) if !running.is_empty() => {
                     let started: dogwoodhill_policy::dispatch::Started<usize> =
                         running.swap_remove(n % running.len());
                     let (view, report) = (started.view, report(limit));
-                    machine.refused(
+                    dispatcher.refused(
                         now,
                         view,
                         Some(&report),
@@ -217,21 +217,27 @@
                         &mut random,
                     )
                 }
-                Event::End(n, whole) if !running.is_empty() => {
+                Event::End(n, complete) if !running.is_empty() => {
                     let started = running.swap_remove(n % running.len());
                     prop_assert!(ended.insert(started.waiting.payload));
-                    machine.ended(now, started.view, Some(&report(4)), whole, &mut random)
+                    dispatcher.ended(
+                        now,
+                        started.view,
+                        Some(&report(4)),
+                        complete,
+                        &mut random,
+                    )
                 }
                 Event::Unreachable(n) if !running.is_empty() => {
-                    machine.unreachable(now, running[n % running.len()].view);
+                    dispatcher.unreachable(now, running[n % running.len()].view);
                     Vec::new()
                 }
                 Event::Tick(ms) => {
                     now += Moment::from_millis(u64::from(ms));
-                    machine.tick(now, |_| false, &mut random)
+                    dispatcher.tick(now, |_| false, &mut random)
                 }
                 Event::List(count) => {
-                    machine.set_endpoints(&listed(count));
+                    dispatcher.set_endpoints(&listed(count));
                     Vec::new()
                 }
                 _ => Vec::new(),
@@ -244,10 +250,14 @@
                     }
                 }
             }
-            let known = running.len() + ended.len() + machine.queue().len();
-            prop_assert_eq!(known, arrived, "every request is somewhere, once");
-            let own: u32 = machine.views().iter().map(|view| view.outstanding()).sum();
-            prop_assert_eq!(own as usize, running.len());
+            let known = running.len() + ended.len() + dispatcher.queue().len();
+            prop_assert_eq!(known, arrived, "every request is counted once");
+            let outstanding: u32 = dispatcher
+                .views()
+                .iter()
+                .map(|view| view.outstanding())
+                .sum();
+            prop_assert_eq!(outstanding as usize, running.len());
         }
         Ok(())
     });
@@ -255,14 +265,14 @@
 }
 
 #[test]
-fn list_leaving_endpoint_gets_nothing_new() {
+fn set_endpoints_leaving_gets_no_work() {
     let mut random = SmallRng::seed_from_u64(1);
     let policy = Policy::Predicted.build("domain-0".to_string());
-    let mut machine = Dispatcher::new(BOUNDS, policy);
-    machine.set_endpoints(&listed(2));
-    machine.set_endpoints(&listed(1));
+    let mut dispatcher = Dispatcher::new(BOUNDS, policy);
+    dispatcher.set_endpoints(&listed(2));
+    dispatcher.set_endpoints(&listed(1));
     for n in 0..8 {
-        for action in machine.arrive(Moment::ZERO, item(0, 0, 1), n, &mut random) {
+        for action in dispatcher.arrive(Moment::ZERO, item(0, 0, 1), n, &mut random) {
             if let Action::Start(started) = action {
                 assert_eq!(started.endpoint, "endpoint-0");
             }
--- a/crates/policy/tests/urgency.rs
+++ b/crates/policy/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! Who goes first at an endpoint, under the loads where it decides.
+//! Priority levels at an endpoint, also under overload.
 
 use dogwoodhill_policy::affinity::mix;
 use dogwoodhill_policy::backlog::Backlog;
@@ -12,7 +12,7 @@
     Duration::from_millis(millis)
 }
 
-/// Levels that an endpoint knows.
+/// Priority levels of an endpoint.
 const LEVELS: usize = 10;
 
 fn rank(route: usize, routes: usize) -> Rank {
@@ -24,8 +24,8 @@
     }
 }
 
-/// The background of a tier goes behind the tier itself and ahead of the next
-/// one; it may share a level with that where there are too few.
+/// The background of a tier comes after the tier itself and before the next one. It may
+/// share a level with either if there are fewer than two levels per tier.
 #[test]
 fn level_background_between_tiers() {
     for (routes, workspaces) in [(1, 3), (2, 3), (3, 3), (3, 5), (4, 4), (6, 4), (10, 4)]
@@ -56,86 +56,87 @@
     }
 }
 
-/// A request at an endpoint.
+/// A request that waits at an endpoint.
 #[derive(Clone, Copy)]
 struct Waiting {
     tier: usize,
-    came: u64,
+    arrived: u64,
     entry: usize,
     background: bool,
 }
 
-/// A tier of requests.
-struct Kind {
+/// Requests of one tier; times in milliseconds.
+struct Workload {
     tokens: f64,
     objective: u64,
-    patience: u64,
+    time_limit: u64,
     weight: f64,
 }
 
-/// Briefs that are wanted within 0.8 s, and digests of four times their size that
-/// are wanted within 2 s.
-const KINDS: [Kind; 2] = [
-    Kind {
+/// Short prompts with an objective of 0.8 s, and prompts of four times their size with an
+/// objective of 2 s.
+const WORKLOADS: [Workload; 2] = [
+    Workload {
         tokens: 2_400.0,
         objective: 800,
-        patience: 4_000,
+        time_limit: 4_000,
         weight: 0.25,
     },
-    Kind {
+    Workload {
         tokens: 9_200.0,
         objective: 2_000,
-        patience: 8_000,
+        time_limit: 8_000,
         weight: 0.75,
     },
 ];
 
-/// Requests of a tier that came during a burst, and those of them that were
-/// never begun.
+/// Requests of a tier that arrived during a burst, and those of them that timed out
+/// before their prefill began.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
-    came: usize,
-    nothing: usize,
+    arrived: usize,
+    timed_out: usize,
 }
 
-/// Eight seconds at three times what nine endpoints read, through eight entries
-/// that don't talk; `level` tells who goes first at an endpoint.
+/// Simulates a burst of eight seconds at three times the prefill rate of nine endpoints,
+/// through eight entries that exchange no messages. `level` maps tier and background to a
+/// priority level.
 fn burst(level: impl Fn(usize, bool) -> usize) -> [Served; 2] {
     const ENDPOINTS: usize = 9;
     const ENTRIES: usize = 8;
-    /// Shared beginnings, each of which is kept at one endpoint.
-    const BEGINNINGS: u64 = 35;
-    /// Tokens that an endpoint reads in a millisecond.
+    /// Shared prefixes, each of which is cached at one endpoint.
+    const PREFIXES: u64 = 35;
+    /// Prefill rate of an endpoint in tokens per millisecond.
     const RATE: f64 = 30.0;
     let all = RATE * ENDPOINTS as f64;
     let least = all * 1_000.0 / ENTRIES as f64 * 0.5;
     let mut entries = vec![Backlog::default(); ENTRIES];
     let mut queues: Vec<BTreeMap<(usize, u64, usize), Waiting>> =
         vec![BTreeMap::new(); ENDPOINTS];
-    let mut free = [0u64; ENDPOINTS];
+    let mut free_at = [0u64; ENDPOINTS];
     let mut served = [Served::default(); 2];
-    let (mut count, mut owed) = (0usize, [0.0; 2]);
+    let (mut count, mut due) = (0usize, [0.0; 2]);
     let mut random = StdRng::seed_from_u64(7);
     for now in 0..20_000u64 {
         let in_burst = (2_000..10_000).contains(&now);
         let load = if in_burst { 3.0 } else { 0.5 };
-        for (tier, kind) in KINDS.iter().enumerate() {
-            owed[tier] += load * all * kind.weight / kind.tokens;
-            while owed[tier] >= 1.0 {
-                owed[tier] -= 1.0;
+        for (tier, workload) in WORKLOADS.iter().enumerate() {
+            due[tier] += load * all * workload.weight / workload.tokens;
+            while due[tier] >= 1.0 {
+                due[tier] -= 1.0;
                 count += 1;
                 let entry = random.random_range(0..ENTRIES);
-                let beginning = random.random_range(0..BEGINNINGS);
-                let endpoint = mix(beginning) as usize % ENDPOINTS;
-                let objective = ms(kind.objective);
-                let hopeful =
+                let prefix = random.random_range(0..PREFIXES);
+                let endpoint = mix(prefix) as usize % ENDPOINTS;
+                let objective = ms(workload.objective);
+                let in_time =
                     entries[entry].can_meet_objective(ms(now), tier, least, objective);
-                let background = !hopeful;
-                entries[entry].sent(ms(now), tier, kind.tokens, background);
-                served[tier].came += usize::from(in_burst);
+                let background = !in_time;
+                entries[entry].sent(ms(now), tier, workload.tokens, background);
+                served[tier].arrived += usize::from(in_burst);
                 let waiting = Waiting {
                     tier,
-                    came: now,
+                    arrived: now,
                     entry,
                     background,
                 };
@@ -143,45 +144,53 @@
                 queues[endpoint].insert(key, waiting);
             }
         }
-        for (queue, free) in queues.iter_mut().zip(&mut free) {
-            while *free <= now {
+        for (queue, free_at) in queues.iter_mut().zip(&mut free_at) {
+            while *free_at <= now {
                 let Some((_, next)) = queue.pop_first() else {
                     break;
                 };
-                let kind = &KINDS[next.tier];
-                let waited = now - next.came;
+                let workload = &WORKLOADS[next.tier];
+                let waited = now - next.arrived;
                 let backlog = &mut entries[next.entry];
-                backlog.dequeued(ms(next.came), next.tier, kind.tokens, next.background);
-                if waited > kind.patience {
-                    let counts = (2_000..10_000).contains(&next.came);
-                    served[next.tier].nothing += usize::from(counts);
+                backlog.dequeued(
+                    ms(next.arrived),
+                    next.tier,
+                    workload.tokens,
+                    next.background,
+                );
+                if waited > workload.time_limit {
+                    let counts = (2_000..10_000).contains(&next.arrived);
+                    served[next.tier].timed_out += usize::from(counts);
                     continue;
                 }
                 if !next.background {
                     backlog.record_wait(ms(now), ms(waited));
                 }
-                backlog.prefilled(ms(now), kind.tokens);
-                *free = now + (kind.tokens / RATE) as u64;
+                backlog.prefilled(ms(now), workload.tokens);
+                *free_at = now + (workload.tokens / RATE) as u64;
             }
         }
     }
     served
 }
 
-/// With one background behind all tiers, briefs are the first that would be late,
-/// and get nothing while digests are read. Behind their own tier alone, one in
-/// twelve at most is left.
+/// The short prompts are the first that would be late. With a single background behind
+/// all tiers, more than one in twelve of them times out while longer prompts are
+/// prefilled; with a background per tier at most one in twelve does.
 #[test]
-fn level_urgent_tier_served_under_a_burst() {
-    let common = burst(|tier, background| {
+fn level_urgent_tier_served_in_burst() {
+    let shared = burst(|tier, background| {
         let last = LEVELS - 1;
         if background { last } else { tier }
     });
-    let [briefs, digests] = common;
-    assert!(briefs.nothing * 12 > briefs.came, "{common:?}");
-    assert!(digests.nothing < digests.came, "{common:?}");
+    let [short, long] = shared;
+    assert!(short.timed_out * 12 > short.arrived, "{shared:?}");
+    assert!(long.timed_out < long.arrived, "{shared:?}");
     let own = burst(|tier, background| rank(tier, 2).level(LEVELS, background));
-    let [briefs, digests] = own;
-    assert!(briefs.nothing * 12 <= briefs.came, "{own:?}");
-    assert!(digests.nothing < digests.came, "digests still run: {own:?}");
+    let [short, long] = own;
+    assert!(short.timed_out * 12 <= short.arrived, "{own:?}");
+    assert!(
+        long.timed_out < long.arrived,
+        "long prompts still run: {own:?}"
+    );
 }
