--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -5,9 +5,9 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backlog::Backlog;
 use dogwoodhill_policy::interference::Interference;
-use dogwoodhill_policy::rate::ReadRate;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use dogwoodhill_policy::reservation::Reservation;
-use dogwoodhill_wire::demand::{ServiceDemand, Totals};
+use dogwoodhill_wire::demand::{DemandReply, ServiceDemand};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Part of a second of an endpoint's time that one generated token takes: a
@@ -19,7 +19,7 @@
     pub(super) shares: Reservation,
     pub(super) disturbance: Interference,
     pub(super) backlog: Arc<Mutex<Backlog>>,
-    pub(super) rate: Arc<Mutex<ReadRate>>,
+    pub(super) rate: Arc<Mutex<PrefillRate>>,
 }
 
 impl Demand {
@@ -43,7 +43,7 @@
         let now = self.start.elapsed();
         let reading = self
             .rate(want.service)
-            .reading(f64::from(want.prompt.tokens));
+            .prefill_time(f64::from(want.prompt.tokens));
         let writing = f64::from(want.prompt.output) * TOKEN_WORK;
         let work = reading + Duration::from_secs_f64(writing);
         let mut all = self.demand();
@@ -89,12 +89,12 @@
         let now = self.start.elapsed();
         let all = self.demand();
         let services = all.iter().map(|(service, demand)| {
-            let (fragile, other) = demand.shares.local_work(now);
+            let (latency_sensitive, other) = demand.shares.local_work(now);
             let (pause, streams) = demand.disturbance.local_estimate(now);
             let streams = streams as f64;
             ServiceDemand {
                 service: service.clone(),
-                fragile,
+                latency_sensitive,
                 other,
                 pauses: pause.as_secs_f64() * streams,
                 streams,
@@ -104,12 +104,14 @@
     }
 
     /// Takes in what came at all entries.
-    pub fn agree(&self, totals: &Totals) {
+    pub fn agree(&self, totals: &DemandReply) {
         let now = self.start.elapsed();
         let mut all = self.demand();
         for total in &totals.services {
             let demand = Demand::of(&mut all, &total.service);
-            demand.shares.set_total(now, total.fragile, total.other);
+            demand
+                .shares
+                .set_total(now, total.latency_sensitive, total.other);
             let pause = Duration::try_from_secs_f64(total.pauses / total.streams);
             let pause = pause.unwrap_or_default();
             demand
@@ -130,13 +132,13 @@
     }
 
     /// How fast the endpoints of a service read.
-    pub(super) fn rate(&self, service: &str) -> ReadRate {
+    pub(super) fn rate(&self, service: &str) -> PrefillRate {
         let shared = self.shared_rate(service);
         let rate = shared.lock().unwrap_or_else(PoisonError::into_inner);
         *rate
     }
 
-    pub(super) fn shared_rate(&self, service: &str) -> Arc<Mutex<ReadRate>> {
+    pub(super) fn shared_rate(&self, service: &str) -> Arc<Mutex<PrefillRate>> {
         Arc::clone(&Demand::of(&mut self.demand(), service).rate)
     }
 
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -7,16 +7,16 @@
 use super::admission::Admission;
 use super::standing::Standing;
 use super::{Lane, Want, log_change};
-use crate::dialect::{Listed, Load, Prompt};
+use crate::dialect::{EndpointRecord, Load, Prompt};
 use crate::pool::{self, Pool, Unconnected};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
 use dogwoodhill_policy::event_gap::EventGap;
 use dogwoodhill_policy::health::{Health, HealthRecord};
 use dogwoodhill_policy::packing::Occupancy;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
 use dogwoodhill_policy::queue_wait::QueueWait;
-use dogwoodhill_policy::rate::ReadRate;
-use dogwoodhill_policy::sightings::{Sight, Verdict};
+use dogwoodhill_policy::shared_health::{HealthReport, Verdict};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -46,7 +46,7 @@
     /// Name; its start is in [`Endpoint::run`].
     pub id: EndpointId,
     /// When it started, once that was told.
-    born: OnceLock<Born>,
+    born: OnceLock<StartTime>,
     /// Service.
     pub service: ServiceId,
     /// Address.
@@ -63,7 +63,7 @@
     gone: AtomicBool,
     start: Instant,
     /// How fast the endpoints of its service read.
-    rate: Arc<Mutex<ReadRate>>,
+    rate: Arc<Mutex<PrefillRate>>,
     view: Mutex<View>,
     /// When it was last looked whether its process has ended, and the answer.
     looked: tokio::sync::Mutex<Option<(Instant, bool)>>,
@@ -108,27 +108,27 @@
     }
 
     /// Time until a prompt sent now would begin to be read.
-    fn wait(&self, now: Duration, rate: ReadRate, background: bool) -> Duration {
+    fn wait(&self, now: Duration, rate: PrefillRate, background: bool) -> Duration {
         let own = self.reading(rate, self.waits.tokens_ahead(background));
         own.max(self.waits.predicted(now))
     }
 
-    fn reading(&self, rate: ReadRate, tokens: f64) -> Duration {
-        rate.reading(tokens).mul_f64(self.slowness)
+    fn reading(&self, rate: PrefillRate, tokens: f64) -> Duration {
+        rate.prefill_time(tokens).mul_f64(self.slowness)
     }
 }
 
 impl Endpoint {
     pub(super) fn new(
-        listed: Listed,
+        listed: EndpointRecord,
         start: Instant,
-        rate: Arc<Mutex<ReadRate>>,
+        rate: Arc<Mutex<PrefillRate>>,
     ) -> Self {
         Self {
             // By the name alone: beginnings find the same endpoint after it
             // started again, and at entries that were not told of its start.
             hash: affinity::hash(listed.run.id.as_bytes()),
-            born: listed.run.born.map_or_else(OnceLock::new, OnceLock::from),
+            born: listed.run.start.map_or_else(OnceLock::new, OnceLock::from),
             id: listed.run.id,
             service: listed.service,
             address: listed.address,
@@ -161,7 +161,7 @@
 
     /// Whether `run` is this one, as far as anybody told.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
-        let same = match (self.born.get(), run.born) {
+        let same = match (self.born.get(), run.start) {
             (Some(own), Some(other)) => *own == other,
             _ => true,
         };
@@ -169,14 +169,14 @@
     }
 
     /// Whether `listed` means this run of this endpoint.
-    pub(super) fn is_listed_as(&self, listed: &Listed) -> bool {
+    pub(super) fn is_listed_as(&self, listed: &EndpointRecord) -> bool {
         self.runs_as(&listed.run)
             && self.address == listed.address
             && self.service == listed.service
     }
 
     /// Takes in when it started.
-    pub(super) fn learn_start(&self, born: Option<Born>) {
+    pub(super) fn learn_start(&self, born: Option<StartTime>) {
         if let Some(born) = born {
             self.born.get_or_init(|| born);
         }
@@ -343,9 +343,9 @@
     }
 
     /// What this entry met there since it told the others last, if anything.
-    pub(crate) fn sight(&self) -> Option<Sight> {
+    pub(crate) fn sight(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
-        self.view().record.take_sighting(now)
+        self.view().record.take_report(now)
     }
 
     /// All entries together see this of it, or nothing of note.
@@ -369,7 +369,7 @@
         want: &Want<'_>,
         domain: &str,
         now: Duration,
-        rate: ReadRate,
+        rate: PrefillRate,
     ) -> Look<'a> {
         let view = self.view();
         Look {
@@ -390,7 +390,7 @@
         want: &Want<'_>,
         domain: &str,
         now: Duration,
-        rate: ReadRate,
+        rate: PrefillRate,
     ) -> Candidate {
         let prompt = want.prompt;
         let last_sent = prompt.shared.and_then(|key| {
@@ -432,11 +432,11 @@
         }
     }
 
-    fn rate(&self) -> ReadRate {
+    fn rate(&self) -> PrefillRate {
         *self.lock_rate()
     }
 
-    fn lock_rate(&self) -> MutexGuard<'_, ReadRate> {
+    fn lock_rate(&self) -> MutexGuard<'_, PrefillRate> {
         self.rate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -522,7 +522,7 @@
         let rate = {
             let mut rate = self.endpoint.lock_rate();
             if self.certain {
-                rate.learn(self.tokens, took.saturating_sub(STEP));
+                rate.observe(self.tokens, took.saturating_sub(STEP));
             }
             *rate
         };
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -3,7 +3,9 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::text::Text;
 use dogwoodhill_policy::budget::Allowance;
-use dogwoodhill_policy::reads::{LEAVING_WITHIN, SHORTEST_INTERVAL, longest_interval};
+use dogwoodhill_policy::list_reads::{
+    DEFAULT_LEAVING_WITHIN, MIN_READ_INTERVAL, max_read_interval,
+};
 use std::net::SocketAddr;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -63,7 +65,7 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
@@ -72,9 +74,9 @@
     let within = s.duration(
         "leaving_within",
         SECOND / 10..=3_600 * SECOND,
-        Some(LEAVING_WITHIN),
+        Some(DEFAULT_LEAVING_WITHIN),
     );
-    let longest = longest_interval(within);
+    let longest = max_read_interval(within);
     let settings = Settings {
         leaving_within: within,
         name: s.name("name"),
@@ -86,7 +88,7 @@
         list: s.address("list"),
         list_every: s.duration(
             "list_every",
-            SHORTEST_INTERVAL..=60 * SECOND,
+            MIN_READ_INTERVAL..=60 * SECOND,
             Some(DEFAULT_LIST.min(longest)),
         ),
         allowance: Allowance {
@@ -100,7 +102,7 @@
     if settings.list_every > longest {
         let problem = "is too long for leaving_within: news would travel longer";
         let longest = longest.as_millis();
-        s.fault(
+        s.report(
             "list_every",
             problem,
             &format!("set at most {longest}ms, or leave it out"),
@@ -108,7 +110,7 @@
     }
     if settings.control.is_empty() {
         let remedy = "list the control instances' internal addresses";
-        s.fault("control", "is empty", remedy);
+        s.report("control", "is empty", remedy);
     }
     settings
 }
@@ -120,7 +122,7 @@
     let window = s.duration_opt("usage_window", range);
     let owed = duties.iter().any(|duty| duty == USAGE_DUTY);
     if owed && window.is_none() {
-        s.fault("usage_window", "is missing", "say how long a window is");
+        s.report("usage_window", "is missing", "say how long a window is");
     }
     window.filter(|_| owed).map(Windows::new)
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -3,10 +3,10 @@
 //! Endpoints disappear without closing connections, fail part of their requests while
 //! they report themselves healthy, or stop answering on all connections at once. An entry
 //! detects this from its own requests: their recent outcomes, and the time since it last
-//! received anything. The verdict of all entries together ([`crate::sightings`]) is used
+//! received anything. The verdict of all entries together ([`crate::shared_health`]) is used
 //! as well, while it is fresh and own observations do not contradict it.
 
-use crate::sightings::{LATELY, Sight, Verdict};
+use crate::shared_health::{HealthReport, RECENT_WINDOW, Verdict};
 use std::time::Duration;
 
 /// Weight of a new outcome in the failure rate: about the last ten requests count.
@@ -74,8 +74,8 @@
     superseded_at: Option<Duration>,
     /// Last verdict of all entries, and when it was received.
     merged: Option<(Duration, Verdict)>,
-    /// Observations since the last call of [`HealthRecord::take_sighting`].
-    news: Sight,
+    /// Observations since the last call of [`HealthRecord::take_report`].
+    observed: HealthReport,
 }
 
 impl HealthRecord {
@@ -113,8 +113,8 @@
     /// fault.
     pub fn record_outcome(&mut self, now: Duration, failed: bool) {
         self.add_outcome(now, failed);
-        self.news.answered += 1;
-        self.news.failed += u32::from(failed);
+        self.observed.answered += 1;
+        self.observed.failed += u32::from(failed);
     }
 
     /// Records a request without an answer in time, as a failure if `failed`. It counts
@@ -137,7 +137,7 @@
         let doubled = MIN_PAUSE * 2u32.pow(self.connect_failures.min(8));
         self.paused_until = now + doubled.min(MAX_PAUSE);
         self.connect_failures += 1;
-        self.news.unreached = true;
+        self.observed.unreached = true;
     }
 
     /// Records a new connection without any answer, not even a refusal.
@@ -148,16 +148,16 @@
 
     /// Records that another run of the endpoint answered at its address.
     pub fn replaced(&mut self) {
-        self.news.replaced = true;
+        self.observed.replaced = true;
     }
 
     /// Returns and resets the observations since the last call, if there are any.
-    pub fn take_sighting(&mut self, now: Duration) -> Option<Sight> {
-        let news = std::mem::take(&mut self.news);
-        let heard = self.received_at > Duration::ZERO;
-        let heard = heard && now.saturating_sub(self.received_at) < LATELY;
-        let sight = Sight { heard, ..news };
-        (sight != Sight::default()).then_some(sight)
+    pub fn take_report(&mut self, now: Duration) -> Option<HealthReport> {
+        let observed = std::mem::take(&mut self.observed);
+        let alive = self.received_at > Duration::ZERO;
+        let alive = alive && now.saturating_sub(self.received_at) < RECENT_WINDOW;
+        let report = HealthReport { alive, ..observed };
+        (report != HealthReport::default()).then_some(report)
     }
 
     /// Sets the verdict of all entries together; `None` if there is none.
