--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -154,8 +154,8 @@
         "the same delivery again"
     );
     cluster.finish("k", 1, recorded());
-    assert_eq!(cluster.take("k", 1, 2), ClaimReply::ClaimEnd(recorded()));
-    assert_eq!(cluster.take("k", 1, 1), ClaimReply::ClaimEnd(recorded()));
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::Ended(recorded()));
+    assert_eq!(cluster.take("k", 1, 1), ClaimReply::Ended(recorded()));
 }
 
 #[test]
@@ -173,11 +173,11 @@
     cluster.now = 11 * SECOND;
     assert_eq!(
         cluster.take("k", 1, 2),
-        ClaimReply::ClaimEnd(ClaimEnd::Unknown)
+        ClaimReply::Ended(ClaimEnd::Unknown)
     );
     assert_eq!(
         cluster.take("k", 1, 1),
-        ClaimReply::ClaimEnd(ClaimEnd::Unknown)
+        ClaimReply::Ended(ClaimEnd::Unknown)
     );
     cluster.now = 111 * SECOND;
     assert_eq!(
@@ -339,7 +339,7 @@
 fn finished(cluster: &mut Cluster, key: &str) -> bool {
     const STRANGER: u128 = 99;
     match cluster.take(key, 1, STRANGER) {
-        ClaimReply::ClaimEnd(_) => true,
+        ClaimReply::Ended(_) => true,
         ClaimReply::Granted => {
             cluster.finish(key, STRANGER, ClaimEnd::NotRun);
             false
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -113,8 +113,8 @@
             "the Idempotency-Key was used with another request",
             "use a new key for a new request",
         )),
-        ClaimReply::ClaimEnd(ClaimEnd::Ran(recorded)) => replay(recorded).map(Some),
-        ClaimReply::ClaimEnd(_) => Err(Refusal::unknown(
+        ClaimReply::Ended(ClaimEnd::Ran(recorded)) => replay(recorded).map(Some),
+        ClaimReply::Ended(_) => Err(Refusal::unknown(
             Cause::BrokenAnswer,
             "the request with this Idempotency-Key may have run; its answer was lost",
             "find out from the service whether it ran; it will not be run again",
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,4 +1,4 @@
-//! What makes an answer whole and one's own.
+//! Validation of an agent's answer: it must belong to the attempt and be complete.
 
 use crate::attempt::Header;
 use crate::frame::{Body, Frame, RefusalReason};
@@ -6,46 +6,46 @@
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 
-/// A part of the answer that may be passed on.
+/// A validated part of an answer, which may be forwarded to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerPart {
     /// The attempt was not run.
     Refused(RefusalReason),
-    /// Status and headers.
+    /// Status and headers of the endpoint's response.
     Head {
         /// HTTP status.
         status: u16,
         /// End-to-end headers.
         headers: Vec<Header>,
     },
-    /// Part of the body.
+    /// Part of the response body.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// Tokens in the answer.
         tokens: u32,
     },
 }
 
-/// Why an answer can't be completed. The request may have run.
+/// Why an answer can't become complete. The request may have run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum AnswerError {
-    /// A frame of another attempt.
+    /// A frame of another attempt arrived.
     #[display("a frame of another attempt arrived")]
     ForeignFrame,
     /// A frame is missing or came twice.
     #[display("a frame is missing or came twice")]
     Sequence,
-    /// The end mark does not agree with what arrived.
+    /// The byte count of the `End` frame differs from the bytes received.
     #[display("the end mark does not agree with the bytes received")]
     Truncated,
-    /// Frames in an order that no answer has.
+    /// The kind of the frame is not valid at this point of an answer.
     #[display("frames came in an impossible order")]
     Order,
-    /// The agent says that the answer broke off.
+    /// The agent reported that the endpoint's response broke off.
     #[display("the endpoint's answer broke off: {cause}")]
     Broken {
-        /// What the agent saw.
+        /// The agent's description of the failure.
         cause: String,
     },
 }
@@ -57,10 +57,10 @@
     Done,
 }
 
-/// Checks the frames of one attempt as they arrive.
+/// Validates the frames of one attempt as they arrive.
 ///
-/// After a [`AnswerError`] or the end nothing more is accepted, so that a late frame
-/// can't lengthen a finished answer.
+/// After an [`AnswerError`], a refusal or the end, every further frame is an error, so that
+/// a late frame can't lengthen a finished answer.
 #[derive(Debug)]
 pub struct Answer {
     attempt: AttemptId,
@@ -70,7 +70,7 @@
 }
 
 impl Answer {
-    /// Expects the frames of `attempt`.
+    /// Creates a validator for the frames of `attempt`.
     pub fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
@@ -80,16 +80,16 @@
         }
     }
 
-    /// Tells whether the answer ended, whole or refused.
+    /// Returns whether the answer is over: complete, refused or invalid.
     pub fn ended(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Checks the next frame.
+    /// Validates the next frame.
     ///
     /// # Errors
     ///
-    /// [`AnswerError`] where the answer can no longer become whole.
+    /// Any [`AnswerError`]; the answer can no longer become complete.
     pub fn accept(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
         let piece = self.check(frame);
         if piece.is_err() {
--- a/crates/wire/src/attempt.rs
+++ b/crates/wire/src/attempt.rs
@@ -1,63 +1,64 @@
-//! The message with which an entry asks an agent to run a request.
+//! The message by which an entry sends a request to an agent.
 
 use bytes::Bytes;
 use dogwoodhill_core::prelude::*;
 use http::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 
-/// One header of a request or an answer.
+/// One HTTP header of a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// Name, in lower case.
     pub name: String,
-    /// Value, as it was received.
+    /// Value, byte for byte as received; not necessarily UTF-8.
     pub value: Bytes,
 }
 
-/// One try at running a request on one endpoint.
+/// One attempt to run a request on one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Unique id of this try.
+    /// Identifies this attempt; a retry has another id.
     pub attempt: AttemptId,
-    /// Id of the caller's request.
+    /// Id of the caller's request, shared by all of its attempts.
     pub request: RequestId,
     /// Service the request is for.
     pub service: ServiceId,
-    /// Endpoint the entry means; an agent of another endpoint refuses.
+    /// Endpoint the attempt is meant for; the agent of any other endpoint refuses it.
     pub endpoint: EndpointId,
     /// Class of the request.
     pub class: ClassId,
     /// Tier of that class.
     pub tier: Tier,
-    /// Whether the entry owes this class a start, whatever its tier.
+    /// Whether this class has waited so long at the entry that it starts regardless of
+    /// its tier.
     pub due: bool,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// What stands behind the service.
+    /// Kind of the service's endpoints.
     pub kind: Kind,
-    /// Time left until the caller's deadline. A duration and no time of day,
-    /// because clocks of two instances need not agree.
+    /// Time left until the caller's deadline. A duration instead of a time of day,
+    /// because the clocks of two instances may differ.
     pub remaining: Duration,
-    /// Longest token gap the class allows, if it has such a target.
+    /// Target of the class for the mean time between tokens, if it has one.
     pub gap: Option<Duration>,
     /// Revision of the document under which the request was admitted.
     pub revision: Revision,
-    /// Fencing number of the lease the entry knows; 0 where none is in use.
+    /// Fencing number of the agent's lease as last seen by the entry; 0 without leases.
     pub fence: Fence,
-    /// Whether the caller asked for a stream.
+    /// Whether the caller requested a streamed response.
     pub stream: bool,
     /// HTTP method.
     pub method: String,
     /// Path and query at the endpoint.
     pub path: String,
-    /// End-to-end headers.
+    /// End-to-end headers; see [`end_to_end`].
     pub headers: Vec<Header>,
-    /// Body.
+    /// The complete request body.
     pub body: Bytes,
 }
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) and those
-/// the router sets itself; none of them is passed on.
+/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1) and those
+/// that the router sets itself. Sorted, for binary search.
 const HOP_HEADERS: &[&str] = &[
     "authorization",
     "connection",
@@ -78,8 +79,8 @@
     "x-service-class",
 ];
 
-/// The headers of `map` that are passed on: hop-by-hop headers, those that
-/// `connection` names and the router's own are left out.
+/// Returns the headers of `map` that are forwarded. Hop-by-hop headers, those listed in
+/// the `connection` header and those that the router sets itself are left out.
 pub fn end_to_end(map: &HeaderMap) -> Vec<Header> {
     let listed: Vec<String> = map
         .get_all(http::header::CONNECTION)
@@ -98,7 +99,7 @@
         .collect()
 }
 
-/// Adds `headers` to `map`; a header that is not valid HTTP is left out.
+/// Appends `headers` to `map`, skipping any whose name or value is not valid HTTP.
 pub fn add_headers(map: &mut HeaderMap, headers: &[Header]) {
     for header in headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,10 +1,10 @@
-//! Calls from one of the router's processes to another.
+//! HTTP client for calls between the router's processes.
 //!
-//! HTTP/2 with prior knowledge: one connection carries all attempts between
-//! an entry and an agent, so that the number of connections grows with agents
-//! and not with streams. Windows are set so that streams whose reader stalls
-//! can't use up the connection's window: [`STREAM_WINDOW`] times the most
-//! streams an agent runs stays below [`CONNECTION_WINDOW`].
+//! Calls use HTTP/2 with prior knowledge. One connection carries all attempts between an
+//! entry and an agent, so the number of connections grows with the number of agents, not
+//! of streams. Streams whose reader stalls can't exhaust the connection's flow-control
+//! window: [`STREAM_WINDOW`] times the largest number of streams that an agent runs stays
+//! below [`CONNECTION_WINDOW`].
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -19,55 +19,55 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Flow-control window of one stream, in bytes. It bounds what a stalled
-/// reader makes the processes hold for it.
+/// HTTP/2 flow-control window of one stream, in bytes. Bounds the data buffered for a
+/// stream whose reader stalls.
 pub const STREAM_WINDOW: u32 = 16 * 1024;
-/// Flow-control window of a connection, in bytes: room for 1,024 stalled
-/// streams, above any limit an agent learns.
+/// HTTP/2 flow-control window of a connection, in bytes. Holds 1,024 stalled streams,
+/// more than the concurrency limit of any agent.
 pub const CONNECTION_WINDOW: u32 = 1024 * STREAM_WINDOW;
-/// Longest wait for a connection between two processes. An instance without
-/// power answers nothing, and whoever starts a moment after it must not be kept
-/// waiting for the system to try again, which takes a second.
+/// Time limit for establishing a connection. Shorter than the kernel's first SYN
+/// retransmission, which comes after one second, so that a call to an instance without
+/// power fails quickly.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval of HTTP/2 pings on a connection with open streams. A connection
-/// that went silent must be replaced before an operator, who waits a few
-/// seconds for an acknowledgement, gives up.
+/// Interval of HTTP/2 pings on a connection with open streams. Together with
+/// [`PING_TIMEOUT`], a dead connection is replaced within the few seconds that an operator
+/// waits for an acknowledgement.
 const PING_INTERVAL: Duration = Duration::from_millis(700);
-/// A connection whose ping is not answered for this long is closed. Well above
-/// the round trip to a process that has a tenth of a core.
+/// A connection is closed if a ping is not answered within this time. Well above the round
+/// trip to a process that is limited to a tenth of a core.
 const PING_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Largest answer read as one message.
+/// Largest answer accepted by [`PeerClient::call`], in bytes.
 const MAX_MESSAGE: usize = 64 * 1024 * 1024;
-/// Content type of messages.
+/// Content type of request bodies.
 const MESSAGE_TYPE: &str = "application/msgpack";
 
 /// Why a call failed.
 #[derive(Debug, Display, Error)]
 pub enum CallError {
-    /// No connection: nothing was sent.
+    /// No connection could be established; nothing was sent.
     #[display("can't connect to {address}; check that the daemon runs there")]
     Connect {
         /// Peer's address.
         address: SocketAddr,
     },
-    /// The connection broke; the message may have arrived.
+    /// The connection failed; the message may have arrived.
     #[display("connection to {address} broke; the message may have arrived")]
     Broken {
         /// Peer's address.
         address: SocketAddr,
     },
-    /// The peer refused the message.
+    /// The peer answered with an error status.
     #[display("{address} answered {status}: {text}")]
     #[error(ignore)]
     Status {
         /// Peer's address.
         address: SocketAddr,
-        /// Its status.
+        /// Status of the answer.
         status: StatusCode,
-        /// Its words.
+        /// Body of the answer, as text.
         text: String,
     },
-    /// The peer's answer is not the expected message.
+    /// The answer can't be decoded as the expected message.
     #[display("{address} answered with something unreadable; run one version everywhere")]
     Content {
         /// Peer's address.
@@ -76,13 +76,13 @@
 }
 
 impl CallError {
-    /// Tells whether it is certain that the peer received nothing.
+    /// Returns whether it is certain that the peer received nothing.
     pub fn unsent(&self) -> bool {
         matches!(self, Self::Connect { .. })
     }
 }
 
-/// Client with a pool of connections.
+/// HTTP/2 client with a connection pool. Clones share the pool.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -90,7 +90,7 @@
 }
 
 impl PeerClient {
-    /// Makes a client; `secret` is the cluster key sent with every call.
+    /// Creates a client that sends the cluster key `secret` as bearer token.
     pub fn new(secret: String) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -108,19 +108,23 @@
         Self { client, secret }
     }
 
-    /// A client with connections of its own, so that what is sent over it never waits
-    /// behind what is sent over this one.
+    /// Creates a client with the same key and a separate connection pool, so that its
+    /// messages never queue behind those of `self`.
     #[must_use]
     pub fn with_own_pool(&self) -> Self {
         Self::new(self.secret.clone())
     }
 
-    /// Sends `message` and returns the answer's head with its body unread.
+    /// Sends `message` and returns the response as soon as its headers arrive.
     ///
     /// # Errors
     ///
-    /// [`CallError::Connect`] where nothing was sent, [`CallError::Broken`]
-    /// otherwise.
+    /// [`CallError::Connect`] if no connection could be established, else
+    /// [`CallError::Broken`].
+    ///
+    /// # Panics
+    ///
+    /// If `message` can't be serialized or `path` is not a valid URI path.
     pub async fn open<M: Serialize + Sync>(
         &self,
         address: SocketAddr,
@@ -145,11 +149,15 @@
         })
     }
 
-    /// Sends `message` and reads the answer as one message.
+    /// Sends `message` and decodes the response body as one message of at most 64 MiB.
     ///
     /// # Errors
     ///
-    /// [`CallError`]; see its variants.
+    /// Any [`CallError`]; [`CallError::Broken`] also for a larger body.
+    ///
+    /// # Panics
+    ///
+    /// See [`PeerClient::open`].
     pub async fn call<M: Serialize + Sync, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,26 +1,26 @@
-//! Length-prefixed `rmp-serde` frames.
+//! Encoding and decoding of length-prefixed MessagePack frames.
 
 use crate::frame::Frame;
 use bytes::{Buf, Bytes, BytesMut};
 use derive_more::{Display, Error};
 use std::collections::VecDeque;
 
-/// Largest encoded frame. A chunk is what one read from the endpoint's
-/// connection gave, which hyper bounds well below this.
+/// Largest encoded frame, in bytes. A chunk holds one read from the endpoint's connection,
+/// which hyper bounds well below this.
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
-/// Bytes of the length prefix.
+/// Size of the length prefix, in bytes: a big-endian `u32`.
 const PREFIX: usize = 4;
 
-/// What makes a byte sequence no frame.
+/// Why bytes can't be decoded.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum CodecError {
-    /// The length prefix is out of bounds.
+    /// The length prefix is zero or exceeds [`MAX_FRAME`].
     #[display("frame of {length} bytes is out of bounds; run one version on both ends")]
     Length {
-        /// Length that was announced.
+        /// Value of the length prefix, in bytes.
         length: usize,
     },
-    /// The content is not a frame.
+    /// The content is not the expected MessagePack value.
     #[display("frame content is malformed; run one version on both ends")]
     Content,
 }
@@ -39,7 +39,7 @@
     out.into()
 }
 
-/// Decodes frames from bytes that arrive in pieces of any size.
+/// Incremental decoder for frames that arrive in chunks of any size.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: BytesMut,
@@ -47,12 +47,12 @@
 }
 
 impl FrameReader {
-    /// Takes in bytes and decodes the frames they complete.
+    /// Appends bytes and decodes the frames that they complete.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] where the bytes are no frames; the connection can't be
-    /// used further.
+    /// [`CodecError`] if the bytes are not valid frames; the stream can't be decoded
+    /// further.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), CodecError> {
         self.buffer.extend_from_slice(bytes);
         while let Some(length) = self.announced()? {
@@ -85,11 +85,11 @@
     }
 }
 
-/// Reads one message that stands alone in a body.
+/// Decodes a body that consists of one message without length prefix.
 ///
 /// # Errors
 ///
-/// [`CodecError::Content`] where the bytes are no such message.
+/// [`CodecError::Content`] if the bytes are not such a message.
 pub fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     rmp_serde::from_slice(bytes).map_err(|_| CodecError::Content)
 }
--- a/crates/wire/src/compress.rs
+++ b/crates/wire/src/compress.rs
@@ -1,9 +1,8 @@
-//! Packing of large texts.
+//! Gzip compression of large texts.
 //!
-//! A route set of 3,000 routes is 776 KB of JSON that says much the same again and
-//! again. It crosses the links of all control instances and all entries, and is written
-//! to disks, so it is packed once, where it comes in, and unpacked where it is read.
-//! Text that is not packed is taken as it is.
+//! A route set of 3,000 routes is 776 KB of highly repetitive JSON. It crosses the links
+//! of all control instances and entries and is written to disk, so it is compressed once
+//! on arrival and decompressed where it is read. Uncompressed text is accepted unchanged.
 
 use derive_more::{Display, Error};
 use flate2::Compression;
@@ -11,23 +10,24 @@
 use flate2::write::GzEncoder;
 use std::io::{Read, Write};
 
-/// First bytes of a packed text; no JSON text begins so.
-const MARK: [u8; 2] = [0x1f, 0x8b];
-/// Largest text, in bytes. A few packed kilobytes can stand for a gigabyte.
-const MOST: u64 = 64 * 1024 * 1024;
+/// First bytes of a gzip stream (RFC 1952); no JSON text starts with them.
+const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
+/// Largest decompressed text, in bytes. Guards against decompression bombs: a few
+/// compressed kilobytes can expand to a gigabyte.
+const MAX_TEXT: u64 = 64 * 1024 * 1024;
 
-/// Why a text can't be unpacked.
+/// Why a text can't be decompressed.
 #[derive(Debug, Display, Error)]
 pub enum DecompressError {
-    /// The bytes are damaged.
+    /// The gzip stream is corrupt or truncated.
     #[display("the packed text is damaged; send it again")]
     Damaged,
-    /// The text is too large.
-    #[display("the text has more than {MOST} bytes; send a smaller one")]
+    /// The text exceeds 64 MiB.
+    #[display("the text has more than {MAX_TEXT} bytes; send a smaller one")]
     TooLarge,
 }
 
-/// Packs a text.
+/// Compresses a text, favouring speed over size.
 ///
 /// # Panics
 ///
@@ -38,19 +38,22 @@
     encoder.finish().expect("memory takes all")
 }
 
-/// Unpacks a text; one that is not packed is returned as it is.
+/// Decompresses a text. Bytes without the gzip magic number are returned unchanged.
 ///
 /// # Errors
 ///
-/// [`DecompressError`].
+/// [`DecompressError::Damaged`] for a corrupt or truncated stream,
+/// [`DecompressError::TooLarge`] if the text would exceed 64 MiB.
 pub fn decompress(bytes: &[u8]) -> Result<Vec<u8>, DecompressError> {
-    if !bytes.starts_with(&MARK) {
+    if !bytes.starts_with(&GZIP_MAGIC) {
         return Ok(bytes.to_vec());
     }
     let mut text = Vec::new();
-    let read = GzDecoder::new(bytes).take(MOST + 1).read_to_end(&mut text);
+    let read = GzDecoder::new(bytes)
+        .take(MAX_TEXT + 1)
+        .read_to_end(&mut text);
     read.map_err(|_| DecompressError::Damaged)?;
-    if text.len() as u64 > MOST {
+    if text.len() as u64 > MAX_TEXT {
         return Err(DecompressError::TooLarge);
     }
     Ok(text)
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,4 +1,7 @@
-//! Messages between daemons and control instances.
+//! Messages from daemons to control instances about documents, claims and leases.
+//!
+//! Messages are MessagePack sequences: a field's position and type are part of the
+//! protocol, its name is not.
 
 use crate::attempt::Header;
 use bytes::Bytes;
@@ -18,172 +21,171 @@
 /// Path of [`Acquire`].
 pub const LEASE_PATH: &str = "/internal/lease";
 
-/// Asks for documents accepted after `revision`. Answered at once where there
-/// are any, else when one is accepted or `wait` has passed.
+/// Requests the documents accepted after `revision`. Answered at once if there are any,
+/// otherwise when one is accepted or after `wait`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watch {
-    /// Name of the daemon that asks.
+    /// Name of the requesting daemon.
     pub daemon: String,
-    /// Whether it is an entry, which share workspaces' limits.
+    /// Whether the daemon is an entry. Entries are counted because they divide each
+    /// workspace's limits among them.
     pub entry: bool,
-    /// Highest revision the daemon has.
+    /// Highest revision the daemon has; 0 requests all documents in full.
     pub revision: Revision,
-    /// Only this service's documents, for an agent.
+    /// The only service to report; set by agents.
     pub service: Option<ServiceId>,
-    /// Number of entries the daemon was told last; another number is answered
-    /// at once.
+    /// Number of entries the daemon last received. If the number has changed, the request
+    /// is answered at once.
     pub entries: u32,
-    /// Longest wait.
+    /// Longest time to wait for a change.
     pub wait: Duration,
 }
 
-/// One accepted document.
+/// A document and the revision that accepted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedDocument {
-    /// Revision at which it was accepted.
+    /// Revision at which the document was accepted.
     pub revision: Revision,
-    /// The document.
+    /// The complete document.
     pub document: Arc<ServiceDocument>,
 }
 
-/// What changed in one service.
+/// The change of one service's document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DocumentChange {
-    /// The whole document.
+    /// The complete document.
     Whole(AcceptedDocument),
-    /// Only what differs from the document the daemon has.
+    /// The difference from the document that the daemon has.
     Patch {
-        /// Revision of the document it has.
+        /// Revision of the document to which `delta` applies.
         base: Revision,
-        /// Revision of the new one.
+        /// Revision of the resulting document.
         revision: Revision,
-        /// The difference.
+        /// The difference between the two.
         delta: Box<Delta>,
     },
 }
 
-/// Answer to [`Watch`]: what changed in each service.
+/// Answer to [`Watch`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// Revision the daemon has once it has taken these in. The control
-    /// instance confirmed with a majority that nothing newer was accepted
-    /// when the watch arrived.
+    /// Revision the daemon has after applying `changes`. The control instance confirmed
+    /// with a majority that no newer revision was accepted when the watch arrived.
     pub revision: Revision,
-    /// Changes.
+    /// At most one change for each service.
     pub changes: Vec<DocumentChange>,
-    /// Entries that watch now; 0 where not known.
+    /// Number of entries that watch documents now; 0 if unknown.
     pub entries: u32,
 }
 
-/// Names a non-idempotent request.
+/// Identifies a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// Service.
+    /// Service that the request is for.
     pub service: ServiceId,
-    /// Workspace.
+    /// Workspace of the caller; keys are unique within it.
     pub workspace: WorkspaceId,
-    /// Idempotency key.
+    /// The caller's idempotency key.
     pub key: String,
 }
 
-/// Claims the right to run a request.
+/// Requests the exclusive right to run a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeClaim {
-    /// The request.
+    /// Identifies the request.
     pub claim: ClaimKey,
-    /// SHA-256 of method, path and body.
+    /// SHA-256 of method, path and body, to detect reuse of the key.
     pub digest: [u8; 32],
-    /// Unique to this delivery of the request to this entry; lets a `TakeClaim`
-    /// whose answer was lost be sent again.
+    /// Identifies this delivery of the request to this entry, so that a message whose
+    /// answer was lost can be sent again and is granted again.
     pub holder: AttemptId,
     /// Longest time the request may be in progress.
     pub duration: Duration,
-    /// How long the claim is kept.
+    /// How long the claim and its result are kept.
     pub retention: Duration,
 }
 
 /// How a claimed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimEnd {
-    /// It was not run; the key may be used again.
+    /// The request was not run; its key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran.
+    /// The request ran; a repeated delivery gets the recorded response.
     Ran(RecordedResponse),
 }
 
-/// A recorded answer.
+/// A response kept to answer repeated deliveries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// End-to-end headers.
     pub headers: Vec<Header>,
-    /// Body, where it was small enough to record.
+    /// Body; `None` if it was too large to record.
     pub body: Option<Bytes>,
 }
 
 /// Reports how a claimed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishClaim {
-    /// The request.
+    /// Identifies the request.
     pub claim: ClaimKey,
-    /// Holder of the claim.
+    /// Holder of the claim; a report by any other holder has no effect.
     pub holder: AttemptId,
-    /// How it ended.
+    /// How the request ended.
     pub ended: ClaimEnd,
 }
 
 /// Answer to [`TakeClaim`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The sender may run the request, and nobody else may.
+    /// The sender holds the claim exclusively and may run the request.
     Granted,
     /// Another delivery of the request is in progress.
     InProgress,
-    /// The request ended before.
-    ClaimEnd(ClaimEnd),
-    /// The key was used with another request.
+    /// An earlier delivery of the request has ended.
+    Ended(ClaimEnd),
+    /// The key was already used with a different request.
     Reused,
 }
 
-/// Asks for the lease of an endpoint, or prolongs it.
+/// Acquires or renews the lease of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acquire {
-    /// Service.
+    /// Service of the endpoint.
     pub service: ServiceId,
-    /// Endpoint.
+    /// Endpoint to lease.
     pub endpoint: EndpointId,
-    /// Random id of the agent's run.
+    /// Random id of the agent process; a restarted agent is another holder.
     pub holder: AttemptId,
-    /// How long the lease is wanted for.
+    /// Requested lease duration; zero releases the lease.
     pub duration: Duration,
 }
 
 /// Answer to [`Acquire`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseReply {
-    /// The lease is held under this number.
+    /// The sender holds the lease, under this fencing number.
     Held(Fence),
-    /// Another run of an agent holds it for at most this long.
+    /// Another agent process holds the lease, for at most this long.
     Other(Duration),
 }
 
-/// Why a control instance can't answer.
+/// Why a control instance can't serve a request.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlUnavailable {
-    /// Another instance leads; ask it if known.
+    /// This instance is not the leader.
     #[display("this instance does not lead")]
     NotLeader {
-        /// Its address.
+        /// Address of the current leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// No majority answered in time; whether the change is in force is not
-    /// known.
+    /// No majority confirmed in time. A requested change may still take effect.
     #[display("no majority confirmed in time")]
     NoMajority,
 }
 
-/// Answer of a control instance.
+/// Answer of a control instance to any request.
 pub type ControlReply<T> = Result<T, ControlUnavailable>;
--- a/crates/wire/src/control_client.rs
+++ b/crates/wire/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Asking whichever control instance can answer.
+//! Client for the control plane with failover between control instances.
 
 use crate::client::PeerClient;
 use crate::control::ControlReply;
@@ -11,18 +11,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Pause before the instances are asked again after none could answer.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for one instance while others are left to ask.
-const PER_INSTANCE: Duration = Duration::from_millis(700);
+/// Delay before the next round over all instances after none could answer.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time limit for the answer of one instance before the next one is tried.
+const INSTANCE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// No control instance answered in time.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("no control instance with a majority answered; check the control instances")]
 pub struct NoAnswer;
 
-/// The control instances a daemon knows. Clones share the choice of the one
-/// that answered last.
+/// Client that sends requests to the control instances known to a daemon. Clones share
+/// the preferred instance: the one that answered last.
 #[derive(Clone, Debug)]
 pub struct ControlClient {
     client: PeerClient,
@@ -31,8 +31,8 @@
 }
 
 impl ControlClient {
-    /// Instances at `addresses`; `spread` picks the one to start with, so
-    /// that daemons are spread over them.
+    /// Creates a client for the instances at `addresses`. `spread`, taken modulo their
+    /// number, selects the instance to start with; random values distribute the daemons.
     pub fn new(client: PeerClient, addresses: Vec<SocketAddr>, spread: usize) -> Self {
         Self {
             client,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The instance to ask now; `None` where none is known.
+    /// Returns the preferred instance, or `None` if no instance is known.
     pub fn instance(&self) -> Option<SocketAddr> {
         if self.addresses.is_empty() {
             return None;
@@ -50,17 +50,17 @@
         Some(self.addresses[at])
     }
 
-    /// Moves on to the next instance.
+    /// Makes the next instance in the list the preferred one.
     pub fn advance(&self) {
         self.preferred.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Sends a message that may be delivered twice without harm, to one
-    /// instance after the other until one answers or `within` has passed.
+    /// Sends an idempotent message to one instance after another until one answers or
+    /// `within` has passed. Several instances may receive the message.
     ///
     /// # Errors
     ///
-    /// [`NoAnswer`]; the message may have been acted on all the same.
+    /// [`NoAnswer`]; the message may have taken effect nevertheless.
     pub async fn call<M, A>(
         &self,
         path: &str,
@@ -75,7 +75,7 @@
         while Instant::now() < end {
             for _ in 0..self.addresses.len() {
                 let address = self.instance().ok_or(NoAnswer)?;
-                let until = end.min(Instant::now() + PER_INSTANCE);
+                let until = end.min(Instant::now() + INSTANCE_TIMEOUT);
                 let call = self
                     .client
                     .call::<M, ControlReply<A>>(address, path, message);
@@ -84,7 +84,7 @@
                     _ => self.advance(),
                 }
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         Err(NoAnswer)
     }
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -1,9 +1,9 @@
-//! Following the documents: one long poll per daemon.
+//! Watches service documents by long polling a control instance.
 //!
-//! A poll is answered only by an instance that confirmed, after the poll
-//! began, that it knows everything a majority accepted, so what a daemon takes
-//! in is never older than what it could have been told. A daemon that no
-//! instance answers keeps what it has.
+//! A control instance answers a poll only after a majority confirmed, since the poll
+//! arrived, that the instance has applied every accepted change. A daemon that has seen a
+//! revision therefore never gets an older state from a lagging instance. While no instance
+//! answers, the daemon keeps the documents it has.
 
 use crate::client::PeerClient;
 use crate::control::{
@@ -16,36 +16,38 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Longest poll. Short enough that a frozen instance, which closes nothing,
-/// is given up in time; the HTTP/2 pings of the client notice it earlier.
+/// Longest time a control instance may hold a poll. Bounds how long a daemon waits for a
+/// frozen instance that keeps its connections open; HTTP/2 pings usually detect one
+/// earlier.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time beyond the poll until an answer counts as lost.
+/// Time beyond [`POLL_TIMEOUT`] after which the answer counts as lost.
 const SLACK: Duration = Duration::from_secs(4);
-/// First pause after a failed poll.
+/// Retry delay after the first failed poll; it doubles with each further failure.
 const MIN_PAUSE: Duration = Duration::from_millis(50);
-/// Longest such pause.
+/// Upper bound of the retry delay, before jitter.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// Documents that changed.
+/// An [`Update`] after [`DocumentCache::take`] applied its differences.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedChanges {
-    /// Revision up to which everything is known.
+    /// Revision up to which all accepted changes have been received.
     pub revision: Revision,
-    /// The new documents, whole.
+    /// The new and changed documents, complete.
     pub documents: Vec<AcceptedDocument>,
-    /// Entries that watch now; 0 where not known.
+    /// Number of entries that watch documents now; 0 if unknown.
     pub entries: u32,
 }
 
-/// The documents a daemon has, sorted by service, to apply differences to.
+/// The documents that a daemon has received, sorted by service. Differences are applied
+/// to them.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCache {
     documents: Vec<AcceptedDocument>,
 }
 
 impl DocumentCache {
-    /// Takes an update in; `None` where a difference is to a document that
-    /// this daemon does not have, and everything has to be asked for anew.
+    /// Applies an update. Returns `None` if a difference is based on a document revision
+    /// that is not cached; the caller must then request all documents again.
     pub fn take(&mut self, update: Update) -> Option<AppliedChanges> {
         let mut changed = Vec::new();
         for change in update.changes {
@@ -88,30 +90,31 @@
     }
 }
 
-/// Who follows.
+/// Settings of a daemon's document watch.
 #[derive(Clone, Debug)]
 pub struct DocumentWatcher {
     /// Name of the daemon.
     pub daemon: String,
-    /// Whether it is an entry.
+    /// Whether the daemon is an entry rather than an agent.
     pub entry: bool,
-    /// Only this service.
+    /// The only service to watch; `None` for all.
     pub service: Option<ServiceId>,
-    /// Control instances.
+    /// Addresses of the control instances.
     pub control: Vec<SocketAddr>,
-    /// Client.
+    /// Client for the polls.
     pub client: PeerClient,
-    /// Random number that spreads daemons over instances and pauses.
+    /// Random number that selects the first control instance and seeds the jitter of
+    /// retry delays, so that daemons don't act in step.
     pub jitter_seed: u64,
-    /// Newest revision the daemon heard of elsewhere. When it is newer than
-    /// what the present poll gave, the instance polled may be cut off: the
-    /// next one is asked at once.
+    /// Newest revision seen in other messages. If it exceeds the revision of the last
+    /// poll, the polled instance may be cut off from the majority, and the next instance
+    /// is polled at once.
     pub newest: watch::Receiver<Revision>,
 }
 
 impl DocumentWatcher {
-    /// Follows for ever and hands every change to `heed`; `failed` is told of
-    /// polls that no instance answered.
+    /// Polls forever. Calls `heed` with each applied update and `failed` after each poll
+    /// that failed.
     pub async fn run(
         self,
         mut heed: impl FnMut(AppliedChanges) + Send,
@@ -148,8 +151,8 @@
                             request.entries = changes.entries;
                             heed(changes);
                         }
-                        // Whole documents come next time; none of them can
-                        // be older than what this daemon has.
+                        // Revision 0 requests all documents in full. None of them can
+                        // be older than the cached ones.
                         None => request.revision = 0,
                     }
                 }
@@ -174,7 +177,7 @@
     }
 }
 
-/// Ends when a newer revision than `revision` is heard of for the first time.
+/// Resolves on the next notification of a revision above `revision`.
 async fn newer(newest: &mut watch::Receiver<Revision>, revision: Revision) {
     loop {
         if newest.changed().await.is_err() {
@@ -186,8 +189,8 @@
     }
 }
 
-/// A step of a linear congruential generator (Knuth's MMIX constants): enough
-/// to spread pauses, and without a shared random source.
+/// One step of a linear congruential generator with Knuth's MMIX constants. Jitter needs
+/// no better quality, and no shared random source is involved.
 fn next(state: u64) -> u64 {
     const FACTOR: u64 = 6_364_136_223_846_793_005;
     const STEP: u64 = 1_442_695_040_888_963_407;
--- a/crates/wire/src/usage.rs
+++ b/crates/wire/src/usage.rs
@@ -1,4 +1,4 @@
-//! Messages about usage, between entries and control instances.
+//! Messages by which entries report usage (requests begun) to control instances.
 
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -7,35 +7,36 @@
 /// Path of [`EntryUsage`].
 pub const USAGE_PATH: &str = "/internal/usage";
 
-/// Tells what endpoints began for one entry. Answered with [`UsageReply`].
+/// Reports the requests that endpoints began for one entry. Answered with [`UsageReply`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EntryUsage {
     /// Name of the entry.
     pub entry: String,
-    /// Names the entry's run.
+    /// Identifies the entry's process; a restarted entry has another number.
     pub run: u64,
-    /// Its wall clock.
+    /// The entry's wall clock when it sent this.
     pub wall: TrueTime,
-    /// Counts that the instance does not have, whole; sorted by window.
+    /// Counts that the instance has not acknowledged, sorted by window. Each count is the
+    /// workspace's total in that window, not an increment.
     pub windows: Vec<WindowCounts>,
-    /// All requests that were begun before this time are in what it has told.
+    /// All requests begun before this time have been reported.
     pub through: TrueTime,
-    /// Whether the entry ends, and tells nothing more.
+    /// Whether the entry shuts down and this is its final report.
     pub last: bool,
 }
 
-/// What a control instance answers.
+/// Answer to [`EntryUsage`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageReply {
-    /// Names the instance's run.
+    /// Identifies the instance's process.
     pub instance: u64,
-    /// Whether it is in contact with a majority and goes on. Where not, another one has to
-    /// be told.
+    /// Whether the instance is in contact with a majority and is not shutting down. If
+    /// false, the entry must report to another instance.
     pub has_quorum: bool,
-    /// Windows before this one are fixed; 0 where none is.
+    /// Windows before this one are final; 0 if none is.
     pub next: Window,
-    /// Internal address of the instance that reports, where one does.
+    /// Internal address of the instance that holds the duty of reporting usage, if any.
     pub reporter: Option<SocketAddr>,
-    /// True time, as far as it is known.
+    /// The instance's estimate of true time, if it has one.
     pub now: Option<TrueTime>,
 }
