--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -154,8 +154,8 @@
         "repeated by the holder"
     );
     cluster.finish("k", 1, recorded());
-    assert_eq!(cluster.take("k", 1, 2), ClaimReply::ClaimEnd(recorded()));
-    assert_eq!(cluster.take("k", 1, 1), ClaimReply::ClaimEnd(recorded()));
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::Ended(recorded()));
+    assert_eq!(cluster.take("k", 1, 1), ClaimReply::Ended(recorded()));
 }
 
 #[test]
@@ -173,11 +173,11 @@
     cluster.now = 11 * SECOND;
     assert_eq!(
         cluster.take("k", 1, 2),
-        ClaimReply::ClaimEnd(ClaimEnd::Unknown)
+        ClaimReply::Ended(ClaimEnd::Unknown)
     );
     assert_eq!(
         cluster.take("k", 1, 1),
-        ClaimReply::ClaimEnd(ClaimEnd::Unknown)
+        ClaimReply::Ended(ClaimEnd::Unknown)
     );
     cluster.now = 111 * SECOND;
     assert_eq!(
--- a/crates/policy/tests/shared_health.rs
+++ b/crates/policy/tests/shared_health.rs
@@ -118,7 +118,7 @@
         Health::Failing,
         "here it is weighed"
     );
-    assert_eq!(record.take_sighting(ms(200)), None);
+    assert_eq!(record.take_report(ms(200)), None);
 }
 
 #[test]
@@ -238,17 +238,17 @@
 #[test]
 fn sight_told_once() {
     let mut record = HealthRecord::default();
-    assert_eq!(record.take_sighting(ms(900)), None, "nothing was met");
+    assert_eq!(record.take_report(ms(900)), None, "nothing was met");
     record.received(ms(1_000));
     record.record_outcome(ms(1_000), true);
-    let sight = record.take_sighting(ms(1_100)).expect("an answer");
+    let sight = record.take_report(ms(1_100)).expect("an answer");
     assert_eq!((sight.alive, sight.answered, sight.failed), (true, 1, 1));
-    let sight = record.take_sighting(ms(1_200));
+    let sight = record.take_report(ms(1_200));
     assert_eq!(sight, Some(HEARD));
-    assert_eq!(record.take_sighting(ms(1_300)), None);
+    assert_eq!(record.take_report(ms(1_300)), None);
     record.connect_timed_out(ms(2_000));
     record.replaced();
-    let sight = record.take_sighting(ms(2_010)).expect("it is lost");
+    let sight = record.take_report(ms(2_010)).expect("it is lost");
     assert!(sight.unreached && sight.replaced && !sight.alive);
 }
 
@@ -297,7 +297,7 @@
             due[entry] = now + 500;
             let sights = records[entry].iter_mut().enumerate();
             let sights = sights.filter_map(|(at, record)| {
-                Some((at as u32, record.take_sighting(ms(now))?))
+                Some((at as u32, record.take_report(ms(now))?))
             });
             let sights: Vec<_> = sights.collect();
             sightings.record(ms(now), entry as u64, sights.into_iter());
