--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -101,8 +101,8 @@
         return ClaimReply::Granted;
     }
     match &claim.ended {
-        Some(ended) => ClaimReply::ClaimEnd(ended.clone()),
+        Some(ended) => ClaimReply::Ended(ended.clone()),
         None if now < claim.deadline => ClaimReply::InProgress,
-        None => ClaimReply::ClaimEnd(ClaimEnd::Unknown),
+        None => ClaimReply::Ended(ClaimEnd::Unknown),
     }
 }
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -343,7 +343,7 @@
 fn is_finished(cluster: &mut Cluster, key: &str) -> bool {
     const OTHER_HOLDER: u128 = 99;
     match cluster.take(key, 1, OTHER_HOLDER) {
-        ClaimReply::ClaimEnd(_) => true,
+        ClaimReply::Ended(_) => true,
         ClaimReply::Granted => {
             cluster.finish(key, OTHER_HOLDER, ClaimEnd::NotRun);
             false
