--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -34,14 +34,14 @@
 
 impl Demand {
     /// Records a report and returns the sums.
-    pub fn report(&self, now: Instant, mut tell: DemandReport) -> DemandReply {
-        tell.services.truncate(MAX_ENTRIES);
+    pub fn report(&self, now: Instant, mut report: DemandReport) -> DemandReply {
+        report.services.truncate(MAX_ENTRIES);
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
         reports.retain(|report| now.duration_since(report.at) < ENTRY_TTL);
         let new = EntryDemand {
-            entry: tell.entry,
+            entry: report.entry,
             at: now,
-            services: tell.services,
+            services: report.services,
         };
         match reports.binary_search_by(|report| report.entry.cmp(&new.entry)) {
             Ok(at) => reports[at] = new,
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -268,28 +268,28 @@
 }
 
 async fn demand(State(api): State<InternalApi>, bytes: Bytes) -> Response {
-    handle(bytes, |tell: DemandReport| async move {
+    handle(bytes, |report: DemandReport| async move {
         let now = uptime();
-        let mut tell = tell;
-        let list = api.lists.add_transit_time(now, tell.echo, tell.list.take());
-        let update = api.lists.report(now, &tell.entry, tell.list_mark, list);
-        api.lists.record_sightings(now, &tell);
+        let mut report = report;
+        let list = api.lists.add_transit_time(now, report.echo, report.list.take());
+        let update = api.lists.report(now, &report.entry, report.list_mark, list);
+        api.lists.record_sightings(now, &report);
         let heard = api
             .lists
-            .heard_runs(now, &tell, &api.quarantine.lost_endpoints());
-        let transit = api.lists.transit_time(now, tell.echo);
-        let found = api.quarantine.report(now, transit, &tell, &heard);
+            .heard_runs(now, &report, &api.quarantine.lost_endpoints());
+        let transit = api.lists.transit_time(now, report.echo);
+        let found = api.quarantine.report(now, transit, &report, &heard);
         quarantine::commit_findings(&api.service, found);
-        let permits = api.limits.report(now, transit, &tell);
+        let permits = api.limits.report(now, transit, &report);
         DemandReply {
-            limits: api.limits.current(now, tell.limits_mark),
+            limits: api.limits.current(now, report.limits_mark),
             permits,
             reader: update.reader,
             list: update.newest,
             verdicts: api.lists.verdicts(now),
             stamp: api.lists.stamp(uptime()),
-            suspects: api.quarantine.suspects(now, tell.suspects_mark),
-            ..api.demand.report(Instant::now(), tell)
+            suspects: api.quarantine.suspects(now, report.suspects_mark),
+            ..api.demand.report(Instant::now(), report)
         }
     })
     .await
@@ -298,7 +298,7 @@
 async fn usage(State(api): State<InternalApi>, bytes: Bytes) -> Response {
     handle(
         bytes,
-        |tell: EntryUsage| async move { api.usage.report(tell) },
+        |report: EntryUsage| async move { api.usage.report(report) },
     )
     .await
 }
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -28,16 +28,16 @@
         &self,
         now: Duration,
         transit: Duration,
-        tell: &DemandReport,
+        report: &DemandReport,
     ) -> Vec<EndpointPermits> {
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = now.saturating_sub(transit);
-        let choice = if tell.preferred {
+        let choice = if report.preferred {
             ControlChoice::First
         } else {
             ControlChoice::Second
         };
-        let reported = tell.limits.iter().take(MAX_LIMITS);
+        let reported = report.limits.iter().take(MAX_LIMITS);
         let granted = reported.filter_map(|reported| {
             let permits =
                 limits.apply_report(now, &reported.run, reported.read(sent)?, choice);
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -180,16 +180,16 @@
     /// Records the observations in a report. They are ignored if the message was in
     /// transit for too long, for example while the instance was suspended, since they may
     /// no longer apply.
-    pub fn record_sightings(&self, now: Duration, tell: &DemandReport) {
-        if self.transit_time(now, tell.echo) > MAX_TRANSIT_TIME {
+    pub fn record_sightings(&self, now: Duration, report: &DemandReport) {
+        if self.transit_time(now, report.echo) > MAX_TRANSIT_TIME {
             return;
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.read.is_none() || state.contents.newest().mark != tell.list_mark {
+        if state.read.is_none() || state.contents.newest().mark != report.list_mark {
             // The positions refer to another list; the entry will report again.
             return;
         }
-        let met = tell.observations.iter().map(|met| {
+        let met = report.observations.iter().map(|met| {
             let sight = HealthReport {
                 replaced: met.replaced,
                 unreached: met.unreached,
@@ -203,8 +203,8 @@
             alive: true,
             ..HealthReport::default()
         };
-        let heard = set_bits(&tell.responding).map(|place| (place, heard));
-        let entry = hash(tell.entry.as_bytes());
+        let heard = set_bits(&report.responding).map(|place| (place, heard));
+        let entry = hash(report.entry.as_bytes());
         state.sightings.record(now, entry, met.chain(heard));
     }
 
@@ -213,15 +213,15 @@
     pub fn heard_runs(
         &self,
         now: Duration,
-        tell: &DemandReport,
+        report: &DemandReport,
         runs: &[Incarnation],
     ) -> Vec<Incarnation> {
-        if runs.is_empty() || self.transit_time(now, tell.echo) > MAX_TRANSIT_TIME {
+        if runs.is_empty() || self.transit_time(now, report.echo) > MAX_TRANSIT_TIME {
             return Vec::new();
         }
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let newest = state.contents.newest();
-        if newest.mark != tell.list_mark {
+        if newest.mark != report.list_mark {
             return Vec::new();
         }
         let heard = |run: &&Incarnation| {
@@ -229,7 +229,7 @@
                 .endpoints
                 .binary_search_by(|known| known.run.cmp(run));
             found.is_ok_and(|place| {
-                let byte = tell.responding.get(place / 8);
+                let byte = report.responding.get(place / 8);
                 byte.is_some_and(|byte| byte & (1 << (place % 8)) != 0)
             })
         };
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -63,14 +63,14 @@
         &self,
         now: Duration,
         transit: Duration,
-        tell: &DemandReport,
+        report: &DemandReport,
         heard: &[Incarnation],
     ) -> Vec<NewQuarantine> {
         let mut state = self.state();
         state.apply_log(now);
         let quarantine = &mut state.quarantine;
-        let entry = hash(tell.entry.as_bytes());
-        for loss in tell.losses.iter().take(MAX_LOSSES) {
+        let entry = hash(report.entry.as_bytes());
+        for loss in report.losses.iter().take(MAX_LOSSES) {
             let age = loss.age.saturating_add(transit);
             let Some(at) = now.checked_sub(age) else {
                 continue;
@@ -85,7 +85,7 @@
             };
             quarantine.record_loss(now, entry, &loss);
         }
-        for served in tell.served.iter().take(MAX_LOSSES) {
+        for served in report.served.iter().take(MAX_LOSSES) {
             let age = served.age.saturating_add(transit);
             if let Some(at) = now.checked_sub(age) {
                 quarantine.record_served(served.request, at);
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unable`]; with [`Unable::NoMajority`] the command may still take effect.
+    /// [`ControlUnavailable`]; with [`ControlUnavailable::NoMajority`] the command may still take effect.
     pub async fn propose(&self, action: Action) -> ControlReply<Reply> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Propose { action, reply }).await;
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unable`].
+    /// [`ControlUnavailable`].
     pub async fn confirm(&self) -> ControlReply<Index> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Confirm(reply)).await;
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unable`].
+    /// [`ControlUnavailable`].
     pub async fn add(&self, member: Member) -> ControlReply<()> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Add { member, reply }).await;
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -116,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// [`Unable::NoMajority`] if the entry has no set and this instance can't confirm that
+/// [`ControlUnavailable::NoMajority`] if the entry has no set and this instance can't confirm that
 /// its own is current.
 pub async fn answer(
     service: &Service,
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`REQUEST_TIMEOUT`]; the command may have taken
+    /// [`ControlUnavailable::NoMajority`] after [`REQUEST_TIMEOUT`]; the command may have taken
     /// effect.
     pub async fn submit(&self, action: &Action) -> ControlReply<Reply> {
         let end = Instant::now() + REQUEST_TIMEOUT;
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unable::NoMajority`] after [`REQUEST_TIMEOUT`].
+    /// [`ControlUnavailable::NoMajority`] after [`REQUEST_TIMEOUT`].
     pub async fn confirm(&self) -> ControlReply<Index> {
         let end = Instant::now() + REQUEST_TIMEOUT;
         loop {
--- a/crates/control/src/state/documents.rs
+++ b/crates/control/src/state/documents.rs
@@ -69,7 +69,7 @@
             service.is_none_or(|service| service == name) && history.revision() > revision
         };
         let changed = self.services.iter().filter(is_newer);
-        changed.map(|history| history.news(revision)).collect()
+        changed.map(|history| history.change_since(revision)).collect()
     }
 
     pub(super) fn put(
@@ -156,7 +156,7 @@
     }
 
     /// The current document for a subscriber at `revision`, as a delta where possible.
-    fn news(&self, revision: Revision) -> DocumentChange {
+    fn change_since(&self, revision: Revision) -> DocumentChange {
         let now = self.current();
         let mut previous = self.previous.iter().rev();
         match previous.find(|current| current.revision <= revision) {
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -69,20 +69,20 @@
     }
 
     /// Records the report of an entry.
-    pub fn report(&self, tell: EntryUsage) -> UsageReply {
+    pub fn report(&self, report: EntryUsage) -> UsageReply {
         let now = uptime();
         let view = self.replica.duties.borrow().clone();
         let mut state = self.state();
-        state.clock.record(now, tell.run, tell.wall);
+        state.clock.record(now, report.run, report.wall);
         state.tally.finalize_before(now, view.next_window);
         state.tally.record(
             now,
             EntryReport {
-                entry: tell.entry,
-                run: tell.run,
-                windows: tell.windows,
-                through: tell.through,
-                last: tell.last,
+                entry: report.entry,
+                run: report.run,
+                windows: report.windows,
+                through: report.through,
+                last: report.last,
             },
         );
         let holder = view.assignments.iter().find(|held| held.duty == DUTY);
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// [`Unable::NoMajority`] if this instance can't confirm that its state is current, or if
+/// [`ControlUnavailable::NoMajority`] if this instance can't confirm that its state is current, or if
 /// it loses contact with the cluster while the poll waits. The caller then tries another
 /// instance.
 pub async fn answer(
