--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -32,7 +32,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Path on which instances send [`Announced`].
+/// Path on which instances send [`Announcement`].
 pub const ANNOUNCE_PATH: &str = "/internal/announce";
 /// How long an instance counts after its last announcement; a few announcement intervals.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(4);
@@ -196,12 +196,12 @@
 
 /// Returns the addresses of the control instances to an entry.
 async fn routes(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
-    internal::handle(bytes, |follow: WatchRoutes| async move {
-        if follow.known.is_some() {
-            sleep(follow.wait).await;
+    internal::handle(bytes, |watch: WatchRoutes| async move {
+        if watch.known.is_some() {
+            sleep(watch.wait).await;
         } else {
             sleep(MIN_RESPONSE_INTERVAL).await;
-            instances.wait_for_any(follow.wait).await;
+            instances.wait_for_any(watch.wait).await;
         }
         let control: Vec<SocketAddr> =
             instances.all().iter().map(|a| a.internal).collect();
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -86,7 +86,7 @@
         .route(JOIN_PATH, post(join))
         .route(ADD_PATH, post(add))
         .route(MEMBER_PATH, post(member))
-        .route(ROUTES_PATH, post(follow_routes))
+        .route(ROUTES_PATH, post(watch_routes))
         .route(PIECE_PATH, post(fetch_routes))
         .route(DEMAND_PATH, post(demand))
         .route(USAGE_PATH, post(usage))
@@ -129,9 +129,9 @@
     request: Request,
     next: Next,
 ) -> Response {
-    let given = request.headers().get(http::header::AUTHORIZATION);
-    let given = given.and_then(|given| given.as_bytes().strip_prefix(b"Bearer "));
-    let valid = given.is_some_and(|given| given.ct_eq(secret.as_bytes()).into());
+    let key = request.headers().get(http::header::AUTHORIZATION);
+    let key = key.and_then(|key| key.as_bytes().strip_prefix(b"Bearer "));
+    let valid = key.is_some_and(|key| key.ct_eq(secret.as_bytes()).into());
     if valid {
         return next.run(request).await;
     }
@@ -271,15 +271,17 @@
     handle(bytes, |report: DemandReport| async move {
         let now = uptime();
         let mut report = report;
-        let list = api.lists.add_transit_time(now, report.echo, report.list.take());
-        let update = api.lists.report(now, &report.entry, report.list_mark, list);
-        api.lists.record_sightings(now, &report);
-        let heard = api
+        let list = api
             .lists
-            .heard_runs(now, &report, &api.quarantine.lost_endpoints());
+            .add_transit_time(now, report.echo, report.list.take());
+        let update = api.lists.report(now, &report.entry, report.list_mark, list);
+        api.lists.record_observations(now, &report);
+        let responding =
+            api.lists
+                .responding_runs(now, &report, &api.quarantine.lost_endpoints());
         let transit = api.lists.transit_time(now, report.echo);
-        let found = api.quarantine.report(now, transit, &report, &heard);
-        quarantine::commit_findings(&api.service, found);
+        let findings = api.quarantine.report(now, transit, &report, &responding);
+        quarantine::commit_findings(&api.service, findings);
         let permits = api.limits.report(now, transit, &report);
         DemandReply {
             limits: api.limits.current(now, report.limits_mark),
@@ -296,10 +298,9 @@
 }
 
 async fn usage(State(api): State<InternalApi>, bytes: Bytes) -> Response {
-    handle(
-        bytes,
-        |report: EntryUsage| async move { api.usage.report(report) },
-    )
+    handle(bytes, |report: EntryUsage| async move {
+        api.usage.report(report)
+    })
     .await
 }
 
@@ -311,9 +312,9 @@
     .await
 }
 
-async fn follow_routes(State(api): State<InternalApi>, bytes: Bytes) -> Response {
-    handle(bytes, |follow: WatchRoutes| async move {
-        routes::answer(&api.service, &api.presence, follow).await
+async fn watch_routes(State(api): State<InternalApi>, bytes: Bytes) -> Response {
+    handle(bytes, |watch: WatchRoutes| async move {
+        routes::answer(&api.service, &api.presence, watch).await
     })
     .await
 }
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -84,11 +84,11 @@
     /// Time of the last report from any entry.
     last_report: Duration,
     /// The newest list and some previous ones.
-    contents: ListHistory,
+    history: ListHistory,
     /// When the newest list was requested, and how long the request took.
     read: Option<(Duration, Duration)>,
     full_lists: RateLimiter,
-    sightings: SharedHealth,
+    shared_health: SharedHealth,
     /// Cached verdicts and when they were computed.
     verdicts: Option<(Duration, Vec<EndpointVerdict>)>,
 }
@@ -132,12 +132,12 @@
     /// Lower bound on the transit time of a message with this echo that arrived at `now`.
     /// Zero for a message without an echo of this run.
     pub fn transit_time(&self, now: Duration, echo: Option<Echo>) -> Duration {
-        let own = echo.filter(|echo| echo.stamp.run == self.run);
-        let passed = own.map(|echo| {
+        let current_run = echo.filter(|echo| echo.stamp.run == self.run);
+        let transit_time = current_run.map(|echo| {
             let since = self.stamp(now).at.saturating_sub(echo.stamp.at);
             since.saturating_sub(echo.since)
         });
-        passed.unwrap_or_default()
+        transit_time.unwrap_or_default()
     }
 
     /// Adds the transit time of the message to the age of the list in it. Otherwise a
@@ -180,37 +180,39 @@
     /// Records the observations in a report. They are ignored if the message was in
     /// transit for too long, for example while the instance was suspended, since they may
     /// no longer apply.
-    pub fn record_sightings(&self, now: Duration, report: &DemandReport) {
+    pub fn record_observations(&self, now: Duration, report: &DemandReport) {
         if self.transit_time(now, report.echo) > MAX_TRANSIT_TIME {
             return;
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.read.is_none() || state.contents.newest().mark != report.list_mark {
+        if state.read.is_none() || state.history.newest().mark != report.list_mark {
             // The positions refer to another list; the entry will report again.
             return;
         }
-        let met = report.observations.iter().map(|met| {
-            let sight = HealthReport {
-                replaced: met.replaced,
-                unreached: met.unreached,
+        let observed = report.observations.iter().map(|observed| {
+            let health = HealthReport {
+                replaced: observed.replaced,
+                unreached: observed.unreached,
                 alive: false,
-                answered: met.answered,
-                failed: met.failed,
+                answered: observed.answered,
+                failed: observed.failed,
             };
-            (met.list_index, sight)
+            (observed.list_index, health)
         });
-        let heard = HealthReport {
+        let alive = HealthReport {
             alive: true,
             ..HealthReport::default()
         };
-        let heard = set_bits(&report.responding).map(|place| (place, heard));
+        let alive = set_bits(&report.responding).map(|index| (index, alive));
         let entry = hash(report.entry.as_bytes());
-        state.sightings.record(now, entry, met.chain(heard));
+        state
+            .shared_health
+            .record(now, entry, observed.chain(alive));
     }
 
     /// Returns those of `runs` that the entry has recently received data from. Empty if
     /// its report refers to another list or was in transit for too long.
-    pub fn heard_runs(
+    pub fn responding_runs(
         &self,
         now: Duration,
         report: &DemandReport,
@@ -220,20 +222,20 @@
             return Vec::new();
         }
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let newest = state.contents.newest();
+        let newest = state.history.newest();
         if newest.mark != report.list_mark {
             return Vec::new();
         }
-        let heard = |run: &&Incarnation| {
+        let alive = |run: &&Incarnation| {
             let found = newest
                 .endpoints
                 .binary_search_by(|known| known.run.cmp(run));
-            found.is_ok_and(|place| {
-                let byte = report.responding.get(place / 8);
-                byte.is_some_and(|byte| byte & (1 << (place % 8)) != 0)
+            found.is_ok_and(|index| {
+                let byte = report.responding.get(index / 8);
+                byte.is_some_and(|byte| byte & (1 << (index % 8)) != 0)
             })
         };
-        runs.iter().filter(heard).cloned().collect()
+        runs.iter().filter(alive).cloned().collect()
     }
 
     /// Verdicts on the endpoints of the newest list, combined over all entries.
@@ -244,7 +246,7 @@
         {
             return current.clone();
         }
-        let verdicts = state.sightings.verdicts(now);
+        let verdicts = state.shared_health.verdicts(now);
         let current = verdicts
             .into_iter()
             .map(|(list_index, verdict)| EndpointVerdict {
@@ -254,14 +256,14 @@
         let current: Vec<EndpointVerdict> = current.collect();
         let previous = state.verdicts.replace((now, current.clone()));
         let previous = previous.map_or_else(Vec::new, |(_, previous)| previous);
-        let endpoints = &state.contents.newest().endpoints;
+        let endpoints = &state.history.newest().endpoints;
         for new in current.iter().filter(|new| !previous.contains(new)) {
             log_verdict(endpoints, new.list_index, &format!("{:?}", new.verdict));
         }
-        let place = |verdict: &EndpointVerdict| verdict.list_index;
+        let index = |verdict: &EndpointVerdict| verdict.list_index;
         for old in previous {
             if current
-                .binary_search_by_key(&old.list_index, place)
+                .binary_search_by_key(&old.list_index, index)
                 .is_err()
             {
                 log_verdict(endpoints, old.list_index, "sound");
@@ -272,13 +274,13 @@
 }
 
 /// Logs a changed verdict on an endpoint.
-fn log_verdict(endpoints: &[EndpointRecord], place: EndpointIndex, verdict: &str) {
-    let Some(listed) = endpoints.get(place as usize) else {
+fn log_verdict(endpoints: &[EndpointRecord], index: EndpointIndex, verdict: &str) {
+    let Some(endpoint) = endpoints.get(index as usize) else {
         return;
     };
     Event::new("endpoint-verdict")
-        .field("endpoint", &listed.run)
-        .field("service", &listed.service)
+        .field("endpoint", &endpoint.run)
+        .field("service", &endpoint.service)
         .field("verdict", verdict.to_lowercase())
         .info();
 }
@@ -296,9 +298,9 @@
     /// if the rate limit for full lists is exhausted.
     fn newest(&mut self, now: Duration, held: Mark) -> Option<ListRead> {
         let (read, took) = self.read?;
-        let news = self.contents.read_for(held, now.saturating_sub(read), took);
-        let bytes = news.whole.as_ref().map_or(0, |whole| whole.size());
-        (bytes == 0 || self.full_lists.take(now, bytes)).then_some(news)
+        let update = self.history.read_for(held, now.saturating_sub(read), took);
+        let bytes = update.whole.as_ref().map_or(0, |whole| whole.size());
+        (bytes == 0 || self.full_lists.take(now, bytes)).then_some(update)
     }
 
     /// Removes entries that stopped reporting. If no entry at all was heard for that
@@ -306,11 +308,11 @@
     /// extended. Otherwise every reporting entry would be asked to fetch the list until
     /// two that precede it by name have reported.
     fn expire_entries(&mut self, now: Duration) {
-        let silent = now.saturating_sub(self.last_report);
-        if silent >= ENTRY_TTL {
+        let idle = now.saturating_sub(self.last_report);
+        if idle >= ENTRY_TTL {
             self.entries
                 .iter_mut()
-                .for_each(|entry| entry.last_report += silent);
+                .for_each(|entry| entry.last_report += idle);
         }
         self.entries
             .retain(|entry| now.saturating_sub(entry.last_report) < ENTRY_TTL);
@@ -347,11 +349,11 @@
             return;
         }
         let read = Some((read, list.took));
-        if self.read.is_some() && self.contents.newest().mark == list.mark {
+        if self.read.is_some() && self.history.newest().mark == list.mark {
             self.read = read;
             return;
         }
-        let Some(content) = self.contents.resolve(list) else {
+        let Some(content) = self.history.resolve(list) else {
             return;
         };
         if content.endpoints.len() > MAX_ENDPOINTS {
@@ -364,17 +366,17 @@
             .field("age_ms", list.age.as_millis())
             .field("took_ms", list.took.as_millis())
             .info();
-        let old = &self.contents.newest().endpoints;
-        let kept = content.endpoints.iter().map(|listed| {
-            let found = old.binary_search_by(|known| known.run.cmp(&listed.run));
+        let old = &self.history.newest().endpoints;
+        let slots = content.endpoints.iter().map(|endpoint| {
+            let found = old.binary_search_by(|known| known.run.cmp(&endpoint.run));
             ListSlot {
                 previous: found.ok(),
-                service: hash(listed.service.as_bytes()),
+                service: hash(endpoint.service.as_bytes()),
             }
         });
-        self.sightings.update_list(kept);
+        self.shared_health.update_list(slots);
         self.verdicts = None;
-        self.contents.put(content);
+        self.history.put(content);
         self.read = read;
     }
 
@@ -384,9 +386,9 @@
             let read = tracked.last_read.map(|read| now.saturating_sub(read));
             read.is_some_and(|age| age < READER_TTL)
         };
-        let able = self.entries.iter().filter(can_read);
+        let capable = self.entries.iter().filter(can_read);
         let others = self.entries.iter().filter(|tracked| !can_read(tracked));
-        let mut readers = able.chain(others).take(READERS);
+        let mut readers = capable.chain(others).take(READERS);
         readers.any(|tracked| tracked.name == entry)
     }
 }
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -64,7 +64,7 @@
         now: Duration,
         transit: Duration,
         report: &DemandReport,
-        heard: &[Incarnation],
+        responding: &[Incarnation],
     ) -> Vec<NewQuarantine> {
         let mut state = self.state();
         state.apply_log(now);
@@ -91,7 +91,7 @@
                 quarantine.record_served(served.request, at);
             }
         }
-        for run in heard {
+        for run in responding {
             let lately = transit.saturating_add(RECENT_WINDOW);
             quarantine.record_alive(run, now.saturating_sub(lately));
         }
@@ -131,10 +131,10 @@
         if !log.has_changed().unwrap_or(false) {
             return;
         }
-        for (quarantined, left) in log.borrow_and_update().iter() {
+        for (quarantined, remaining) in log.borrow_and_update().iter() {
             let (request, workspace) = (quarantined.request, quarantined.workspace);
             self.quarantine
-                .take(now, request, workspace, quarantined.times, *left);
+                .take(now, request, workspace, quarantined.times, *remaining);
         }
     }
 }
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -115,7 +115,8 @@
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`]; with [`ControlUnavailable::NoMajority`] the command may still take effect.
+    /// [`ControlUnavailable`]; with [`ControlUnavailable::NoMajority`] the command may
+    /// still take effect.
     pub async fn propose(&self, action: Action) -> ControlReply<Reply> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Propose { action, reply }).await;
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -193,7 +193,7 @@
                 subject: String::new(),
                 holder: self.holder,
                 duration: lease_request.duration,
-                refused: lease_request.refused,
+                refused_fence: lease_request.refused,
             },
             first: self.settings.windows.at(time),
             windows: open.complete,
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -74,9 +74,9 @@
             Event::new("routes-refused").field("reason", &source).warn();
             RoutesError::Invalid { source }
         })?;
-        let held = StoredRoutes::new(set.version, source);
-        let packed = held.source.len();
-        let reply = self.submit(&Action::Routes(held)).await;
+        let stored = StoredRoutes::new(set.version, source);
+        let packed = stored.source.len();
+        let reply = self.submit(&Action::Routes(stored)).await;
         let outcome = match reply {
             Ok(Reply::Routes(version)) => Ok(version),
             _ => Err(RoutesError::NoMajority),
@@ -101,10 +101,10 @@
         let confirmed = self.confirm().await;
         confirmed.map_err(|_| RoutesError::NoMajority)?;
         let sets = self.replica().routes.borrow().clone();
-        let held = sets.newest().ok_or(RoutesError::Empty)?;
-        held.text().map_err(|source| {
+        let stored = sets.newest().ok_or(RoutesError::Empty)?;
+        stored.text().map_err(|source| {
             Event::new("routes-unreadable")
-                .field("version", held.version)
+                .field("version", stored.version)
                 .field("reason", &source)
                 .error();
             RoutesError::Unreadable { source }
@@ -116,34 +116,34 @@
 ///
 /// # Errors
 ///
-/// [`ControlUnavailable::NoMajority`] if the entry has no set and this instance can't confirm that
-/// its own is current.
+/// [`ControlUnavailable::NoMajority`] if the entry has no set and this instance can't
+/// confirm that its own is current.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
-    follow: WatchRoutes,
+    watch: WatchRoutes,
 ) -> ControlReply<RoutesStatus> {
-    let _polling = presence.poll(&follow.entry);
-    if follow.known.is_none() {
+    let _polling = presence.poll(&watch.entry);
+    if watch.known.is_none() {
         service.confirm().await?;
     }
     let replica = service.replica();
-    let end = Instant::now() + follow.wait.min(MAX_WAIT);
+    let end = Instant::now() + watch.wait.min(MAX_WAIT);
     let mut routes = replica.routes.clone();
-    let newer = |sets: &RouteSets| sets.version() > follow.known;
+    let newer = |sets: &RouteSets| sets.version() > watch.known;
     // On a time-out, the response repeats the version that the entry already has.
     let _ = timeout_at(end, routes.wait_for(newer)).await;
-    news(replica, presence, &follow)
+    routes_status(replica, presence, &watch)
 }
 
-fn news(
+fn routes_status(
     replica: &Replica,
     presence: &Presence,
-    follow: &WatchRoutes,
+    watch: &WatchRoutes,
 ) -> ControlReply<RoutesStatus> {
     let newest = replica.routes.borrow().version();
     let status = replica.status.borrow();
-    if follow.known.is_none() && newest.is_none() {
+    if watch.known.is_none() && newest.is_none() {
         return Err(ControlUnavailable::NoMajority);
     }
     Ok(RoutesStatus {
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -29,7 +29,7 @@
 
 impl Service {
     /// A service that submits commands through `replica` or, if another instance leads,
-    /// through `caller`.
+    /// through `client`.
     pub fn new(replica: Replica, client: PeerClient) -> Self {
         Self { replica, client }
     }
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable::NoMajority`] after [`REQUEST_TIMEOUT`]; the command may have taken
-    /// effect.
+    /// [`ControlUnavailable::NoMajority`] after [`REQUEST_TIMEOUT`]; the command may have
+    /// taken effect.
     pub async fn submit(&self, action: &Action) -> ControlReply<Reply> {
         let end = Instant::now() + REQUEST_TIMEOUT;
         loop {
--- a/crates/control/src/state/documents.rs
+++ b/crates/control/src/state/documents.rs
@@ -69,7 +69,9 @@
             service.is_none_or(|service| service == name) && history.revision() > revision
         };
         let changed = self.services.iter().filter(is_newer);
-        changed.map(|history| history.change_since(revision)).collect()
+        changed
+            .map(|history| history.change_since(revision))
+            .collect()
     }
 
     pub(super) fn put(
--- a/crates/control/src/state/duties.rs
+++ b/crates/control/src/state/duties.rs
@@ -39,7 +39,7 @@
     pub duration: Duration,
     /// A fencing token that was rejected as stale, or 0. The lease is granted with a
     /// newer one.
-    pub refused: Fence,
+    pub refused_fence: Fence,
 }
 
 /// Reply to [`AcquireDuty`].
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Ends the lease if `release.holder` still holds it.
+    /// Ends the lease if `request.holder` still holds it.
     pub fn release(&mut self, now: Duration, request: &ReleaseDuty) {
         if let Ok(at) = self.position(&request.duty, &request.subject) {
             let lease = &mut self.leases[at];
@@ -165,7 +165,7 @@
     ) -> AcquireOutcome {
         let expires_at = now + request.duration;
         if self.holder == request.holder {
-            if request.refused >= self.fence {
+            if request.refused_fence >= self.fence {
                 self.fence = index;
             }
             self.expires_at = self.expires_at.max(expires_at);
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -22,9 +22,9 @@
 ///
 /// # Errors
 ///
-/// [`ControlUnavailable::NoMajority`] if this instance can't confirm that its state is current, or if
-/// it loses contact with the cluster while the poll waits. The caller then tries another
-/// instance.
+/// [`ControlUnavailable::NoMajority`] if this instance can't confirm that its state is
+/// current, or if it loses contact with the cluster while the poll waits. The caller then
+/// tries another instance.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
@@ -42,9 +42,10 @@
         applied.mark_unchanged();
         let entries = *count.borrow_and_update();
         let changes = changes(service, &watch, entries);
-        let news = !changes.changes.is_empty() || changes.revision < watch.revision;
+        let has_changes =
+            !changes.changes.is_empty() || changes.revision < watch.revision;
         let count_changed = watch.entry && entries != watch.entries;
-        if news || count_changed || Instant::now() >= end {
+        if has_changes || count_changed || Instant::now() >= end {
             return Ok(changes);
         }
         tokio::select! {
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -32,7 +32,7 @@
         subject: String::new(),
         holder,
         duration: LEASE,
-        refused: 0,
+        refused_fence: 0,
     }
 }
 
@@ -71,7 +71,7 @@
     let mut duties = Duties::default();
     let mut a = acquire(holder(1, 1));
     duties.acquire(7, ms(0), &a);
-    a.refused = 7;
+    a.refused_fence = 7;
     assert_eq!(duties.acquire(9, ms(100), &a), AcquireOutcome::Held(9));
     assert_eq!(
         duties.acquire(11, ms(200), &a),
--- a/crates/control/tests/duty_lease.rs
+++ b/crates/control/tests/duty_lease.rs
@@ -55,7 +55,7 @@
                 subject: String::new(),
                 holder: self.holder,
                 duration: request.duration,
-                refused: request.refused,
+                refused_fence: request.refused,
             };
             self.answer = Some(duties.acquire(index, now, &request));
         }
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -277,28 +277,31 @@
 /// Two entries lose an endpoint: all entries are told, until a third one receives data
 /// from it.
 #[test]
-fn record_sightings_loss_by_two_is_silent() {
+fn record_observations_loss_by_two_is_silent() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
     let held = mark_of(12);
     lists.report(now, "a", held, read(12, ms(40), true));
-    lists.record_sightings(now, &observations("a", held, lost(9), Vec::new()));
+    lists.record_observations(now, &observations("a", held, lost(9), Vec::new()));
     assert_eq!(lists.verdicts(now), []);
-    lists.record_sightings(now + ms(100), &observations("b", held, lost(9), Vec::new()));
+    lists.record_observations(
+        now + ms(100),
+        &observations("b", held, lost(9), Vec::new()),
+    );
     let silent = EndpointVerdict {
         list_index: 9,
         verdict: WireVerdict::Silent,
     };
     assert_eq!(lists.verdicts(now + ms(200)), [silent]);
     let heard = vec![0, 0b10];
-    lists.record_sightings(now + ms(300), &observations("c", held, Vec::new(), heard));
+    lists.record_observations(now + ms(300), &observations("c", held, Vec::new(), heard));
     assert_eq!(lists.verdicts(now + ms(400)), []);
 }
 
 /// Reports that were queued while an instance was suspended: an endpoint that was
 /// unreachable then is not reported as silent now.
 #[test]
-fn record_sightings_delayed_ignored() {
+fn record_observations_delayed_ignored() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
     let held = mark_of(12);
@@ -309,11 +312,11 @@
         ..observations(name, held, lost(9), Vec::new())
     };
     for name in ["a", "b"] {
-        lists.record_sightings(now + ms(4_000), &report(name, ms(500)));
+        lists.record_observations(now + ms(4_000), &report(name, ms(500)));
     }
     assert_eq!(lists.verdicts(now + ms(4_000)), []);
     for name in ["a", "b"] {
-        lists.record_sightings(now + ms(5_000), &report(name, ms(4_800)));
+        lists.record_observations(now + ms(5_000), &report(name, ms(4_800)));
     }
     let verdicts = lists.verdicts(now + ms(5_100));
     assert_eq!(verdicts.len(), 1, "the delay was short");
@@ -322,24 +325,24 @@
 /// Positions in another list refer to other endpoints and are ignored. After a change of
 /// the list, observations follow an endpoint to its new position.
 #[test]
-fn record_sightings_of_another_list_ignored() {
+fn record_observations_of_another_list_ignored() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
     let held = mark_of(3);
     lists.report(now, "a", held, read(3, ms(40), true));
     for entry in ["a", "b"] {
-        lists.record_sightings(now, &observations(entry, 6, lost(2), Vec::new()));
+        lists.record_observations(now, &observations(entry, 6, lost(2), Vec::new()));
     }
     assert_eq!(lists.verdicts(now), []);
     let beyond = observations("c", held, lost(99), vec![0xff; 999]);
-    lists.record_sightings(now, &beyond);
+    lists.record_observations(now, &beyond);
     assert_eq!(
         lists.verdicts(now),
         [],
         "positions beyond the end of the list"
     );
     for entry in ["a", "b"] {
-        lists.record_sightings(
+        lists.record_observations(
             now + ms(100),
             &observations(entry, held, lost(2), Vec::new()),
         );
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -27,7 +27,7 @@
             subject: String::new(),
             holder: DutyHolder { machine, run: 1 },
             duration: LEASE,
-            refused: 0,
+            refused_fence: 0,
         },
         first: 100,
         windows,
