--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -408,8 +408,8 @@
     settings: &Settings,
     client: &PeerClient,
 ) -> Result<Opened, Report<ControlError>> {
-    let fault = ControlError::Store;
-    let files = DiskFiles::open(&settings.data).change_context(fault)?;
+    let error = ControlError::Store;
+    let files = DiskFiles::open(&settings.data).change_context(error)?;
     let vacant = Store::vacant(&files).change_context(ControlError::Store)?;
     let opened = match (vacant, settings.start) {
         (true, Start::Existing) => Err(StoreError::Empty),
@@ -478,7 +478,7 @@
     client: PeerClient,
     drain: Drain,
 ) {
-    let mut contact = Instant::now();
+    let mut last_contact = Instant::now();
     while !drain.begun() {
         let status = replica.status.borrow().clone();
         let is_member = status.members.get(member.id).is_some();
@@ -487,8 +487,8 @@
         // another member.
         member.seat &= !(is_member && status.contact);
         if status.contact {
-            contact = Instant::now();
-        } else if !is_member || contact.elapsed() >= MEMBERSHIP_CHECK_DELAY {
+            last_contact = Instant::now();
+        } else if !is_member || last_contact.elapsed() >= MEMBERSHIP_CHECK_DELAY {
             let peer_addresses = peer_addresses.borrow().clone();
             for address in others(&status, &peer_addresses) {
                 let not_member =
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -92,8 +92,8 @@
             }
         }
         for run in responding {
-            let lately = transit.saturating_add(RECENT_WINDOW);
-            quarantine.record_alive(run, now.saturating_sub(lately));
+            let max_age = transit.saturating_add(RECENT_WINDOW);
+            quarantine.record_alive(run, now.saturating_sub(max_age));
         }
         quarantine.evaluate(now)
     }
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -74,12 +74,12 @@
     /// Requests the route set like an entry that has none.
     async fn routes(&self) -> Option<RoutesStatus> {
         let client = PeerClient::new(SECRET.to_string());
-        let follow = WatchRoutes {
+        let request = WatchRoutes {
             entry: "entry".to_string(),
             known: None,
             wait: Duration::from_millis(200),
         };
-        let call = client.call(self.settings.internal, ROUTES_PATH, &follow);
+        let call = client.call(self.settings.internal, ROUTES_PATH, &request);
         let answer: ControlReply<RoutesStatus> =
             timeout(Duration::from_secs(4), call).await.ok()?.ok()?;
         answer.ok()
@@ -168,7 +168,7 @@
 async fn wait_for_version(instance: &Instance, version: Version) {
     let end = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < end {
-        let newest = instance.routes().await.and_then(|news| news.newest);
+        let newest = instance.routes().await.and_then(|status| status.newest);
         if newest == Some(version) {
             let piece = instance
                 .piece(version)
@@ -208,11 +208,11 @@
     for instance in &instances {
         wait_for_version(instance, 5).await;
     }
-    let news = instances[3]
+    let status = instances[3]
         .routes()
         .await
         .expect("the entry gets a response");
-    let mut members = news.control;
+    let mut members = status.control;
     members.sort();
     let mut all = internal_addresses(&instances);
     all.sort();
@@ -326,8 +326,8 @@
     }
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        let named = forward.routes().await.map(|news| news.control);
-        if named.is_some_and(|named| named.len() == 3) {
+        let addresses = forward.routes().await.map(|status| status.control);
+        if addresses.is_some_and(|addresses| addresses.len() == 3) {
             break;
         }
         assert!(Instant::now() < end, "all three are announced");
@@ -339,7 +339,7 @@
 fn poll(instance: &Instance, known: Version) -> JoinHandle<()> {
     let client = PeerClient::new(SECRET.to_string());
     let address = instance.settings.internal;
-    let follow = WatchRoutes {
+    let request = WatchRoutes {
         entry: "entry".to_string(),
         known: Some(known),
         wait: TEST_TIMEOUT * 2,
@@ -347,7 +347,7 @@
     tokio::spawn(async move {
         // The poll may end with a response or with a broken connection.
         let _ = client
-            .call::<_, ControlReply<RoutesStatus>>(address, ROUTES_PATH, &follow)
+            .call::<_, ControlReply<RoutesStatus>>(address, ROUTES_PATH, &request)
             .await;
     })
 }
@@ -402,8 +402,8 @@
     let end = Instant::now() + TEST_TIMEOUT;
     let mut last = Vec::new();
     while Instant::now() < end {
-        let news = instances[0].routes().await;
-        last = news.map_or(Vec::new(), |news| news.control);
+        let status = instances[0].routes().await;
+        last = status.map_or(Vec::new(), |status| status.control);
         last.sort();
         if last == expected {
             return;
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -274,7 +274,7 @@
     }]
 }
 
-/// Two entries lose an endpoint: all entries are told, until a third one receives data
+/// Two entries lose an endpoint: it is reported silent until a third one receives data
 /// from it.
 #[test]
 fn record_observations_loss_by_two_is_silent() {
@@ -293,8 +293,11 @@
         verdict: WireVerdict::Silent,
     };
     assert_eq!(lists.verdicts(now + ms(200)), [silent]);
-    let heard = vec![0, 0b10];
-    lists.record_observations(now + ms(300), &observations("c", held, Vec::new(), heard));
+    let responding = vec![0, 0b10];
+    lists.record_observations(
+        now + ms(300),
+        &observations("c", held, Vec::new(), responding),
+    );
     assert_eq!(lists.verdicts(now + ms(400)), []);
 }
 
@@ -369,7 +372,7 @@
     let places: Vec<u32> = lists
         .verdicts(now + ms(700))
         .iter()
-        .map(|told| told.list_index)
+        .map(|verdict| verdict.list_index)
         .collect();
     assert_eq!(places, [3]);
 }
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -50,8 +50,8 @@
     }
 }
 
-fn requests(news: Option<Suspects>) -> Vec<SuspectRequest> {
-    news.expect("the suspects have changed").requests
+fn requests(suspects: Option<Suspects>) -> Vec<SuspectRequest> {
+    suspects.expect("the suspects have changed").requests
 }
 
 #[test]
@@ -63,10 +63,10 @@
     assert_eq!(requests(suspected)[0].remaining, None, "one loss per entry");
     let found = tracker.report(LATER, Duration::ZERO, &entry_report("d", vec![]), &[]);
     assert_eq!(found[0].request, REQUEST);
-    let news = tracker.suspects(LATER, 0).expect("held");
-    assert_eq!(news.requests[0].remaining, Some(quarantine_period(1)));
+    let suspects = tracker.suspects(LATER, 0).expect("held");
+    assert_eq!(suspects.requests[0].remaining, Some(quarantine_period(1)));
     assert_eq!(
-        tracker.suspects(LATER, news.mark),
+        tracker.suspects(LATER, suspects.mark),
         None,
         "already known to the entry"
     );
@@ -89,8 +89,8 @@
 fn report_delayed_is_dated_back() {
     let tracker = QuarantineTracker::default();
     lost_by_three(&tracker);
-    let heard = [run(1)];
-    let found = tracker.report(LATER, ms(3_000), &entry_report("d", vec![]), &heard);
+    let responding = [run(1)];
+    let found = tracker.report(LATER, ms(3_000), &entry_report("d", vec![]), &responding);
     assert_eq!(found.len(), 1, "received before the crash");
 }
 
@@ -107,33 +107,40 @@
         ..entry_report("d", vec![])
     };
     assert_eq!(tracker.report(LATER, Duration::ZERO, &report, &[]), []);
-    assert_eq!(tracker.suspects(LATER, 1).map(|news| news.mark), Some(0));
+    assert_eq!(
+        tracker.suspects(LATER, 1).map(|suspects| suspects.mark),
+        Some(0)
+    );
 }
 
 /// An instance without reports of its own returns the requests quarantined in the log.
 #[test]
 fn with_log_returns_logged_requests() {
-    let held = Quarantined {
+    let logged = Quarantined {
         request: REQUEST,
         workspace: 1,
         times: 2,
     };
-    let (sender, log) = watch::channel(vec![(held, ms(5_000))]);
+    let (sender, log) = watch::channel(vec![(logged, ms(5_000))]);
     let tracker = QuarantineTracker::with_log(log);
     tracker.report(NOW, Duration::ZERO, &entry_report("a", vec![]), &[]);
-    let told = requests(tracker.suspects(NOW, 0));
-    assert_eq!(told[0].remaining, Some(ms(5_000)));
-    let other = Quarantined { request: 8, ..held };
-    sender.send_replace(vec![(held, ms(4_000)), (other, ms(9_000))]);
+    let returned = requests(tracker.suspects(NOW, 0));
+    assert_eq!(returned[0].remaining, Some(ms(5_000)));
+    let other = Quarantined {
+        request: 8,
+        ..logged
+    };
+    sender.send_replace(vec![(logged, ms(4_000)), (other, ms(9_000))]);
     tracker.report(
         NOW + ms(1_000),
         Duration::ZERO,
         &entry_report("a", vec![]),
         &[],
     );
-    let told = requests(tracker.suspects(NOW + ms(1_000), 0));
-    let left: Vec<Option<Duration>> = told.iter().map(|told| told.remaining).collect();
-    assert_eq!(left, [Some(ms(4_000)), Some(ms(9_000))]);
+    let returned = requests(tracker.suspects(NOW + ms(1_000), 0));
+    let remaining: Vec<Option<Duration>> =
+        returned.iter().map(|returned| returned.remaining).collect();
+    assert_eq!(remaining, [Some(ms(4_000)), Some(ms(9_000))]);
 }
 
 /// Ages that overflow, and more losses than any entry has.
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -287,9 +287,9 @@
             times: 1,
         }));
     }
-    let kept = cluster.state.quarantined();
-    assert_eq!(kept.len(), 1_024);
-    assert_eq!(kept.last().expect("the newest").0.request, 2_999);
+    let quarantined = cluster.state.quarantined();
+    assert_eq!(quarantined.len(), 1_024);
+    assert_eq!(quarantined.last().expect("the newest").0.request, 2_999);
 }
 
 /// For any sequence of commands, including resends, a key is granted to at most one
