--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -111,10 +111,10 @@
     if settings.data.as_os_str().is_empty() {
         return forward::run(settings, drain).await;
     }
-    let peer_addresses = watch::Sender::new(configured_addresses(&settings));
-    let _refresh = spawn_task(publish_addresses(changed, peer_addresses.clone()));
+    let addresses = watch::Sender::new(configured_addresses(&settings));
+    let _refresh = spawn_task(publish_addresses(changed, addresses.clone()));
     loop {
-        settings.address_updates = Some(peer_addresses.subscribe());
+        settings.address_updates = Some(addresses.subscribe());
         let started = tokio::select! {
             bound = Control::bind(settings.clone(), drain.clone()) => bound,
             () = drain.wait() => break,
@@ -140,12 +140,12 @@
 /// Publishes the addresses of other instances whenever the settings change.
 async fn publish_addresses(
     mut changed: Changed<Settings>,
-    peer_addresses: watch::Sender<Vec<SocketAddr>>,
+    addresses: watch::Sender<Vec<SocketAddr>>,
 ) {
     while changed.changed().await.is_ok() {
         let settings = changed.borrow_and_update().clone();
         if let Some(settings) = settings {
-            peer_addresses.send_replace(configured_addresses(&settings));
+            addresses.send_replace(configured_addresses(&settings));
         }
     }
 }
@@ -274,16 +274,9 @@
         let reporter = reporter.map(|(sink, settings)| {
             let machine = self.member.address;
             let entries = presence.count();
-            let reporter_metrics = ReporterMetrics::new(&metrics);
-            let reporter = Reporter::new(
-                settings,
-                machine,
-                usage,
-                service,
-                sink,
-                entries,
-                reporter_metrics,
-            );
+            let counters = ReporterMetrics::new(&metrics);
+            let reporter =
+                Reporter::new(settings, machine, usage, service, sink, entries, counters);
             AbortOnDropHandle::new(tokio::spawn(reporter.run(self.drain.clone())))
         });
         let health =
@@ -291,17 +284,15 @@
         let public = operators::routes(operator_api)
             .merge(health.clone())
             .merge(platform_routes);
-        let private = internal::end_polls_on_drain(
-            internal::routes(internal_api),
-            self.drain.clone(),
-        );
+        let private =
+            internal::end_polls(internal::routes(internal_api), self.drain.clone());
         let private = private.merge(health);
         let replica = self.replica.clone();
         let stop = shut_down(replica.clone(), self.drain.clone(), reporter);
         let drain = self.drain.clone();
         let linger = self.settings.linger;
         let handle = replica.clone();
-        let peer_addresses = self.settings.peer_addresses();
+        let addresses = self.settings.peer_addresses();
         let announcement = Announcement {
             cluster: self.cluster,
             internal: self.internal(),
@@ -310,7 +301,7 @@
         // Aborted when this future is dropped.
         let mut driver = AbortOnDropHandle::new(tokio::spawn(self.driver.run()));
         let _tasks = [
-            spawn_task(broadcast_presence(
+            spawn_task(share_presence(
                 replica.clone(),
                 presence,
                 self.client.clone(),
@@ -318,13 +309,13 @@
             spawn_task(announce(
                 replica.clone(),
                 announcement,
-                peer_addresses.clone(),
+                addresses.clone(),
                 self.client.clone(),
             )),
-            spawn_task(maintain_membership(
+            spawn_task(ensure_member(
                 replica,
                 self.member,
-                peer_addresses,
+                addresses,
                 self.client,
                 drain,
             )),
@@ -452,8 +443,8 @@
 ) -> Result<u128, Report<ControlError>> {
     let end = Instant::now() + JOIN_TIMEOUT;
     while Instant::now() < end {
-        let peer_addresses = settings.peer_addresses().borrow().clone();
-        for address in peer_addresses {
+        let addresses = settings.peer_addresses().borrow().clone();
+        for address in addresses {
             if let Some(cluster) = fetch_cluster_id(client, address).await {
                 return Ok(cluster);
             }
@@ -471,10 +462,10 @@
 /// Requests to be added whenever this instance is not a member, either because it is new
 /// or because it was removed as failed. An instance that is stopping does not, since the
 /// cluster would rely on it.
-async fn maintain_membership(
+async fn ensure_member(
     replica: Replica,
     mut member: Member,
-    peer_addresses: watch::Receiver<Vec<SocketAddr>>,
+    addresses: watch::Receiver<Vec<SocketAddr>>,
     client: PeerClient,
     drain: Drain,
 ) {
@@ -489,11 +480,10 @@
         if status.contact {
             last_contact = Instant::now();
         } else if !is_member || last_contact.elapsed() >= MEMBERSHIP_CHECK_DELAY {
-            let peer_addresses = peer_addresses.borrow().clone();
-            for address in others(&status, &peer_addresses) {
-                let not_member =
-                    !is_member || is_removed(&client, address, member.id).await;
-                if not_member && request_join(&client, address, &member).await {
+            let addresses = addresses.borrow().clone();
+            for address in others(&status, &addresses) {
+                let removed = !is_member || is_removed(&client, address, member.id).await;
+                if removed && request_join(&client, address, &member).await {
                     break;
                 }
             }
@@ -503,10 +493,10 @@
 }
 
 /// Addresses of other instances, from the log and from the settings.
-fn others(status: &ReplicaStatus, peer_addresses: &[SocketAddr]) -> Vec<SocketAddr> {
+fn others(status: &ReplicaStatus, addresses: &[SocketAddr]) -> Vec<SocketAddr> {
     let members = status.members.iter().filter(|m| m.id != status.node);
     let mut all: Vec<SocketAddr> = members.map(|member| member.address).collect();
-    all.extend(peer_addresses);
+    all.extend(addresses);
     all.sort_unstable();
     all.dedup();
     all
@@ -530,7 +520,7 @@
 }
 
 /// Sends the entries that poll this instance to the other instances.
-async fn broadcast_presence(replica: Replica, presence: Presence, client: PeerClient) {
+async fn share_presence(replica: Replica, presence: Presence, client: PeerClient) {
     loop {
         sleep(INTERVAL).await;
         let names = presence.refresh();
@@ -553,7 +543,7 @@
 async fn announce(
     replica: Replica,
     announcement: Announcement,
-    peer_addresses: watch::Receiver<Vec<SocketAddr>>,
+    addresses: watch::Receiver<Vec<SocketAddr>>,
     client: PeerClient,
 ) {
     loop {
@@ -564,11 +554,8 @@
                 .iter()
                 .any(|member| member.address == *address)
         };
-        let peer_addresses = peer_addresses.borrow().clone();
-        for address in peer_addresses
-            .into_iter()
-            .filter(|address| !member(address))
-        {
+        let addresses = addresses.borrow().clone();
+        for address in addresses.into_iter().filter(|address| !member(address)) {
             let client = client.clone();
             tokio::spawn(async move {
                 let call = client.call::<_, ()>(address, ANNOUNCE_PATH, &announcement);
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -156,8 +156,7 @@
     let public = Router::new()
         .fallback(redirect)
         .with_state(instances.clone());
-    let internal_routes =
-        internal::end_polls_on_drain(internal_routes(instances), drain.clone());
+    let internal_routes = internal::end_polls(internal_routes(instances), drain.clone());
     let internal_routes = internal_routes.merge(health.clone());
     tokio::join!(
         operator_listener.serve(public.merge(health), drain.clone(), settings.linger),
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -103,15 +103,11 @@
 /// Ends long polls when the drain begins. A poll may wait for seconds. An instance that
 /// waited for its polls would stay up with its listeners closed until the others remove
 /// it as failed.
-pub(crate) fn end_polls_on_drain(routes: Router, drain: Drain) -> Router {
-    routes.layer(from_fn_with_state(drain, end_poll_on_drain))
+pub(crate) fn end_polls(routes: Router, drain: Drain) -> Router {
+    routes.layer(from_fn_with_state(drain, end_poll))
 }
 
-async fn end_poll_on_drain(
-    State(drain): State<Drain>,
-    request: Request,
-    next: Next,
-) -> Response {
+async fn end_poll(State(drain): State<Drain>, request: Request, next: Next) -> Response {
     if ![ROUTES_PATH, WATCH_PATH].contains(&request.uri().path()) {
         return next.run(request).await;
     }
--- a/crates/control/tests/reporter.rs
+++ b/crates/control/tests/reporter.rs
@@ -90,7 +90,7 @@
             let window = report.counts.window;
             match windows.iter().find(|known| known.window == window) {
                 Some(known) => {
-                    assert_eq!(*known, report.counts, "one content per window")
+                    assert_eq!(*known, report.counts, "one content per window");
                 }
                 None => windows.push(report.counts),
             }
