--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,7 +1,7 @@
 //! The replicated state machine.
 //!
-//! Applying a command depends on nothing but the state and the command: all clocks,
-//! random numbers and addresses are part of the command.
+//! The result of a command depends only on the state, the command and its log index, so all
+//! instances reach the same state. Times are those that the leader stored in the command.
 
 mod claims;
 mod documents;
