--- a/crates/policy/src/permits.rs
+++ b/crates/policy/src/permits.rs
@@ -1,99 +1,102 @@
-//! Limits on the rate of requests that endpoints name, kept to by all entries together.
+//! Limits on request rates that endpoints announce, enforced across all entries.
 //!
-//! The pattern: one of nine endpoints is in need and takes one request a second. Each entry
-//! sends it one in two seconds, which is modest, and together they send it four times what
-//! it takes. Shares of the limit don't help: of 300 entries each may send one request now and
-//! then, and if all do so at once that is 300.
+//! An endpoint under pressure may announce that it takes, for example, one request per
+//! second. Entries that throttle independently exceed that: nine entries that each send one
+//! request in two seconds send more than four times the limit. Static shares do not help
+//! either: of 300 entries each may send one request occasionally, and if all do so at once
+//! the endpoint gets 300.
 //!
-//! So one control instance, the one that all entries tell what comes, hands out permits
-//! ([`Limits`]), and an entry sends nothing to a limited endpoint without one ([`Permits`]).
-//! Permits end soon, so what is not used is not saved up.
+//! Permits are therefore handed out by one control instance, the one to which all entries
+//! report demand ([`Limits`]). An entry sends nothing to a limited endpoint without a permit
+//! ([`Permits`]). Permits expire soon, so unused ones do not accumulate.
 //!
-//! Invariants, for a limit of N a second:
+//! Invariants, for a limit of N requests per second:
 //!
-//! * in any time t one instance hands out at most `0.8 N t + max(1, 0.4 N)` permits to entries
-//!   that ask it first, and they are used within [`PERMIT_VALIDITY`]; and a quarter of that to entries
-//!   whose first choice did not answer, however many these are. So both together, and two that
-//!   are first for a second while entries go from one to the other, stay below `1.5 N t + 5` in
-//!   four seconds;
-//! * permits go on as long as anybody asks, if slowly, also where the limit is zero: an
-//!   endpoint that gets nothing can't say that it takes more again;
-//! * the newest observation counts. That a limit has ended is believed only some time after it was
-//!   named last, since answers overtake each other;
-//! * an entry that hears of no control instance sends at a rate that stays below the limit if
-//!   all entries do the same, spread over time by chance.
+//! * Within any time t, one instance hands out at most `0.8 N t + max(1, 0.4 N)` permits to
+//!   entries that use it as their first choice, and these are used within
+//!   [`PERMIT_VALIDITY`]. Entries whose first choice did not answer get a quarter of that in
+//!   total, however many they are. Both together, and two instances that are both the first
+//!   choice for a second while entries switch over, stay below `1.5 N t + 5` requests in four
+//!   seconds.
+//! * Permits are issued, if slowly, as long as any entry requests them, also where the limit
+//!   is zero: an endpoint that gets no requests cannot announce a higher limit.
+//! * The newest observation wins. The end of a limit is accepted only some time after the
+//!   limit was last announced, since responses overtake each other.
+//! * An entry without contact to control sends at a rate that stays below the limit if all
+//!   entries do the same, spread over time at random.
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
 use std::cmp::Ordering;
 
-/// How long a permit holds from when it was asked for: twice the interval at which entries
-/// ask.
+/// How long a permit is valid, counted from the report that requested it: twice the interval
+/// at which entries report.
 pub const PERMIT_VALIDITY: Duration = Duration::from_secs(1);
-/// Part of a limit that an instance hands out to entries that ask it first.
-const SHARE: f64 = 0.8;
-/// The same for entries whose first choice did not answer: that one may hand out its part to
-/// all others meanwhile.
-const SHARE_SECOND: f64 = 0.2;
-/// Seconds of an instance's part that are handed out at one moment at most: the interval at
-/// which entries ask.
-const BURST: f64 = 0.5;
-/// Requests a second that a limited endpoint gets at least, if there are any for it.
-const LEAST: f64 = 0.1;
-/// Time after the last naming of a limit from which an answer that names none ends it.
-const SETTLED: Duration = Duration::from_millis(300);
-/// How long a limit is remembered that nobody names or asks for.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Endpoints whose limits are remembered: eight times the size that the design is made for.
-const MOST_KNOWN: usize = 10_000;
-/// Part of a limit that all entries without control use together.
-const SHARE_AUTONOMOUS: f64 = 0.5;
-
-/// Largest rate that is told apart from no limit, in requests a second: more than any
-/// endpoint serves.
-const MOST: f64 = 100_000.0;
-
-/// Requests a second that an endpoint takes of all entries together.
+/// Fraction of a limit that an instance grants to entries that use it as first choice.
+const PRIMARY_SHARE: f64 = 0.8;
+/// Fraction of a limit that an instance grants to entries whose first choice did not answer.
+/// Small, since the first choice may grant its own share to all other entries meanwhile.
+const FALLBACK_SHARE: f64 = 0.2;
+/// Most seconds' worth of an instance's share that is granted at once: the interval at which
+/// entries report.
+const BURST_SECONDS: f64 = 0.5;
+/// Lowest rate granted for a limited endpoint, in requests per second.
+const MIN_RATE: f64 = 0.1;
+/// Time after a limit was last announced from which a response without one ends it.
+const REMOVAL_DELAY: Duration = Duration::from_millis(300);
+/// How long a limit is kept that no entry reports.
+const RETENTION: Duration = Duration::from_secs(60);
+/// Endpoints whose limits are kept: eight times the design size.
+const MAX_KNOWN: usize = 10_000;
+/// Fraction of a limit that all entries without control use together.
+const AUTONOMOUS_SHARE: f64 = 0.5;
+
+/// Upper bound of a rate, in requests per second: more than any endpoint serves, so a higher
+/// limit is no limit in effect.
+const MAX_RATE: f64 = 100_000.0;
+
+/// Requests per second that an endpoint takes from all entries together.
 #[derive(Clone, Copy, Debug, Display, PartialEq, PartialOrd)]
 #[display("{_0}")]
 pub struct Rate(f64);
 
 impl Rate {
-    /// A rate of `per_second`; `None` where that is no number of requests.
+    /// Returns `None` unless `per_second` is finite and not negative. Rates above 100,000
+    /// requests per second are lowered to that.
     pub fn new(per_second: f64) -> Option<Self> {
         let valid = per_second.is_finite() && per_second >= 0.0;
-        valid.then(|| Self(per_second.min(MOST)))
+        valid.then(|| Self(per_second.min(MAX_RATE)))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 }
 
-/// What an endpoint's answer says of a limit.
+/// The rate limit carried by an endpoint's response.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq)]
 pub enum Limit {
-    /// It names none.
+    /// The response carries no limit.
     #[default]
     #[display("none")]
     Unnamed,
-    /// It takes so much.
+    /// The response carries this limit.
     #[display("{_0}")]
     Named(Rate),
-    /// It names one that can't be read.
+    /// The response carries a limit that cannot be parsed.
     #[display("unreadable")]
     Unreadable,
 }
 
 impl Limit {
-    /// The limit of an answer that names these numbers: the lowest of them, as far as they
-    /// can be read.
-    pub fn from_values<'a>(numbers: impl Iterator<Item = &'a str>) -> Self {
-        numbers.fold(Self::Unnamed, |limit, number| {
-            let rate = number.trim().parse().ok().and_then(Rate::new);
+    /// Parses the values of a limit header, in requests per second: the lowest value that can
+    /// be parsed counts.
+    pub fn from_values<'a>(values: impl Iterator<Item = &'a str>) -> Self {
+        values.fold(Self::Unnamed, |limit, value| {
+            let rate = value.trim().parse().ok().and_then(Rate::new);
             match (limit, rate) {
-                (Self::Named(known), Some(rate)) if known <= rate => limit,
+                (Self::Named(lowest), Some(rate)) if lowest <= rate => limit,
                 (_, Some(rate)) => Self::Named(rate),
                 (Self::Unnamed, None) => Self::Unreadable,
                 (_, None) => limit,
@@ -102,21 +105,23 @@
     }
 }
 
-/// What is known of an endpoint's limit.
+/// The state of an endpoint's limit at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The limit; `None` where it names none any more.
+    /// `None` once the endpoint announces no limit any more.
     pub rate: Option<Rate>,
-    /// When it was said.
+    /// When the response arrived.
     pub at: Duration,
 }
 
 impl Observation {
-    /// Whether it takes the place of what is known.
+    /// Whether this observation replaces `known`.
     fn supersedes(&self, known: Option<&Self>) -> bool {
         match (known, self.rate) {
             (None, rate) => rate.is_some(),
-            (Some(known), None) if known.rate.is_some() => self.at >= known.at + SETTLED,
+            (Some(known), None) if known.rate.is_some() => {
+                self.at >= known.at + REMOVAL_DELAY
+            }
             (Some(known), _) => self.at > known.at,
         }
     }
@@ -125,112 +130,112 @@
 /// One entry's permits for one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
-    observed: Option<Observation>,
-    /// What is left of each grant, and until when it holds.
-    granted: Vec<(Duration, u32)>,
-    /// Requests that were to be placed since control was told last.
-    demanded: u32,
-    /// When control took in what this entry heard.
-    told: Option<Duration>,
-    /// When an answer said anything about a limit.
-    heard: Option<Duration>,
+    observation: Option<Observation>,
+    /// Expiry of each grant and the permits left of it.
+    grants: Vec<(Duration, u32)>,
+    /// Requests that were to be placed since the last report.
+    demand: u32,
+    /// When the last report that control accepted was made.
+    reported: Option<Duration>,
+    /// When a response last changed the observation.
+    observed: Option<Duration>,
     autonomy: Option<Autonomy>,
 }
 
-/// What an entry tells of an endpoint's limit.
+/// An entry's report to control on one endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
-    /// What it knows.
+    /// The newest observation that the entry has.
     pub observed: Observation,
-    /// Permits that it could use.
+    /// Permits that the entry could use.
     pub wanted: u32,
 }
 
-/// Leave to send one request.
+/// Permission to send one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Until when its first byte may go out; `None` without an end.
+    /// Latest time to send the first byte; `None` for an endpoint without a limit.
     pub until: Option<Duration>,
 }
 
 impl Permits {
-    /// An answer of the endpoint's own came; whether its limit is another one now.
+    /// Records a response of the endpoint itself. Returns whether the limit changed.
     pub fn observe(&mut self, now: Duration, limit: Limit) -> bool {
         let rate = match limit {
             Limit::Named(rate) => Some(rate),
             Limit::Unnamed if self.rate().is_some() => None,
-            // One in need that can't say how much stays at what is known.
+            // A limit that cannot be parsed leaves the known one in force.
             Limit::Unnamed | Limit::Unreadable => return false,
         };
-        let observed = Observation { rate, at: now };
+        let observation = Observation { rate, at: now };
         let before = self.rate();
-        if self.take_in(observed) {
-            self.heard = Some(now);
+        if self.apply(observation) {
+            self.observed = Some(now);
         }
         self.rate() != before
     }
 
-    /// Control told what all entries know; whether its limit is another one now.
-    pub fn merge(&mut self, observed: Observation) -> bool {
+    /// Records the observation that control distributes. Returns whether the limit changed.
+    pub fn merge(&mut self, observation: Observation) -> bool {
         let before = self.rate();
-        self.take_in(observed);
+        self.apply(observation);
         self.rate() != before
     }
 
-    fn take_in(&mut self, observed: Observation) -> bool {
-        let newer = observed.supersedes(self.observed.as_ref());
+    fn apply(&mut self, observation: Observation) -> bool {
+        let newer = observation.supersedes(self.observation.as_ref());
         if newer {
-            self.shrink(observed.rate);
-            self.observed = Some(observed);
+            self.scale_grants(observation.rate);
+            self.observation = Some(observation);
         }
         newer
     }
 
-    /// Keeps the part of the permits that a lower limit leaves.
-    fn shrink(&mut self, rate: Option<Rate>) {
+    /// Reduces the permits in proportion to a lower limit.
+    fn scale_grants(&mut self, rate: Option<Rate>) {
         let (Some(before), Some(now)) = (self.rate(), rate) else {
-            self.granted.clear();
+            self.grants.clear();
             return;
         };
         if now < before {
-            let part = now.per_second() / before.per_second();
-            for grant in &mut self.granted {
-                grant.1 = (f64::from(grant.1) * part) as u32;
+            let factor = now.per_second() / before.per_second();
+            for grant in &mut self.grants {
+                grant.1 = (f64::from(grant.1) * factor) as u32;
             }
         }
     }
 
-    /// The limit, where there is one.
+    /// The limit; `None` if the endpoint has none.
     pub fn rate(&self) -> Option<Rate> {
-        self.observed.and_then(|observed| observed.rate)
+        self.observation.and_then(|observation| observation.rate)
     }
 
-    /// Whether a request may go there now. Where there is a limit, it is counted as one that
-    /// could use a permit.
+    /// Whether a request may be sent now. If the endpoint is limited, the request is counted
+    /// as demand for a permit.
     pub fn demand(&mut self, now: Duration) -> bool {
         if self.rate().is_some() {
-            self.demanded = self.demanded.saturating_add(1);
+            self.demand = self.demand.saturating_add(1);
         }
         self.is_available(now)
     }
 
-    /// Whether a request may go there now, without counting one.
+    /// Whether a request may be sent now, without counting demand.
     pub fn is_available(&self, now: Duration) -> bool {
         let Some(rate) = self.rate() else {
             return true;
         };
-        let holds = |grant: &(Duration, u32)| grant.0 > now && grant.1 > 0;
-        let alone = || self.autonomy.is_some_and(|alone| alone.open(now, rate));
-        self.granted.iter().any(holds) || alone()
+        let valid = |grant: &(Duration, u32)| grant.0 > now && grant.1 > 0;
+        let autonomous = || self.autonomy.is_some_and(|own| own.is_open(now, rate));
+        self.grants.iter().any(valid) || autonomous()
     }
 
-    /// Takes the permit for a request whose first byte goes out now.
+    /// Takes a permit for a request whose first byte is sent now; `None` if there is none.
     pub fn take(&mut self, now: Duration) -> Option<Permit> {
         let Some(rate) = self.rate() else {
             return Some(Permit { until: None });
         };
-        self.left(now);
-        if let Some(grant) = self.granted.first_mut() {
+        self.remaining(now);
+        if let Some(grant) = self.grants.first_mut() {
             grant.1 -= 1;
             let until = Some(grant.0);
             return Some(Permit { until });
@@ -238,34 +243,35 @@
         self.autonomy.as_mut()?.take(now, rate)
     }
 
-    /// Permits that still hold; forgets the others.
-    fn left(&mut self, now: Duration) -> u32 {
-        self.granted
+    /// Drops expired grants and returns the number of valid permits.
+    fn remaining(&mut self, now: Duration) -> u32 {
+        self.grants
             .retain(|(until, left)| *until > now && *left > 0);
-        self.granted.iter().map(|(_, left)| left).sum()
+        self.grants.iter().map(|(_, left)| left).sum()
     }
 
-    /// What control is to be told, if anything: what was heard since, or that permits could
-    /// be used.
+    /// The next report to control: `None` if nothing was observed since the last one and no
+    /// permits are needed. Resets the counted demand.
     pub fn report(&mut self, now: Duration) -> Option<LimitReport> {
-        let observed = self.observed?;
-        let wanted = std::mem::take(&mut self.demanded);
-        let wanted = wanted.saturating_sub(self.left(now));
-        let unheard = self.heard > self.told;
-        (unheard || wanted > 0).then_some(LimitReport { observed, wanted })
+        let observed = self.observation?;
+        let wanted = std::mem::take(&mut self.demand);
+        let wanted = wanted.saturating_sub(self.remaining(now));
+        let unreported = self.observed > self.reported;
+        (unreported || wanted > 0).then_some(LimitReport { observed, wanted })
     }
 
-    /// Control took in what was told at `asked`, and granted `permits`.
-    pub fn receive_grant(&mut self, asked: Duration, permits: u32) {
-        self.told = Some(asked);
+    /// Records that control accepted the report made at `reported` and granted `permits`.
+    pub fn receive_grant(&mut self, reported: Duration, permits: u32) {
+        self.reported = Some(reported);
         self.autonomy = None;
         if permits > 0 && self.rate().is_some() {
-            self.granted.push((asked + PERMIT_VALIDITY, permits));
+            self.grants.push((reported + PERMIT_VALIDITY, permits));
         }
     }
 
-    /// No control instance was heard of for a while, by this entry as one of `entries`.
-    /// `phase`, from 0 to 1, is drawn anew for each endpoint.
+    /// Starts sending without permits, after control was out of reach for a while. The limit is
+    /// divided among `entries`; `phase`, from 0 to 1, is to be drawn at random for each
+    /// endpoint.
     pub fn begin_autonomy(&mut self, entries: u32, phase: f64) {
         self.autonomy.get_or_insert(Autonomy {
             entries: entries.max(1),
@@ -274,40 +280,41 @@
         });
     }
 
-    /// A control instance is heard of again.
+    /// Requires permits again, once a control instance is reachable.
     pub fn end_autonomy(&mut self) {
         self.autonomy = None;
     }
 }
 
-/// What an entry without control sends: one request in each of its periods, soon after the
-/// period's beginning or not at all, so that entries don't save up and send at once.
+/// Sending without control: one request in each of the entry's periods, soon after the
+/// period's start or not at all, so that entries do not accumulate requests and send them at
+/// once.
 #[derive(Clone, Copy, Debug)]
 struct Autonomy {
     entries: u32,
     phase: f64,
-    /// The last period in which it sent one.
+    /// The last period in which a request was sent.
     used: Option<u64>,
 }
 
 impl Autonomy {
-    /// The present period, and when its time to send is over.
+    /// The number of the current period, and the end of its time to send.
     fn period(&self, now: Duration, rate: Rate) -> (u64, Duration) {
-        let rate = rate.per_second().max(LEAST) * SHARE_AUTONOMOUS;
+        let rate = rate.per_second().max(MIN_RATE) * AUTONOMOUS_SHARE;
         let length = f64::from(self.entries) / rate;
         let number = (now.as_secs_f64() / length + self.phase).floor();
-        let begun = (number - self.phase) * length;
-        let end = Duration::from_secs_f64(begun.max(0.0)) + PERMIT_VALIDITY;
+        let start = (number - self.phase) * length;
+        let end = Duration::from_secs_f64(start.max(0.0)) + PERMIT_VALIDITY;
         (number as u64, end)
     }
 
-    fn open(&self, now: Duration, rate: Rate) -> bool {
+    fn is_open(&self, now: Duration, rate: Rate) -> bool {
         let (period, end) = self.period(now, rate);
         now < end && self.used != Some(period)
     }
 
     fn take(&mut self, now: Duration, rate: Rate) -> Option<Permit> {
-        if !self.open(now, rate) {
+        if !self.is_open(now, rate) {
             return None;
         }
         let (period, end) = self.period(now, rate);
@@ -316,131 +323,139 @@
     }
 }
 
-/// The limits of all endpoints, and their permits, at one control instance.
+/// The limits of all endpoints and their permits, at one control instance.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Sorted by name.
-    known: Vec<Known>,
+    /// Sorted by endpoint name.
+    limited: Vec<LimitedEndpoint>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct LimitedEndpoint {
     run: Incarnation,
-    observed: Observation,
-    /// When an entry told of it last.
-    told: Duration,
-    /// For entries that ask this instance first.
+    observation: Observation,
+    /// When an entry last reported it.
+    reported: Duration,
+    /// For entries that use this instance as first choice.
     first: Bucket,
-    /// For those whose first choice did not answer.
+    /// For entries whose first choice did not answer.
     second: Bucket,
 }
 
-/// Permits that may be handed out.
+/// Token bucket of permits.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     permits: f64,
-    /// When they were counted.
-    counted: Duration,
+    /// When `permits` was last brought up to date.
+    updated: Duration,
 }
 
 impl Bucket {
     fn empty(now: Duration) -> Self {
         Self {
             permits: 0.0,
-            counted: now,
+            updated: now,
         }
     }
 
-    /// Takes up to `wanted` permits out, which earns `rate` a second.
-    fn take(&mut self, now: Duration, rate: f64, most: f64, wanted: u32) -> u32 {
-        let passed = now.saturating_sub(self.counted).as_secs_f64();
-        self.counted = now;
-        self.permits = (self.permits + rate * passed).min(most);
+    /// Refills the bucket at `rate` permits per second up to `capacity`, then takes up to
+    /// `wanted` permits.
+    fn take(&mut self, now: Duration, rate: f64, capacity: f64, wanted: u32) -> u32 {
+        let passed = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = now;
+        self.permits = (self.permits + rate * passed).min(capacity);
         let taken = wanted.min(self.permits as u32);
         self.permits -= f64::from(taken);
         taken
     }
 }
 
-impl Known {
-    fn new(now: Duration, run: Incarnation, observed: Observation) -> Self {
+impl LimitedEndpoint {
+    fn new(now: Duration, run: Incarnation, observation: Observation) -> Self {
         Self {
             run,
-            observed,
-            told: now,
+            observation,
+            reported: now,
             first: Bucket::empty(now),
             second: Bucket::empty(now),
         }
     }
 
     fn grant(&mut self, now: Duration, wanted: u32, choice: ControlChoice) -> u32 {
-        let Some(rate) = self.observed.rate else {
+        let Some(rate) = self.observation.rate else {
             return 0;
         };
         let rate = rate.per_second();
         let (bucket, share) = match choice {
-            ControlChoice::First => (&mut self.first, SHARE),
-            ControlChoice::Second => (&mut self.second, SHARE_SECOND),
+            ControlChoice::First => (&mut self.first, PRIMARY_SHARE),
+            ControlChoice::Second => (&mut self.second, FALLBACK_SHARE),
         };
-        let most = (rate * share * BURST).max(1.0);
-        bucket.take(now, (rate * share).max(LEAST), most, wanted)
+        let capacity = (rate * share * BURST_SECONDS).max(1.0);
+        bucket.take(now, (rate * share).max(MIN_RATE), capacity, wanted)
     }
 }
 
-/// Which control instance of its list an entry asks.
+/// Rank, in an entry's order of control instances, of the one it reports to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ControlChoice {
-    /// The one that all ask.
+    /// The instance that all entries prefer.
     #[default]
     First,
-    /// Another one, since that did not answer.
+    /// Another instance, since the preferred one did not answer.
     Second,
 }
 
 impl Limits {
-    /// An entry told what it knows of the limit of `run`; the permits that it gets of those
-    /// that it could use.
+    /// Records an entry's report on the limit of `run`. Returns the number of permits granted,
+    /// at most as many as the report wants.
     pub fn apply_report(
         &mut self,
         now: Duration,
         run: &Incarnation,
-        news: LimitReport,
+        report: LimitReport,
         choice: ControlChoice,
     ) -> u32 {
         let found = self
-            .known
-            .binary_search_by(|known| known.run.id.cmp(&run.id));
+            .limited
+            .binary_search_by(|endpoint| endpoint.run.id.cmp(&run.id));
         let at = match found {
             Ok(at) => at,
-            Err(_) if self.known.len() >= MOST_KNOWN || news.observed.rate.is_none() => {
+            Err(_)
+                if self.limited.len() >= MAX_KNOWN || report.observed.rate.is_none() =>
+            {
                 return 0;
             }
             Err(at) => {
-                let known = Known::new(now, run.clone(), news.observed);
-                self.known.insert(at, known);
+                let endpoint = LimitedEndpoint::new(now, run.clone(), report.observed);
+                self.limited.insert(at, endpoint);
                 at
             }
         };
-        let known = &mut self.known[at];
-        match run.cmp_start(&known.run) {
+        let endpoint = &mut self.limited[at];
+        match run.cmp_start(&endpoint.run) {
             Ordering::Less => return 0,
-            Ordering::Greater => *known = Known::new(now, run.clone(), news.observed),
+            Ordering::Greater => {
+                *endpoint = LimitedEndpoint::new(now, run.clone(), report.observed)
+            }
             Ordering::Equal => {}
         }
-        known.told = now;
-        if news.observed.supersedes(Some(&known.observed)) {
-            known.observed = news.observed;
+        endpoint.reported = now;
+        if report.observed.supersedes(Some(&endpoint.observation)) {
+            endpoint.observation = report.observed;
         }
-        known.grant(now, news.wanted, choice)
+        endpoint.grant(now, report.wanted, choice)
     }
 
-    /// What is known, sorted by name; what nobody told of for long is forgotten.
+    /// The newest observation of each limited endpoint, sorted by endpoint name. Drops limits
+    /// that no entry has reported for 60 s.
     pub fn observations(
         &mut self,
         now: Duration,
     ) -> impl Iterator<Item = (&Incarnation, Observation)> {
-        self.known
-            .retain(|known| now.saturating_sub(known.told) < MEMORY);
-        self.known.iter().map(|known| (&known.run, known.observed))
+        self.limited
+            .retain(|endpoint| now.saturating_sub(endpoint.reported) < RETENTION);
+        self.limited
+            .iter()
+            .map(|endpoint| (&endpoint.run, endpoint.observation))
     }
 }
