--- a/crates/policy/src/permits.rs
+++ b/crates/policy/src/permits.rs
@@ -1,44 +1,45 @@
 //! Limits on request rates that endpoints announce, enforced across all entries.
 //!
 //! An endpoint under pressure may announce that it takes, for example, one request per
-//! second. Entries that throttle independently exceed that: nine entries that each send one
-//! request in two seconds send more than four times the limit. Static shares do not help
-//! either: of 300 entries each may send one request occasionally, and if all do so at once
-//! the endpoint gets 300.
+//! second. Entries that throttle independently exceed that: nine entries that each send
+//! one request in two seconds send more than four times the limit. Static shares do not
+//! help either: of 300 entries each may send one request occasionally, and if all do so
+//! at once the endpoint gets 300.
 //!
 //! Permits are therefore handed out by one control instance, the one to which all entries
-//! report demand ([`Limits`]). An entry sends nothing to a limited endpoint without a permit
-//! ([`Permits`]). Permits expire soon, so unused ones do not accumulate.
+//! report demand ([`Limits`]). An entry sends nothing to a limited endpoint without a
+//! permit ([`Permits`]). Permits expire soon, so unused ones do not accumulate.
 //!
 //! Invariants, for a limit of N requests per second:
 //!
-//! * Within any time t, one instance hands out at most `0.8 N t + max(1, 0.4 N)` permits to
-//!   entries that use it as their first choice, and these are used within
-//!   [`PERMIT_VALIDITY`]. Entries whose first choice did not answer get a quarter of that in
-//!   total, however many they are. Both together, and two instances that are both the first
-//!   choice for a second while entries switch over, stay below `1.5 N t + 5` requests in four
-//!   seconds.
-//! * Permits are issued, if slowly, as long as any entry requests them, also where the limit
-//!   is zero: an endpoint that gets no requests cannot announce a higher limit.
+//! * Within any time t, one instance hands out at most `0.8 N t + max(1, 0.4 N)` permits
+//!   to entries that use it as their first choice, and these are used within
+//!   [`PERMIT_VALIDITY`]. Entries whose first choice did not answer get a quarter of that
+//!   in total, however many they are. Both together, and two instances that are both the
+//!   first choice for a second while entries switch over, stay below `1.5 N t + 5`
+//!   requests in four seconds.
+//! * Permits are issued, if slowly, as long as any entry requests them, also where the
+//!   limit is zero: an endpoint that gets no requests cannot announce a higher limit.
 //! * The newest observation wins. The end of a limit is accepted only some time after the
 //!   limit was last announced, since responses overtake each other.
-//! * An entry without contact to control sends at a rate that stays below the limit if all
-//!   entries do the same, spread over time at random.
+//! * An entry without contact to control sends at a rate that stays below the limit if
+//!   all entries do the same, spread over time at random.
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
 use std::cmp::Ordering;
 
-/// How long a permit is valid, counted from the report that requested it: twice the interval
-/// at which entries report.
+/// How long a permit is valid, counted from the report that requested it: twice the
+/// interval at which entries report.
 pub const PERMIT_VALIDITY: Duration = Duration::from_secs(1);
 /// Fraction of a limit that an instance grants to entries that use it as first choice.
 const PRIMARY_SHARE: f64 = 0.8;
-/// Fraction of a limit that an instance grants to entries whose first choice did not answer.
-/// Small, since the first choice may grant its own share to all other entries meanwhile.
+/// Fraction of a limit that an instance grants to entries whose first choice did not
+/// answer. Small, since the first choice may grant its own share to all other entries
+/// meanwhile.
 const FALLBACK_SHARE: f64 = 0.2;
-/// Most seconds' worth of an instance's share that is granted at once: the interval at which
-/// entries report.
+/// Most seconds' worth of an instance's share that is granted at once: the interval at
+/// which entries report.
 const BURST_SECONDS: f64 = 0.5;
 /// Lowest rate granted for a limited endpoint, in requests per second.
 const MIN_RATE: f64 = 0.1;
@@ -51,8 +52,8 @@
 /// Fraction of a limit that all entries without control use together.
 const AUTONOMOUS_SHARE: f64 = 0.5;
 
-/// Upper bound of a rate, in requests per second: more than any endpoint serves, so a higher
-/// limit is no limit in effect.
+/// Upper bound of a rate, in requests per second: more than any endpoint serves, so a
+/// higher limit is no limit in effect.
 const MAX_RATE: f64 = 100_000.0;
 
 /// Requests per second that an endpoint takes from all entries together.
@@ -90,8 +91,8 @@
 }
 
 impl Limit {
-    /// Parses the values of a limit header, in requests per second: the lowest value that can
-    /// be parsed counts.
+    /// Parses the values of a limit header, in requests per second: the lowest value that
+    /// can be parsed counts.
     pub fn from_values<'a>(values: impl Iterator<Item = &'a str>) -> Self {
         values.fold(Self::Unnamed, |limit, value| {
             let rate = value.trim().parse().ok().and_then(Rate::new);
@@ -175,7 +176,8 @@
         self.rate() != before
     }
 
-    /// Records the observation that control distributes. Returns whether the limit changed.
+    /// Records the observation that control distributes. Returns whether the limit
+    /// changed.
     pub fn merge(&mut self, observation: Observation) -> bool {
         let before = self.rate();
         self.apply(observation);
@@ -210,8 +212,8 @@
         self.observation.and_then(|observation| observation.rate)
     }
 
-    /// Whether a request may be sent now. If the endpoint is limited, the request is counted
-    /// as demand for a permit.
+    /// Whether a request may be sent now. If the endpoint is limited, the request is
+    /// counted as demand for a permit.
     pub fn demand(&mut self, now: Duration) -> bool {
         if self.rate().is_some() {
             self.demand = self.demand.saturating_add(1);
@@ -229,7 +231,8 @@
         self.grants.iter().any(valid) || autonomous()
     }
 
-    /// Takes a permit for a request whose first byte is sent now; `None` if there is none.
+    /// Takes a permit for a request whose first byte is sent now; `None` if there is
+    /// none.
     pub fn take(&mut self, now: Duration) -> Option<Permit> {
         let Some(rate) = self.rate() else {
             return Some(Permit { until: None });
@@ -250,8 +253,8 @@
         self.grants.iter().map(|(_, left)| left).sum()
     }
 
-    /// The next report to control: `None` if nothing was observed since the last one and no
-    /// permits are needed. Resets the counted demand.
+    /// The next report to control: `None` if nothing was observed since the last one and
+    /// no permits are needed. Resets the counted demand.
     pub fn report(&mut self, now: Duration) -> Option<LimitReport> {
         let observed = self.observation?;
         let wanted = std::mem::take(&mut self.demand);
@@ -269,9 +272,9 @@
         }
     }
 
-    /// Starts sending without permits, after control was out of reach for a while. The limit is
-    /// divided among `entries`; `phase`, from 0 to 1, is to be drawn at random for each
-    /// endpoint.
+    /// Starts sending without permits, after control was out of reach for a while. The
+    /// limit is divided among `entries`; `phase`, from 0 to 1, is to be drawn at random
+    /// for each endpoint.
     pub fn begin_autonomy(&mut self, entries: u32, phase: f64) {
         self.autonomy.get_or_insert(Autonomy {
             entries: entries.max(1),
@@ -287,8 +290,8 @@
 }
 
 /// Sending without control: one request in each of the entry's periods, soon after the
-/// period's start or not at all, so that entries do not accumulate requests and send them at
-/// once.
+/// period's start or not at all, so that entries do not accumulate requests and send them
+/// at once.
 #[derive(Clone, Copy, Debug)]
 struct Autonomy {
     entries: u32,
@@ -406,8 +409,8 @@
 }
 
 impl Limits {
-    /// Records an entry's report on the limit of `run`. Returns the number of permits granted,
-    /// at most as many as the report wants.
+    /// Records an entry's report on the limit of `run`. Returns the number of permits
+    /// granted, at most as many as the report wants.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -446,8 +449,8 @@
         endpoint.grant(now, report.wanted, choice)
     }
 
-    /// The newest observation of each limited endpoint, sorted by endpoint name. Drops limits
-    /// that no entry has reported for 60 s.
+    /// The newest observation of each limited endpoint, sorted by endpoint name. Drops
+    /// limits that no entry has reported for 60 s.
     pub fn observations(
         &mut self,
         now: Duration,
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,27 +1,29 @@
-//! Which requests crash the endpoints that run them, and are not sent on any more.
+//! Detects requests that crash the endpoints which run them, and quarantines them.
 //!
-//! The pattern: a request ends each endpoint that begins it. Its caller sends it again, to
-//! any entry, and entries that know nothing of it send it on: ten endpoints and more end in
-//! a row. Some forty requests are lost with each of them, come again as well, and may be
-//! beside the culprit once more; endpoints also end for reasons of their own, with a failure
-//! domain, or because they are replaced.
+//! A request may crash every endpoint that starts it. Its caller sends it again, to any
+//! entry, and an entry without knowledge of it forwards it: ten endpoints and more crash
+//! in a row. Some forty other requests are lost with each of them, are sent again as
+//! well, and may run beside the culprit once more. Endpoints also stop for other reasons,
+//! such as the loss of a failure domain or a replacement.
 //!
-//! So entries tell one control instance which requests were lost with which endpoints
-//! ([`LostRequest`]). A request that was lost with three of them, and alone explains that, is
-//! quarantined: no entry sends it on until that ends. What has been found twice is
-//! suspected, and is kept apart from other requests.
+//! Entries therefore report to one control instance which requests were lost with which
+//! endpoints ([`LostRequest`]). A request that was lost with three endpoints, and is the
+//! only one that accounts for that, is quarantined: no entry forwards it until the
+//! quarantine ends. A request that was lost with two is a suspect, and runs apart from
+//! other requests.
 //!
 //! Invariants:
 //!
-//! * an endpoint counts as crashed only if it refused connections after it had broken its
-//!   own, and nobody has heard from it since;
-//! * a request that was served lately is not the cause;
-//! * where several requests were lost with the same endpoints, none of them is quarantined
-//!   until they differ, or until six crashes;
-//! * a crash that a quarantined request explains counts against no other one;
-//! * endpoints of one failure domain that end in the same moment, while the request was
-//!   under way at each of them, make it suspected at most;
-//! * what is remembered is bounded, for each workspace too, and ends.
+//! * An endpoint counts as crashed only if it refused connections after its own had
+//!   broken, and no entry has received anything from it since.
+//! * A request that was served recently is not the cause.
+//! * If several requests were lost with the same endpoints, none of them is quarantined
+//!   until their crashes differ, or until six crashes.
+//! * A crash attributed to a quarantined request does not count against any other
+//!   request.
+//! * Endpoints of one failure domain that stop at the same moment, while the request was
+//!   running on each of them, make it a suspect at most.
+//! * The stored state is bounded, also for each workspace, and expires.
 
 mod crash;
 mod suspect;
@@ -32,91 +34,94 @@
 use std::cmp::Reverse;
 use suspect::Suspect;
 
-/// Crashes from which a request is quarantined. Fewer come about by chance.
+/// Crashes from which a request is quarantined; fewer occur by chance.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Crashes from which a request is suspected.
+/// Crashes from which a request is a suspect.
 pub const SUSPECT_CRASHES: usize = 2;
 /// Crashes from which a request is quarantined although others were lost with the same
-/// endpoints: after two it runs apart from these, so that they would have been served.
-const CERTAIN: usize = 6;
-/// Time without a sign of life after which one entry's word is enough for a crash: each
-/// entry tells within it whom it heard.
-const QUIET: Duration = Duration::from_millis(600);
-/// Time after a crash within which bytes of the endpoint may still be read: an entry that is
-/// busy has not taken in all that had come.
-const UNREAD: Duration = Duration::from_millis(500);
-/// How long after it was lost an endpoint may still show that it lives.
-const DOUBTED: Duration = Duration::from_secs(10);
-/// How long after it was served a request counts as harmless.
+/// endpoints. Suspects run apart from each other after two crashes, so innocent ones
+/// would have been served by then.
+const CERTAIN_CRASHES: usize = 6;
+/// Silence of an endpoint after which the report of a single entry confirms its crash:
+/// within this time each entry reports which endpoints it received data from.
+const CONFIRM_AFTER: Duration = Duration::from_millis(600);
+/// Time after a crash within which an entry may still read bytes that the endpoint sent
+/// before it: a busy entry lags behind its receive buffers.
+const READ_LAG: Duration = Duration::from_millis(500);
+/// How long after its loss an endpoint may still turn out to be alive.
+const LOSS_RETENTION: Duration = Duration::from_secs(10);
+/// How long a request counts as harmless after it was served.
 pub const HARMLESS_PERIOD: Duration = Duration::from_secs(10);
-/// How long a crash counts.
+/// How long a crash counts against a request.
 pub const CRASH_RETENTION: Duration = Duration::from_secs(600);
-/// How long the first quarantine of a request lasts; each further one lasts twice as long.
-const FIRST_TERM: Duration = Duration::from_secs(600);
-/// Longest quarantine.
-const LONGEST_TERM: Duration = Duration::from_secs(24 * 3_600);
-/// Requests that are remembered, some 200 bytes each.
-const MOST: usize = 4_096;
-/// The same of one workspace, so that none can make the others' be forgotten.
-const MOST_OF_WORKSPACE: usize = 512;
-/// Endpoints that are remembered as gone.
-const MOST_GONE: usize = 1_024;
-/// Requests that entries are told of, 30 bytes each.
-const MOST_TOLD: usize = 256;
-
-/// Names who told something: an entry's hash.
+/// Length of a request's first quarantine; each further one is twice as long as the last.
+const FIRST_PERIOD: Duration = Duration::from_secs(600);
+/// Upper bound of the length of a quarantine.
+const MAX_PERIOD: Duration = Duration::from_secs(24 * 3_600);
+/// Most requests that are kept, some 200 bytes each.
+const MAX_SUSPECTS: usize = 4_096;
+/// Most requests of one workspace that are kept, so that none can displace those of
+/// others.
+const MAX_PER_WORKSPACE: usize = 512;
+/// Most lost endpoints that are kept.
+const MAX_LOST: usize = 1_024;
+/// Most requests that are sent to entries, 30 bytes each.
+const MAX_NOTICES: usize = 256;
+
+/// Hash of the name of the entry that reports.
 pub type EntryHash = u64;
 
-/// A request that was lost with an endpoint: its connection broke, and new ones are refused.
+/// A request whose connection to an endpoint broke, and the endpoint refuses new
+/// connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRequest {
-    /// The request.
+    /// Fingerprint of the request's content.
     pub request: Fingerprint,
     /// Hash of its workspace.
     pub workspace: u64,
-    /// The endpoint's run.
+    /// The endpoint, and which start of it.
     pub run: Incarnation,
     /// Hash of the endpoint's failure domain.
     pub domain: u64,
-    /// When it was sent there.
+    /// When the request was sent to the endpoint.
     pub sent: Duration,
-    /// When its connection broke.
+    /// When the connection broke.
     pub at: Duration,
 }
 
-/// What is known of a request.
+/// The crashes and the quarantine of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuspectStatus {
-    /// Crashes under it.
+    /// Crashes of endpoints that were running it.
     pub crashes: usize,
-    /// How much longer it is not sent on; `None` where it may be.
+    /// Time until its quarantine ends; `None` if it may be forwarded.
     pub remaining: Option<Duration>,
 }
 
-/// A request that entries should know of.
+/// A suspect or quarantined request, as distributed to entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspectNotice {
-    /// The request.
+    /// Fingerprint of the request's content.
     pub request: Fingerprint,
-    /// What is known of it.
+    /// Its crashes and its quarantine.
     pub status: SuspectStatus,
 }
 
-/// A request that was just quarantined.
+/// A request that was quarantined by [`Quarantine::evaluate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewQuarantine {
-    /// The request.
+    /// Fingerprint of the request's content.
     pub request: Fingerprint,
     /// Hash of its workspace.
     pub workspace: u64,
-    /// Crashes that it explains.
+    /// Crashes attributed to it.
     pub crashes: usize,
-    /// How often it has been quarantined, this time included.
+    /// Number of its quarantines so far, including this one.
     pub times: u32,
 }
 
 impl NewQuarantine {
-    /// The line that tells operators.
+    /// The log event for operators.
     pub fn event(&self) -> Event {
         Event::new("request-quarantined")
             .field("content", shown(self.request))
@@ -126,49 +131,56 @@
     }
 }
 
-/// Whether an endpoint that was heard from at `heard` did not end at `lost`.
+/// Whether bytes received from an endpoint at `heard` prove that it did not crash at
+/// `lost`.
 pub fn outlived(lost: Duration, heard: Duration) -> bool {
-    heard > lost + UNREAD
+    heard > lost + READ_LAG
 }
 
-/// How long the quarantine of a request lasts that is found for the `times`th time.
+/// Length of the `times`th quarantine of a request.
 pub fn quarantine_period(times: u32) -> Duration {
-    let doubled = 2u32.saturating_pow(times.saturating_sub(1));
-    FIRST_TERM.saturating_mul(doubled).min(LONGEST_TERM)
+    let factor = 2u32.saturating_pow(times.saturating_sub(1));
+    FIRST_PERIOD.saturating_mul(factor).min(MAX_PERIOD)
 }
 
-/// An endpoint that was lost.
+/// An endpoint that was reported lost.
 #[derive(Clone, Debug)]
-struct Gone {
+struct LostEndpoint {
     run: Incarnation,
     at: Duration,
-    teller: EntryHash,
-    /// Whether another one told it as well.
+    reporter: EntryHash,
+    /// Whether a second entry reported the loss as well.
     confirmed: bool,
 }
 
-/// What is known of requests that were lost with their endpoints.
+/// Requests that were lost with their endpoints, and those quarantined for it.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     /// Sorted by request.
     suspects: Vec<Suspect>,
     /// Sorted by run.
-    gone: Vec<Gone>,
+    lost: Vec<LostEndpoint>,
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any request.
+    /// Whether there is neither a suspect nor a quarantined request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Takes in a loss that `teller` met.
-    pub fn record_loss(&mut self, now: Duration, teller: EntryHash, loss: &LostRequest) {
+    /// Records a loss reported by the entry `reporter`. Losses older than
+    /// [`CRASH_RETENTION`] are ignored.
+    pub fn record_loss(
+        &mut self,
+        now: Duration,
+        reporter: EntryHash,
+        loss: &LostRequest,
+    ) {
         if now.saturating_sub(loss.at) >= CRASH_RETENTION {
             return;
         }
-        self.note_gone(teller, loss);
-        let at = self.suspect(loss.request, loss.workspace);
+        self.record_lost_endpoint(reporter, loss);
+        let at = self.suspect_index(loss.request, loss.workspace);
         self.suspects[at].add(Crash {
             run: loss.run.clone(),
             domain: loss.domain,
@@ -177,39 +189,40 @@
         });
     }
 
-    fn note_gone(&mut self, teller: EntryHash, loss: &LostRequest) {
-        match self.gone.binary_search_by(|gone| gone.run.cmp(&loss.run)) {
-            Ok(at) => self.gone[at].confirmed |= self.gone[at].teller != teller,
+    fn record_lost_endpoint(&mut self, reporter: EntryHash, loss: &LostRequest) {
+        match self.lost.binary_search_by(|lost| lost.run.cmp(&loss.run)) {
+            Ok(at) => self.lost[at].confirmed |= self.lost[at].reporter != reporter,
             Err(at) => {
-                let gone = Gone {
+                let lost = LostEndpoint {
                     run: loss.run.clone(),
                     at: loss.at,
-                    teller,
+                    reporter,
                     confirmed: false,
                 };
-                self.gone.insert(at, gone);
-                if self.gone.len() > MOST_GONE {
-                    remove_oldest(&mut self.gone, |gone| Some(gone.at));
+                self.lost.insert(at, lost);
+                if self.lost.len() > MAX_LOST {
+                    remove_oldest(&mut self.lost, |lost| Some(lost.at));
                 }
             }
         }
     }
 
-    /// The place of a request, which is remembered from now on.
-    fn suspect(&mut self, request: Fingerprint, workspace: u64) -> usize {
+    /// Index of the suspect for a request, which is added if it is missing. Makes room by
+    /// dropping the oldest suspects.
+    fn suspect_index(&mut self, request: Fingerprint, workspace: u64) -> usize {
         let find = |suspects: &[Suspect]| {
             suspects.binary_search_by_key(&request, |suspect| suspect.request)
         };
         if let Ok(at) = find(&self.suspects) {
             return at;
         }
-        let own = |suspect: &&Suspect| suspect.workspace == workspace;
-        if self.suspects.iter().filter(own).count() >= MOST_OF_WORKSPACE {
+        let same_workspace = |suspect: &&Suspect| suspect.workspace == workspace;
+        if self.suspects.iter().filter(same_workspace).count() >= MAX_PER_WORKSPACE {
             remove_oldest(&mut self.suspects, |suspect| {
                 (suspect.workspace == workspace).then(|| suspect.newest())
             });
         }
-        if self.suspects.len() >= MOST {
+        if self.suspects.len() >= MAX_SUSPECTS {
             remove_oldest(&mut self.suspects, |suspect| Some(suspect.newest()));
         }
         let at = find(&self.suspects).unwrap_or_else(|at| at);
@@ -217,53 +230,54 @@
         at
     }
 
-    /// Endpoints that were told as lost lately.
+    /// Endpoints reported lost within the last 10 s.
     pub fn lost_endpoints(&self) -> impl Iterator<Item = &Incarnation> {
-        self.gone.iter().map(|gone| &gone.run)
+        self.lost.iter().map(|lost| &lost.run)
     }
 
-    /// Bytes came from an endpoint at `heard` or later: what was told of it well before that
-    /// is no crash.
+    /// Records that bytes were received from an endpoint at `heard` or later, and drops
+    /// the crashes that this disproves.
     pub fn record_alive(&mut self, run: &Incarnation, heard: Duration) {
-        self.gone
-            .retain(|gone| gone.run != *run || !outlived(gone.at, heard));
+        self.lost
+            .retain(|lost| lost.run != *run || !outlived(lost.at, heard));
         for suspect in &mut self.suspects {
             let crashes = &mut suspect.crashes;
             crashes.retain(|crash| crash.run != *run || !outlived(crash.at, heard));
         }
-        self.forget_idle();
+        self.remove_idle();
     }
 
-    /// A request was served at `at`: it is not the cause of crashes before that, nor of those
-    /// soon after.
+    /// Records that a request was served at `at`: it is not the cause of crashes before
+    /// that or within [`HARMLESS_PERIOD`] after.
     pub fn record_served(&mut self, request: Fingerprint, at: Duration) {
-        if let Ok(place) = self.find(request) {
-            let crashes = &mut self.suspects[place].crashes;
+        if let Ok(index) = self.find(request) {
+            let crashes = &mut self.suspects[index].crashes;
             crashes.retain(|crash| crash.at >= at + HARMLESS_PERIOD);
-            self.forget_idle();
+            self.remove_idle();
         }
     }
 
-    /// Takes in that a request was quarantined elsewhere, for the `times`th time, of which
-    /// `left` is left.
+    /// Applies the `times`th quarantine of a request, decided by another instance, that
+    /// ends after `remaining`.
     pub fn take(
         &mut self,
         now: Duration,
         request: Fingerprint,
         workspace: u64,
         times: u32,
-        left: Duration,
+        remaining: Duration,
     ) {
-        if left.is_zero() {
+        if remaining.is_zero() {
             return;
         }
-        let at = self.suspect(request, workspace);
+        let at = self.suspect_index(request, workspace);
         let suspect = &mut self.suspects[at];
-        suspect.until = suspect.until.max(Some(now.saturating_add(left)));
+        suspect.until = suspect.until.max(Some(now.saturating_add(remaining)));
         suspect.times = suspect.times.max(times);
     }
 
-    /// Quarantines the requests that alone explain enough crashes.
+    /// Quarantines each request that is the only explanation of [`QUARANTINE_CRASHES`]
+    /// crashes, and returns the new quarantines.
     pub fn evaluate(&mut self, now: Duration) -> Vec<NewQuarantine> {
         self.expire(now);
         let mut found = Vec::new();
@@ -281,15 +295,17 @@
         found
     }
 
-    /// The request that explains most of the crashes that no quarantined one explains, if it
-    /// explains enough and no other one explains the same.
+    /// The index of the request with the most crashes not attributed to a quarantined
+    /// request, and their number, if these are enough and no other request shares them
+    /// all.
     fn culprit(&self, now: Duration) -> Option<(usize, usize)> {
         let enough = |suspect: &&Suspect| {
             suspect.until.is_none() && suspect.crashes.len() >= QUARANTINE_CRASHES
         };
-        // Mostly nobody is, and nothing has to be compared.
+        // In the usual case no request has enough crashes, and nothing has to be
+        // compared.
         self.suspects.iter().find(enough)?;
-        let explained = self.explained();
+        let explained = self.explained_crashes();
         let counts = |crash: &&Crash| {
             explained.binary_search(&&crash.run).is_err() && self.confirmed(now, crash)
         };
@@ -303,40 +319,41 @@
             .map(|(at, crashes)| Candidate::new(*at, crashes))
             .filter(|candidate| candidate.events >= QUARANTINE_CRASHES)
             .collect();
-        candidates.sort_by_key(|own| (Reverse(own.events), own.lasted, own.at));
-        let alone = |own: &Candidate<'_>| {
-            let same = |(at, crashes): &(usize, Vec<&Crash>)| {
-                *at != own.at && contains(crashes, own.crashes)
+        candidates.sort_by_key(|c| (Reverse(c.events), c.run_time, c.at));
+        let sole = |candidate: &Candidate<'_>| {
+            let shares_all = |(at, crashes): &(usize, Vec<&Crash>)| {
+                *at != candidate.at && contains(crashes, candidate.crashes)
             };
-            !open.iter().any(same)
+            !open.iter().any(shares_all)
         };
         let culprit = candidates
             .into_iter()
-            .find(|own| own.events >= CERTAIN || alone(own));
-        culprit.map(|own| (own.at, own.events))
+            .find(|candidate| candidate.events >= CERTAIN_CRASHES || sole(candidate));
+        culprit.map(|candidate| (candidate.at, candidate.events))
     }
 
-    /// Endpoints that quarantined requests ended, sorted.
-    fn explained(&self) -> Vec<&Incarnation> {
-        let held = self
+    /// Endpoints whose crashes are attributed to quarantined requests, sorted.
+    fn explained_crashes(&self) -> Vec<&Incarnation> {
+        let quarantined = self
             .suspects
             .iter()
             .filter(|suspect| suspect.until.is_some());
-        let mut runs: Vec<&Incarnation> = held
+        let mut runs: Vec<&Incarnation> = quarantined
             .flat_map(|suspect| suspect.crashes.iter().map(|crash| &crash.run))
             .collect();
         runs.sort_unstable();
         runs
     }
 
-    /// Whether a crash is more than one entry's word.
+    /// Whether two entries reported the crash, or one did and nothing disproved it for
+    /// [`CONFIRM_AFTER`].
     fn confirmed(&self, now: Duration, crash: &Crash) -> bool {
-        let found = self.gone.binary_search_by(|gone| gone.run.cmp(&crash.run));
-        let told = found.is_ok_and(|at| self.gone[at].confirmed);
-        told || now.saturating_sub(crash.at) >= QUIET
+        let found = self.lost.binary_search_by(|lost| lost.run.cmp(&crash.run));
+        let confirmed = found.is_ok_and(|at| self.lost[at].confirmed);
+        confirmed || now.saturating_sub(crash.at) >= CONFIRM_AFTER
     }
 
-    /// What is known of a request.
+    /// The crashes and the quarantine of a request.
     pub fn status(&self, now: Duration, request: Fingerprint) -> SuspectStatus {
         let Ok(at) = self.find(request) else {
             return SuspectStatus::default();
@@ -344,55 +361,56 @@
         self.suspects[at].status(now)
     }
 
-    /// The requests that entries should know of, sorted: those that are quarantined, and
-    /// those that are suspected.
+    /// The quarantined requests and the suspects, sorted by request. If there are too
+    /// many, quarantined ones take precedence.
     pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
-        // After an outage thousands were lost once.
-        let known = |suspect: &&Suspect| {
+        // Cheap check first: after an outage there are thousands of requests with one
+        // crash.
+        let relevant = |suspect: &&Suspect| {
             suspect.until.is_some() || suspect.crashes.len() >= SUSPECT_CRASHES
         };
         let all = self
             .suspects
             .iter()
-            .filter(known)
+            .filter(relevant)
             .map(|suspect| SuspectNotice {
                 request: suspect.request,
                 status: suspect.status(now),
             });
-        let mut told: Vec<SuspectNotice> = all
-            .filter(|told| {
-                let status = told.status;
+        let mut notices: Vec<SuspectNotice> = all
+            .filter(|notice| {
+                let status = notice.status;
                 status.remaining.is_some() || status.crashes >= SUSPECT_CRASHES
             })
             .collect();
-        told.sort_by_key(|told| (told.status.remaining.is_none(), told.request));
-        told.truncate(MOST_TOLD);
-        told.sort_by_key(|told| told.request);
-        told
+        notices.sort_by_key(|notice| (notice.status.remaining.is_none(), notice.request));
+        notices.truncate(MAX_NOTICES);
+        notices.sort_by_key(|notice| notice.request);
+        notices
     }
 
-    /// Quarantined requests.
+    /// Number of quarantined requests.
     pub fn quarantined_count(&self) -> usize {
-        let held = self
+        let quarantined = self
             .suspects
             .iter()
             .filter(|suspect| suspect.until.is_some());
-        held.count()
+        quarantined.count()
     }
 
-    /// Forgets what is over.
+    /// Ends quarantines that are over, and drops crashes and losses that no longer count.
     pub fn expire(&mut self, now: Duration) {
         for suspect in &mut self.suspects {
             suspect.expire(now);
         }
-        self.gone
-            .retain(|gone| now.saturating_sub(gone.at) < DOUBTED);
-        self.forget_idle();
+        self.lost
+            .retain(|lost| now.saturating_sub(lost.at) < LOSS_RETENTION);
+        self.remove_idle();
     }
 
-    fn forget_idle(&mut self) {
-        let known = |s: &Suspect| s.until.is_some() || !s.crashes.is_empty();
-        self.suspects.retain(known);
+    fn remove_idle(&mut self) {
+        let relevant = |s: &Suspect| s.until.is_some() || !s.crashes.is_empty();
+        self.suspects.retain(relevant);
     }
 
     fn find(&self, request: Fingerprint) -> Result<usize, usize> {
@@ -401,7 +419,7 @@
     }
 }
 
-/// Removes the item with the earliest time, of those that have one.
+/// Removes the item with the earliest time, ignoring those without one.
 fn remove_oldest<T>(items: &mut Vec<T>, time: impl Fn(&T) -> Option<Duration>) {
     let timed = items.iter().enumerate();
     let timed = timed.filter_map(|(at, item)| Some((time(item)?, at)));
--- a/crates/policy/src/quarantine/suspect.rs
+++ b/crates/policy/src/quarantine/suspect.rs
@@ -1,11 +1,11 @@
-//! What is remembered of one request.
+//! The state kept for one request.
 
 use super::crash::{Crash, events};
 use super::{CRASH_RETENTION, QUARANTINE_CRASHES, SuspectStatus};
 use dogwoodhill_core::prelude::*;
 
-/// Crashes that are remembered.
-const MOST_CRASHES: usize = 16;
+/// Most crashes that are kept for a request.
+const MAX_CRASHES: usize = 16;
 
 /// A request that was lost with an endpoint, or is quarantined.
 #[derive(Clone, Debug)]
@@ -15,16 +15,17 @@
     pub(super) workspace: u64,
     /// Oldest first.
     pub(super) crashes: Vec<Crash>,
-    /// Until when it is quarantined.
+    /// End of its quarantine; `None` if it is not quarantined.
     pub(super) until: Option<Duration>,
-    /// How often it has been.
+    /// Number of its quarantines so far.
     pub(super) times: u32,
-    /// When its last quarantine ended; crashes before that count from then on.
+    /// When its last quarantine ended. Crashes before that are dated to this time, so
+    /// that they still count.
     ended: Duration,
 }
 
 impl Suspect {
-    /// One of which nothing is known yet.
+    /// A request without crashes.
     pub(super) fn new(request: Fingerprint, workspace: u64) -> Self {
         Self {
             request,
@@ -36,25 +37,26 @@
         }
     }
 
-    /// Adds a crash, unless that endpoint is known to have ended under it.
+    /// Adds a crash, unless one of the same endpoint run is already recorded.
     pub(super) fn add(&mut self, crash: Crash) {
         if self.crashes.iter().any(|known| known.run == crash.run) {
             return;
         }
-        let place = self.crashes.partition_point(|known| known.at <= crash.at);
-        self.crashes.insert(place, crash);
-        if self.crashes.len() > MOST_CRASHES {
+        let index = self.crashes.partition_point(|known| known.at <= crash.at);
+        self.crashes.insert(index, crash);
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
     }
 
-    /// Time of the newest thing that is known of it.
+    /// The later of its last crash and the end of its quarantine, by which old suspects
+    /// are replaced.
     pub(super) fn newest(&self) -> Duration {
         let crash = self.crashes.last().map(|crash| crash.at);
         crash.max(self.until).unwrap_or_default()
     }
 
-    /// What is known of it.
+    /// Its crashes and its quarantine.
     pub(super) fn status(&self, now: Duration) -> SuspectStatus {
         let crashes: Vec<&Crash> = self.crashes.iter().collect();
         SuspectStatus {
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Forgets what is over. A quarantine that ends leaves it one crash short of the next.
+    /// Ends its quarantine when that is over, and drops old crashes. After a quarantine,
+    /// one more crash leads to the next one.
     pub(super) fn expire(&mut self, now: Duration) {
         if self.until.is_some_and(|until| until <= now) {
             self.until = None;
