--- a/crates/policy/src/shared_health.rs
+++ b/crates/policy/src/shared_health.rs
@@ -1,95 +1,99 @@
-//! What all entries together see of each endpoint: replaced, silent, failing.
+//! Endpoint health as observed by all entries together: replaced, silent or failing.
 //!
-//! The pattern: thirty endpoints of 180 fall silent, or crash and are replaced, while
-//! the list still names them. Each of a hundred entries finds that out by itself, by a
-//! request that waits in vain for half a second or is turned away: thousands of requests
-//! pay for what the first few of them showed. A request that an endpoint turns away has
-//! used up one of its sends, and some have only one. An endpoint that fails part of its
-//! requests is found even later: an entry sends it one in ten seconds.
+//! Suppose thirty of 180 endpoints fall silent, or crash and are replaced, while the list
+//! still names them. If each of a hundred entries detects that on its own, by a request
+//! that times out after half a second or is refused, thousands of requests fail for what
+//! the first few of them revealed. A refused request has used up one of its attempts, and
+//! some requests have only one. An endpoint that fails a part of its requests is detected
+//! even later, as one entry sends it a request only every ten seconds.
 //!
-//! So entries tell one control instance what they met ([`HealthReport`]), at once where an
-//! endpoint was lost, and are told what holds of which endpoint ([`Verdict`]).
+//! Entries therefore report their observations to one control instance
+//! ([`HealthReport`]), at once if an endpoint was lost, and receive its verdicts on
+//! endpoints ([`Verdict`]).
 //!
 //! Invariants:
 //!
-//! * one entry's word takes no endpoint from the others: two have to have met the same;
-//! * an endpoint that any entry heard from after that is neither silent nor replaced.
-//!   An entry behind a cut, or one that was refused for too many connections, convinces
-//!   nobody;
-//! * nothing is believed for long that is not told again, but that an endpoint was
-//!   replaced: its run does not come back.
+//! * The report of a single entry never removes an endpoint from the others: two entries
+//!   must have made the same observation.
+//! * An endpoint from which any entry received data after that is neither silent nor
+//!   replaced. An entry behind a network partition, or one that was refused for too many
+//!   connections, convinces no other.
+//! * Every verdict expires soon unless new reports confirm it, except that an endpoint
+//!   was replaced: its old run does not come back.
 
 use std::time::Duration;
 
-/// How long what an entry met counts: three of the intervals at which entries tell.
-const KEPT: Duration = Duration::from_millis(1_600);
-/// An endpoint counts as heard from if bytes of it came within this time before the
-/// entry told: so much of what was sent before a crash can still contradict it. Streams
-/// that work pause for less.
+/// How long a report of an unreachable endpoint counts: three of the intervals at which
+/// entries report.
+const REPORT_VALIDITY: Duration = Duration::from_millis(1_600);
+/// An endpoint is reported as alive if bytes of it arrived within this time before the
+/// report. Bytes sent before a crash can contradict the crash for as long. Working
+/// streams pause for less.
 pub const RECENT_WINDOW: Duration = Duration::from_millis(250);
-/// For how long nobody may have heard from an endpoint that counts as silent: the interval
-/// at which each entry tells whom it heard. An engine with a long queue refuses
-/// connections while its streams go on; without this, two entries that are refused in the
-/// same moment took it from all others for a tenth of a second, again and again.
-const QUIET: Duration = Duration::from_millis(500);
-/// Time constant with which answers are forgotten. Longer than that of a single entry's
-/// record: with those of all there are enough to tell a share within a second.
-const MEMORY: f64 = 3.0;
-/// Answers from which a share of failures tells anything. Ordinary endpoints fail up to
-/// 14 in 100, so that three of ten are rare by chance.
-const ENOUGH: f64 = 10.0;
-/// Share of failures from which an endpoint counts as failing, as in an entry's own
-/// record ([`crate::health`]).
-const FAILING: f64 = 0.3;
-/// The same as a multiple of the share of the other endpoints of its service. Where all endpoints fail
-/// alike nothing is gained by leaving one for another, and its prompts would be read
-/// anew there.
-const ABOVE_ALL: f64 = 2.0;
-/// Most failures that count of one tell of an entry: one that fails by itself must not
-/// outweigh all others.
-const MOST_FAILED: f64 = 4.0;
-
-/// A place in the list of endpoints that teller and listener have.
+/// Time without a report that it is alive after which an endpoint may count as silent:
+/// the interval at which each entry reports. An engine with a long queue refuses
+/// connections while its streams go on. Without this bound, two entries that are refused
+/// at the same moment remove it from all others for a tenth of a second, again and again.
+const SILENT_AFTER: Duration = Duration::from_millis(500);
+/// Time constant, in seconds, with which response counts decay. Longer than that of a
+/// single entry's record: all entries together see enough responses for a failure rate
+/// within a second.
+const DECAY_SECONDS: f64 = 3.0;
+/// Responses below which a failure rate is not significant. Ordinary endpoints fail up to
+/// 14 of 100 requests, so three of ten are rare by chance.
+const MIN_RESPONSES: f64 = 10.0;
+/// Failure rate from which an endpoint counts as failing, as in an entry's own record
+/// ([`crate::health`]).
+const FAILING_RATE: f64 = 0.3;
+/// Failure rate from which an endpoint counts as failing, as a multiple of that of the
+/// other endpoints of its service. If all endpoints fail alike, moving requests gains
+/// nothing, and their prompts would be prefilled again elsewhere.
+const FAILING_FACTOR: f64 = 2.0;
+/// Most failures that count from one report, so that an entry which causes failures
+/// itself does not outweigh all others.
+const MAX_FAILURES: f64 = 4.0;
+
+/// Index in the list of endpoints, of which entries and control have the same version.
 pub type EndpointIndex = u32;
 
-/// What one entry met at one endpoint since it told last.
+/// One entry's observations of one endpoint since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthReport {
-    /// Another run answered at its address.
+    /// A different run of the endpoint answered at its address.
     pub replaced: bool,
-    /// It could not be reached, or said nothing for too long.
+    /// No connection could be made, or no data came for too long.
     pub unreached: bool,
-    /// Bytes came from it within [`RECENT_WINDOW`].
+    /// Bytes arrived from it within [`RECENT_WINDOW`] before the report.
     pub alive: bool,
-    /// Answers, failures among them.
+    /// Number of responses, including failures.
     pub answered: u32,
-    /// Failures.
+    /// Number of failures among the responses.
     pub failed: u32,
 }
 
-/// What holds of an endpoint.
+/// Why entries should avoid an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It fails more of its requests than others.
+    /// Its failure rate is well above that of the others.
     Failing,
-    /// Nothing comes from it or reaches it.
+    /// It cannot be reached and sends nothing.
     Silent,
-    /// Another run answers at its address.
+    /// A different run of the endpoint answers at its address.
     Replaced,
 }
 
-/// The newest reports of two different entries.
+/// The newest reports of the same observation by two different entries.
 #[derive(Clone, Copy, Debug, Default)]
-struct Reports([Option<(u64, Duration)>; 2]);
+struct Confirmation([Option<(u64, Duration)>; 2]);
 
-impl Reports {
+impl Confirmation {
     fn add(&mut self, now: Duration, entry: u64) {
         let [newest, other] = self.0;
         let same = newest.is_some_and(|(known, _)| known == entry);
         self.0 = [Some((entry, now)), if same { other } else { newest }];
     }
 
-    /// When the second of two entries said so at the latest.
+    /// Time of the older of the two reports; `None` if only one entry has reported.
     fn confirmed(&self) -> Option<Duration> {
         let [newest, other] = self.0;
         newest.and(other).map(|(_, at)| at)
@@ -97,67 +101,69 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
-    replaced: Reports,
-    unreached: Reports,
-    failing: Reports,
-    heard: Option<Duration>,
-    /// Answers and failures lately, fading.
+struct EndpointRecord {
+    replaced: Confirmation,
+    unreached: Confirmation,
+    failing: Confirmation,
+    /// When an entry last reported it alive.
+    alive: Option<Duration>,
+    /// Responses, decayed to time `at`.
     answered: f64,
+    /// Failures, decayed to time `at`.
     failed: f64,
     at: Duration,
 }
 
-impl Seen {
-    fn add(&mut self, now: Duration, entry: u64, sight: &HealthReport) {
-        if sight.replaced {
+impl EndpointRecord {
+    fn add(&mut self, now: Duration, entry: u64, report: &HealthReport) {
+        if report.replaced {
             self.replaced.add(now, entry);
         }
-        if sight.unreached {
+        if report.unreached {
             self.unreached.add(now, entry);
         }
-        if sight.alive {
-            self.heard = Some(now);
+        if report.alive {
+            self.alive = Some(now);
         }
-        if sight.answered > 0 {
-            let fade = self.fade(now);
-            let failed = f64::from(sight.failed.min(sight.answered)).min(MOST_FAILED);
+        if report.answered > 0 {
+            let decay = self.decay(now);
+            let failed = f64::from(report.failed.min(report.answered)).min(MAX_FAILURES);
             if failed > 0.0 {
                 self.failing.add(now, entry);
             }
-            self.answered = self.answered * fade + f64::from(sight.answered);
-            self.failed = self.failed * fade + failed;
+            self.answered = self.answered * decay + f64::from(report.answered);
+            self.failed = self.failed * decay + failed;
             self.at = now;
         }
     }
 
-    fn fade(&self, now: Duration) -> f64 {
-        (-now.saturating_sub(self.at).as_secs_f64() / MEMORY).exp()
+    fn decay(&self, now: Duration) -> f64 {
+        (-now.saturating_sub(self.at).as_secs_f64() / DECAY_SECONDS).exp()
     }
 
-    /// Answers and failures, as they count now.
-    fn answers(&self, now: Duration) -> (f64, f64) {
-        let fade = self.fade(now);
-        (self.answered * fade, self.failed * fade)
+    /// Responses and failures, decayed to `now`.
+    fn counts(&self, now: Duration) -> (f64, f64) {
+        let decay = self.decay(now);
+        (self.answered * decay, self.failed * decay)
     }
 
-    /// `others`: the share of failures of the other endpoints of its service.
+    /// `others` is the failure rate of the other endpoints of its service.
     fn verdict(&self, now: Duration, others: f64) -> Option<Verdict> {
-        let unheard = |at: &Duration| self.heard.is_none_or(|heard| heard < *at);
-        let fresh = |at: &Duration| now.saturating_sub(*at) < KEPT;
-        let replaced = self.replaced.confirmed().filter(unheard);
+        let valid = |at: &Duration| self.alive.is_none_or(|alive| alive < *at);
+        let fresh = |at: &Duration| now.saturating_sub(*at) < REPORT_VALIDITY;
+        let replaced = self.replaced.confirmed().filter(valid);
         let quiet = self
-            .heard
-            .is_none_or(|heard| now.saturating_sub(heard) >= QUIET);
-        let silent = self.unreached.confirmed().filter(unheard).filter(fresh);
+            .alive
+            .is_none_or(|alive| now.saturating_sub(alive) >= SILENT_AFTER);
+        let silent = self.unreached.confirmed().filter(valid).filter(fresh);
         let silent = silent.filter(|_| quiet);
         let failing = self.failing.confirmed();
-        let lately = |at: Duration| now.saturating_sub(at).as_secs_f64() < MEMORY;
-        let (answered, failed) = self.answers(now);
-        let share = FAILING.max(others * ABOVE_ALL);
-        let failing = failing.is_some_and(lately)
-            && answered >= ENOUGH
-            && failed >= answered * share;
+        let recent = |at: Duration| now.saturating_sub(at).as_secs_f64() < DECAY_SECONDS;
+        let (answered, failed) = self.counts(now);
+        let threshold = FAILING_RATE.max(others * FAILING_FACTOR);
+        let failing = failing.is_some_and(recent)
+            && answered >= MIN_RESPONSES
+            && failed >= answered * threshold;
         if replaced.is_some() {
             Some(Verdict::Replaced)
         } else if silent.is_some() {
@@ -170,70 +176,70 @@
     }
 }
 
-/// An endpoint on a list that has changed.
+/// An endpoint on a new version of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListSlot {
-    /// The place that it had before, if it had one.
+    /// Its index in the version before, if it was on it.
     pub previous: Option<usize>,
     /// Hash of the name of its service.
     pub service: u64,
 }
 
-/// What all entries see of the endpoints of one list.
+/// The combined reports of all entries on the endpoints of one list.
 #[derive(Clone, Debug, Default)]
 pub struct SharedHealth {
-    /// By place in the list.
-    seen: Vec<Seen>,
-    /// The same places' services.
+    /// By index in the list.
+    records: Vec<EndpointRecord>,
+    /// Hash of the service's name, by index in the list.
     services: Vec<u64>,
 }
 
 impl SharedHealth {
-    /// The list has changed. What was seen of those that stay is kept.
+    /// Replaces the list. The records of endpoints that stay are kept.
     pub fn update_list(&mut self, endpoints: impl Iterator<Item = ListSlot>) {
-        let old = std::mem::take(&mut self.seen);
+        let old = std::mem::take(&mut self.records);
         self.services.clear();
         for endpoint in endpoints {
-            let seen = endpoint.previous.and_then(|place| old.get(place));
-            self.seen.push(seen.cloned().unwrap_or_default());
+            let record = endpoint.previous.and_then(|index| old.get(index));
+            self.records.push(record.cloned().unwrap_or_default());
             self.services.push(endpoint.service);
         }
     }
 
-    /// Takes in what `entry`, a hash of its name, met; places that the list does not
-    /// have are ignored.
+    /// Records the reports of an entry, given as the hash of its name. Indexes beyond the
+    /// list are ignored.
     pub fn record(
         &mut self,
         now: Duration,
         entry: u64,
-        sights: impl Iterator<Item = (EndpointIndex, HealthReport)>,
+        reports: impl Iterator<Item = (EndpointIndex, HealthReport)>,
     ) {
-        for (place, sight) in sights {
-            if let Some(seen) = self.seen.get_mut(place as usize) {
-                seen.add(now, entry, &sight);
+        for (index, report) in reports {
+            if let Some(record) = self.records.get_mut(index as usize) {
+                record.add(now, entry, &report);
             }
         }
     }
 
-    /// The endpoints of which anything holds that entries should know, by place.
+    /// The verdicts in force, by index in the list.
     pub fn verdicts(&self, now: Duration) -> Vec<(EndpointIndex, Verdict)> {
         let sums = self.sums(now);
-        let places = (0..).zip(self.seen.iter().zip(&self.services));
-        let verdicts = places.filter_map(|(place, (seen, service))| {
+        let records = (0..).zip(self.records.iter().zip(&self.services));
+        let verdicts = records.filter_map(|(index, (record, service))| {
             let found = sums.binary_search_by_key(service, |item| item.0);
             let (_, answered, failed) = sums[found.ok()?];
-            let own = seen.answers(now);
+            let own = record.counts(now);
             let others = (failed - own.1) / (answered - own.0).max(1.0);
-            Some((place, seen.verdict(now, others)?))
+            Some((index, record.verdict(now, others)?))
         });
         verdicts.collect()
     }
 
-    /// Answers and failures of each service; sorted by service.
+    /// Responses and failures of each service; sorted by service.
     fn sums(&self, now: Duration) -> Vec<(u64, f64, f64)> {
         let mut sums: Vec<(u64, f64, f64)> = Vec::new();
-        for (seen, service) in self.seen.iter().zip(&self.services) {
-            let (answered, failed) = seen.answers(now);
+        for (record, service) in self.records.iter().zip(&self.services) {
+            let (answered, failed) = record.counts(now);
             match sums.binary_search_by_key(service, |item| item.0) {
                 Ok(at) => {
                     sums[at].1 += answered;
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -1,85 +1,86 @@
 //! Fetching a large text that several sources have, a piece at a time.
 //!
-//! The pattern: a route set of 776 KB, behind a link of 10 Mbit/s that callers use as
-//! well, from seven control instances that all have it within 0.1 s of each other. Asked
-//! for whole from all of them it fills the link seven times, and a bound on the time of
-//! an answer throws away what has arrived. Fetched this way the link carries it once:
-//! 0.62 s instead of 6.3.
+//! For example, seven control instances publish a route set of 776 KB within 0.1 s of
+//! each other, and an entry is behind a link of 10 Mbit/s that its callers use as well.
+//! If the entry requests the whole text from each of them, it crosses the link seven
+//! times, and a response that exceeds its time limit discards what has arrived. Fetched
+//! in pieces, the text crosses the link once: 0.62 s instead of 6.3 s.
 //!
 //! Invariants:
 //!
-//! * One piece is under way at a time, from one source.
-//! * What has arrived is kept whatever becomes of the source that sent it; the next one
-//!   goes on from there.
-//! * A text that is under way is completed before a newer one is begun, unless nobody
-//!   has it any more. Under a series of changes each faster than a transfer, there is
-//!   therefore a newer text after every transfer, and the newest one after two.
-//! * Entries rank sources differently, so that no source sends to all of them.
+//! * At most one piece is in flight at a time, from one source.
+//! * Received bytes are kept if their source fails; the next source continues from there.
+//! * A transfer is completed before that of a newer version is started, unless no source
+//!   has its version any more. Under a series of changes each faster than a transfer,
+//!   every transfer therefore still yields a newer version, and the newest one arrives
+//!   after two.
+//! * Entries rank sources differently, so that no source serves all of them.
 
 use crate::Moment;
 use crate::affinity::{hash, mix};
 use dogwoodhill_core::prelude::*;
 use std::net::SocketAddr;
 
-/// Bytes of the first piece: 13 ms on a link of 10 Mbit/s.
-const FIRST_PIECE: usize = 16 * 1024;
-/// Fewest bytes asked for at once, on a link that lets no larger piece through in time.
-const LEAST_PIECE: usize = 2 * 1024;
-/// Most bytes asked for at once: 52 ms on a link of 10 Mbit/s, twenty times the way
-/// there and back between failure domains. Also what a source's processor and link give
-/// to one entry before the next one's turn.
-const MOST_PIECE: usize = 64 * 1024;
-/// A piece that took less than this is followed by one of twice its size.
-const QUICK: Duration = Duration::from_millis(100);
-/// Longest wait for a piece: a few times what the largest takes on a link of 10 Mbit/s
-/// that is full. A source that froze delays a text by this.
+/// Size of the first piece, in bytes: 13 ms on a link of 10 Mbit/s.
+const INITIAL_PIECE_BYTES: usize = 16 * 1024;
+/// Smallest piece, in bytes, for a link too slow to deliver a larger one in time.
+const MIN_PIECE_BYTES: usize = 2 * 1024;
+/// Largest piece, in bytes: 52 ms on a link of 10 Mbit/s, twenty round trips between
+/// failure domains. It also bounds the work of a source for one entry before it serves
+/// the next.
+const MAX_PIECE_BYTES: usize = 64 * 1024;
+/// A piece that arrives faster than this doubles the piece size.
+const GROW_BELOW: Duration = Duration::from_millis(100);
+/// Longest wait for a piece: a few times the time of the largest one on a saturated link
+/// of 10 Mbit/s. A source that stops responding delays a transfer by this time.
 pub const PIECE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest text that is fetched, in bytes: what a control instance takes from operators.
-const MOST_TEXT: u64 = 64 * 1024 * 1024;
+/// Largest text that is fetched, in bytes: the same bound as for uploads by operators to
+/// a control instance.
+const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// What is to be asked for next.
+/// The next piece to request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceRequest {
-    /// Of whom.
+    /// The source to request it from.
     pub source: SocketAddr,
-    /// Which text.
+    /// The version of the text.
     pub version: Version,
-    /// From which byte on.
+    /// Position of the first byte.
     pub offset: usize,
-    /// How many bytes at most.
+    /// Most bytes to send.
     pub max_len: usize,
 }
 
-/// A part of a text, as a source sent it.
+/// A part of a text, as received from a source.
 #[derive(Clone, Copy, Debug)]
 pub struct Piece<'a> {
-    /// Which text.
+    /// The version of the text.
     pub version: Version,
-    /// Length of the whole text.
+    /// Length of the whole text in bytes.
     pub total: u64,
-    /// Position of its first byte.
+    /// Position of the first byte in the text.
     pub offset: usize,
-    /// The bytes.
+    /// The content; empty only if the text is.
     pub bytes: &'a [u8],
 }
 
-/// A text that is complete.
+/// A completely fetched text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Text {
-    /// Its version.
+    /// The version as announced by the source.
     pub version: Version,
-    /// The bytes.
+    /// The complete content.
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Source {
     address: SocketAddr,
-    /// Newest version that it has.
+    /// Newest version that it announced.
     version: Version,
-    /// An older version that it was asked for and does not keep.
-    lacks: Option<Version>,
-    /// When it last failed to send a piece, since it last sent one.
+    /// Version that was requested from it and that it does not have.
+    missing: Option<Version>,
+    /// When it last failed to send a piece; `None` once it has sent one.
     failed: Option<Moment>,
 }
 
@@ -90,31 +91,33 @@
     bytes: Vec<u8>,
 }
 
-/// One entry's fetching.
+/// Fetches the newest version of a text for one entry. Performs no I/O: the caller sends
+/// the requests and passes in the results.
 #[derive(Clone, Debug)]
 pub struct Transfer {
     seed: u64,
-    /// Newest version that is complete.
+    /// Newest version that was fetched completely.
     held: Option<Version>,
     /// Sorted by address.
     sources: Vec<Source>,
     partial: Option<Partial>,
+    /// Size of the next piece, in bytes.
     size: usize,
 }
 
 impl Transfer {
-    /// Nothing is fetched yet; `name` is the entry's.
+    /// `name` is that of the entry and determines its ranking of sources.
     pub fn new(name: &str) -> Self {
         Self {
             seed: hash(name.as_bytes()),
             held: None,
             sources: Vec::new(),
             partial: None,
-            size: FIRST_PIECE,
+            size: INITIAL_PIECE_BYTES,
         }
     }
 
-    /// A source told which version it has.
+    /// Records the version that a source announces, and the source if it is new.
     pub fn add_offer(&mut self, address: SocketAddr, version: Version) {
         let found = self.sources.binary_search_by_key(&address, |s| s.address);
         match found {
@@ -127,36 +130,38 @@
                 Source {
                     address,
                     version,
-                    lacks: None,
+                    missing: None,
                     failed: None,
                 },
             ),
         }
     }
 
-    /// A source does not answer any more, or is none.
+    /// Removes a source that does not respond any more or has ceased to be one.
     pub fn remove_source(&mut self, address: SocketAddr) {
         self.sources.retain(|source| source.address != address);
     }
 
-    /// Newest version that a source told of.
+    /// Newest version that a source announced.
     pub fn offered_version(&self, address: SocketAddr) -> Option<Version> {
         let found = self.sources.binary_search_by_key(&address, |s| s.address);
         found.ok().map(|at| self.sources[at].version)
     }
 
-    /// What to ask for, where there is something to fetch and somebody to ask.
+    /// The next request to send; `None` if the newest version is complete or no source
+    /// has what is missing.
     pub fn next_request(&mut self) -> Option<PieceRequest> {
         let newest = self.sources.iter().map(|source| source.version).max()?;
         if self.held.is_some_and(|held| newest <= held) {
             return None;
         }
-        let begun = self.partial.as_ref().filter(|p| !p.bytes.is_empty());
-        let begun = begun.map(|partial| partial.version);
-        let under_way = begun.and_then(|version| Some((version, self.pick(version)?)));
-        let (version, source) = match under_way {
+        let started = self.partial.as_ref().filter(|p| !p.bytes.is_empty());
+        let started = started.map(|partial| partial.version);
+        let resumable =
+            started.and_then(|version| Some((version, self.source_for(version)?)));
+        let (version, source) = match resumable {
             Some(found) => found,
-            None => (newest, self.pick(newest)?),
+            None => (newest, self.source_for(newest)?),
         };
         if self.partial.as_ref().is_none_or(|p| p.version != version) {
             self.partial = Some(Partial {
@@ -173,20 +178,26 @@
         })
     }
 
-    /// Who is asked for a version: of those that may have it one that did not fail, or
-    /// the one that failed first, and this entry's own favourite among equals.
-    fn pick(&self, version: Version) -> Option<SocketAddr> {
-        let may =
-            |source: &&Source| source.version >= version && source.lacks != Some(version);
+    /// The source to request a version from. Of the sources that may have it, those
+    /// without a failure come first, then those whose failure is oldest; ties are broken
+    /// by this entry's ranking.
+    fn source_for(&self, version: Version) -> Option<SocketAddr> {
+        let may_have = |source: &&Source| {
+            source.version >= version && source.missing != Some(version)
+        };
         let rank = |source: &Source| {
-            let own = hash(source.address.to_string().as_bytes());
-            (source.failed, mix(self.seed ^ own))
+            let address_hash = hash(source.address.to_string().as_bytes());
+            (source.failed, mix(self.seed ^ address_hash))
         };
-        let all = self.sources.iter().filter(may);
+        let all = self.sources.iter().filter(may_have);
         all.min_by_key(|source| rank(source)).map(|s| s.address)
     }
 
-    /// A piece arrived `took` after it was asked for. Returns the text that it completes.
+    /// Adds a piece that arrived `took` after it was requested. Returns the text if that
+    /// completes it.
+    ///
+    /// A piece that was not requested marks the version as missing at its source. A
+    /// different total length discards the partial text.
     pub fn receive_piece(
         &mut self,
         source: SocketAddr,
@@ -196,22 +207,22 @@
         let partial = self.partial.as_mut()?;
         let expected = partial.version == piece.version
             && partial.bytes.len() == piece.offset
-            && piece.total <= MOST_TEXT;
+            && piece.total <= MAX_TEXT_BYTES;
         if !expected || (piece.bytes.is_empty() && piece.total > 0) {
-            // A source that answers something else is no use for this text.
+            // Do not request this version again from a source that sends something else.
             self.version_missing(source, piece.version);
             return None;
         }
         if partial.total.is_some_and(|total| total != piece.total) {
-            // Two sources disagree: what there is may be of either.
+            // Two sources disagree, and the bytes so far may be from either.
             self.partial = None;
             return None;
         }
         partial.total = Some(piece.total);
         partial.bytes.extend_from_slice(piece.bytes);
         let complete = partial.bytes.len() as u64 >= piece.total;
-        if took < QUICK {
-            self.size = (self.size * 2).min(MOST_PIECE);
+        if took < GROW_BELOW {
+            self.size = (self.size * 2).min(MAX_PIECE_BYTES);
         }
         if let Ok(at) = self.sources.binary_search_by_key(&source, |s| s.address) {
             self.sources[at].failed = None;
@@ -227,22 +238,22 @@
         })
     }
 
-    /// A source does not keep the version that it was asked for.
+    /// Records that a source does not have the version requested from it.
     pub fn version_missing(&mut self, source: SocketAddr, version: Version) {
         if let Ok(at) = self.sources.binary_search_by_key(&source, |s| s.address) {
-            self.sources[at].lacks = Some(version);
+            self.sources[at].missing = Some(version);
         }
     }
 
-    /// A source did not send a piece in time. Returns whether it is the first one
-    /// since it sent some.
+    /// Records that a source did not send a piece in time. Returns whether this is its
+    /// first failure since its last piece.
     pub fn piece_failed(&mut self, now: Moment, source: SocketAddr) -> bool {
-        self.size = (self.size / 2).max(LEAST_PIECE);
+        self.size = (self.size / 2).max(MIN_PIECE_BYTES);
         let found = self.sources.binary_search_by_key(&source, |s| s.address);
         found.is_ok_and(|at| self.sources[at].failed.replace(now).is_none())
     }
 
-    /// Bytes that have arrived of a text that is not complete.
+    /// Bytes received so far of an incomplete text.
     pub fn bytes_received(&self) -> usize {
         self.partial.as_ref().map_or(0, |p| p.bytes.len())
     }
