--- a/crates/policy/src/list_reads.rs
+++ b/crates/policy/src/list_reads.rs
@@ -1,81 +1,84 @@
-//! When an entry reads the list of endpoints by itself.
+//! When an entry reads the list of endpoints itself.
 //!
-//! The pattern: 33 entries that each read two pages a second make 67 calls a
-//! second, and 300 make more than a list allows, so that an endpoint that leaves
-//! gets new requests for five seconds. So two entries read, and a control instance
-//! passes on to the others what they read. An entry that hears of no fresh read
-//! reads by itself, whatever the reason: the readers died or froze, the list
-//! doesn't answer them, control can't be reached.
+//! If 33 entries read two pages per second each, they make 67 calls per second; 300
+//! entries make more calls than a list admits, and an endpoint that leaves then gets new
+//! requests for five seconds. Only two entries, the readers, therefore read the list, and
+//! a control instance passes their reads on to the others. An entry that receives no
+//! fresh read reads the list itself, whatever the cause: the readers crashed or froze,
+//! the list does not respond to them, or control is unreachable.
 //!
-//! An entry that starts waits for what others have read, since without control it has no
-//! routes to serve by either. On a day on which a hundred entries start again one by
-//! one, each of which read five pages of a list, half of all calls of the list were
-//! theirs; after a loss of power all of them would read in the same moment.
+//! An entry that starts waits for the reads of others, since without control it has no
+//! routes to serve either. During a rolling restart of a hundred entries in which each of
+//! them read five pages at its start, half of all calls of the list were theirs; after a
+//! power failure all of them would read at the same moment.
 //!
-//! A read of sixty pages takes a small instance a second. Whoever hears of reads can't
-//! tell from their age alone whether the readers are gone or only slow, so readers tell
-//! how long they took, and a read counts as stale that much later. Otherwise hundreds of
-//! entries take to reading at once, the list refuses most of their calls and those of
-//! the readers as well, and it goes on for as long as all of them try. For the same reason
-//! an entry that was refused tries less and less, and stops once it hears of a read
+//! A read of sixty pages takes a small instance one second. From the age of a read alone
+//! it is undecidable whether the readers are gone or slow, so readers report how long
+//! their reads took, and a read counts as stale that much later. Otherwise hundreds of
+//! entries start to read at once, the list rejects most of their calls and those of the
+//! readers as well, and this lasts for as long as all of them retry. For the same reason
+//! an entry whose calls are rejected backs off, and stops once it receives a read
 //! ([`retry_delay`]).
 //!
-//! Whatever happens to readers, control and the way of the news, no entry goes by a read
-//! for longer than endpoints that leave may still be sent requests: each reads by itself
-//! before that ([`fallback_age`]). What is asked for once a list shows that an endpoint
-//! leaves says so; so a request goes to such an endpoint for at most the age at which an
-//! entry reads, the time its read takes, and the time to connect.
+//! Whatever happens to readers, control and the messages between them, no entry uses a
+//! read for longer than leaving endpoints may still be sent requests: before that, each
+//! entry reads the list itself ([`fallback_age`]). A read requested after the list shows
+//! an endpoint as leaving contains that. The time for which a leaving endpoint gets
+//! requests is therefore at most the sum of the age at which an entry reads, the duration
+//! of its read, and the time to connect.
 //!
-//! Invariant: only a read that was asked for later than the one in use replaces
-//! it. Reads of others are dated by their age when the question for them was
-//! sent, so they never look newer than they are by more than a message to control takes.
+//! Invariant: a read replaces the one in use only if it was requested later. Reads of
+//! others are dated by their age when the query for them was sent, so they appear newer
+//! than they are by no more than the delay of a message to control.
 
 use std::time::Duration;
 
-/// Age from which a read is no longer relied on. Readers read every second or a
-/// little more, tell at once, and others hear within 0.6 s: 1.8 s at the worst.
+/// Age from which a read is stale. Readers read every second or slightly less often and
+/// report at once, and others receive the report within 0.6 s: 1.8 s in the worst case.
 pub const STALE_AFTER: Duration = Duration::from_millis(2_000);
 
-/// How long endpoints that leave may still be sent requests, where settings say nothing.
+/// Default of the time for which leaving endpoints may still be sent requests.
 pub const DEFAULT_LEAVING_WITHIN: Duration = Duration::from_secs(4);
 
 /// Longest wait for a connection, and so the longest time from the choice of an endpoint
-/// to the first byte on its way there. Ten times the way to the farthest endpoint, and
-/// short against the shortest target.
+/// to sending the first byte. Ten times the latency to the farthest endpoint, and short
+/// compared to the shortest response-time target.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Shortest interval of readers, whatever the bound: a list takes only so many calls.
+/// Shortest interval between reads of a reader, as a list admits a limited rate of calls.
 pub const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Part by which an entry delays a read that is due, at most, so that entries which hear
-/// nothing do not read at the same moment.
-const SPREAD: f64 = 0.25;
+/// Most jitter added to the time of a read, as a fraction of it, so that entries without
+/// fresh reads do not read at the same moment.
+const JITTER: f64 = 0.25;
 
-/// Least time over which entries that hear nothing spread their reads.
+/// Shortest time over which entries without fresh reads spread their own.
 pub const MIN_SPREAD: Duration = Duration::from_millis(100);
 
-/// Longest time from a reader's read to when another entry has heard of it, beside the
-/// read itself: the interval at which an entry asks.
-const TELLING: Duration = Duration::from_millis(600);
+/// Longest time from the end of a read until another entry has received it: the interval
+/// at which an entry polls control.
+const PROPAGATION: Duration = Duration::from_millis(600);
 
-/// Oldest age that a read has where all is well, before the next one is heard of.
+/// Age that a read reaches in normal operation before the next one arrives.
 pub fn expected_age(interval: Duration, took: Duration) -> Duration {
-    interval.max(took).mul_f64(1.0 + SPREAD) + took + TELLING
+    interval.max(took).mul_f64(1.0 + JITTER) + took + PROPAGATION
 }
 
-/// Longest interval of readers with which news travel in time where endpoints that leave
-/// may be sent requests for `within`; at least a tenth of a second.
+/// Longest interval between reads of a reader with which every entry learns of a leaving
+/// endpoint within `within`; at least [`MIN_READ_INTERVAL`].
 pub fn max_read_interval(within: Duration) -> Duration {
-    let reading = within.saturating_sub(TELLING + CONNECT_TIMEOUT);
-    reading.div_f64(1.0 + SPREAD).max(MIN_READ_INTERVAL)
+    let budget = within.saturating_sub(PROPAGATION + CONNECT_TIMEOUT);
+    budget.div_f64(1.0 + JITTER).max(MIN_READ_INTERVAL)
 }
 
-/// Age of a read at which an entry that is no reader reads by itself, where one takes
-/// `took` and endpoints that leave may be sent requests for `within`; `spread`, of 0 to 1,
-/// keeps entries that all hear nothing from reading at the same moment. Never before the
-/// usual age: entries that read while all is well keep each other's calls from being
-/// answered. Where that leaves no time for the read and a connection, entries are as
-/// patient as without a bound, since hundreds that hurry would be late together.
+/// Age of the read in use at which an entry that is no reader reads the list itself.
+///
+/// A read takes `took`, and leaving endpoints may be sent requests for `within`.
+/// `spread`, from 0 to 1, is random, so that entries without fresh reads do not read at
+/// the same moment. The result is never below [`expected_age`]: entries that read in
+/// normal operation exhaust the list's call limit for each other. If that leaves no time
+/// for the read and a connection, entries wait as long as without a bound, since hundreds
+/// of them that read early would be late together.
 pub fn fallback_age(
     within: Duration,
     interval: Duration,
@@ -83,33 +86,35 @@
     spread: f64,
 ) -> Duration {
     let stale = STALE_AFTER.max(interval) + took;
-    let patient = stale.mul_f64(1.0 + SPREAD);
-    let usual = expected_age(interval, took);
+    let unbounded = stale.mul_f64(1.0 + JITTER);
+    let expected = expected_age(interval, took);
     let last = within.saturating_sub(CONNECT_TIMEOUT + took);
-    if patient <= last || usual + MIN_SPREAD > last {
-        return stale.mul_f64(1.0 + SPREAD * spread);
+    if unbounded <= last || expected + MIN_SPREAD > last {
+        return stale.mul_f64(1.0 + JITTER * spread);
     }
-    let first = usual.max(last.saturating_sub(stale.mul_f64(SPREAD)));
+    let first = expected.max(last.saturating_sub(stale.mul_f64(JITTER)));
     first + (last - first).mul_f64(spread)
 }
 
-/// How long a list stays in doubt that names far fewer endpoints than the one in
-/// use, before it is believed: shorter than the few seconds after which an endpoint
-/// that leaves must get nothing new.
-const DOUBT: Duration = Duration::from_millis(1_500);
+/// How long a list with far fewer endpoints than the one in use is held back before it is
+/// accepted: shorter than the few seconds within which a leaving endpoint must cease to
+/// get requests.
+const SHRINK_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Longest time for which a read is waited for beyond [`STALE_AFTER`], whatever a reader says:
-/// with it an endpoint that leaves is known within a few seconds still.
-const LONGEST_READ: Duration = Duration::from_millis(1_500);
-/// Pause after a failed read, at first.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause of an entry that does not read for the others and was refused for too
-/// many calls. Hundreds of them then make some tens of calls a second together.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Upper bound of the reported duration of a read, which extends [`STALE_AFTER`]: with
+/// it, a leaving endpoint is still recognized within a few seconds.
+const MAX_READ_TIME: Duration = Duration::from_millis(1_500);
+/// Delay after the first failed read.
+const INITIAL_DELAY: Duration = Duration::from_millis(150);
+/// Longest delay of an entry that is no reader and whose calls were rejected by the rate
+/// limit, before jitter. Hundreds of such entries then make some tens of calls per second
+/// together.
+const MAX_DELAY: Duration = Duration::from_secs(4);
 
-/// How long an entry pauses after `failures` reads that failed, the last one refused for
-/// too many calls if `busy`. `spread`, of 0 to 1, keeps those that were refused together
-/// from coming back together.
+/// Delay before the next attempt after `failures` failed reads in a row. `busy` means
+/// that the list rejected the last one for too many calls; entries that are no readers
+/// then back off exponentially. `spread`, from 0 to 1, is random, so that entries
+/// rejected together do not retry together.
 pub fn retry_delay(
     failures: u32,
     busy: bool,
@@ -117,63 +122,64 @@
     interval: Duration,
     spread: f64,
 ) -> Duration {
-    let usual = interval.min(FIRST_PAUSE * failures);
+    let linear = interval.min(INITIAL_DELAY * failures);
     if !busy || reader {
-        return usual;
+        return linear;
     }
-    let doubled = FIRST_PAUSE * 2u32.pow(failures.min(8));
-    doubled
-        .min(LONGEST_PAUSE)
+    let exponential = INITIAL_DELAY * 2u32.pow(failures.min(8));
+    exponential
+        .min(MAX_DELAY)
         .mul_f64(0.5 + spread.clamp(0.0, 1.0))
 }
 
-/// Lists that may be cut short or empty by a fault of whoever keeps them.
+/// Protects against lists that are truncated or empty by a fault of their source.
 ///
-/// A list that names less than half of the endpoints in use is not believed at
-/// once; an empty one never is, since endpoints that are gone show it by themselves.
+/// A list with less than half of the endpoints in use is accepted only if it persists. An
+/// empty list is never accepted, since endpoints that are gone are detected without it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShrinkGuard {
     since: Option<Duration>,
 }
 
 impl ShrinkGuard {
-    /// A list with `after` endpoints was read while one with `before` is in use.
-    /// Returns whether it is believed.
+    /// Whether to replace the list in use, of `before` endpoints, by one read at `now`
+    /// with `after` endpoints.
     pub fn accepts(&mut self, now: Duration, before: usize, after: usize) -> bool {
         if after * 2 >= before {
             self.since = None;
             return true;
         }
         let since = *self.since.get_or_insert(now);
-        let believed = after > 0 && now.saturating_sub(since) >= DOUBT;
-        if believed {
+        let accepted = after > 0 && now.saturating_sub(since) >= SHRINK_DELAY;
+        if accepted {
             self.since = None;
         }
-        believed
+        accepted
     }
 }
 
-/// How long an entry that starts waits for what others have read, at least. Control
-/// answers within some 50 ms of its own start, and a reader that starts with it needs
-/// another 100 to read five pages; routes take longer, as they need a leader.
-const FIRST_WAIT: Duration = Duration::from_millis(500);
+/// Shortest wait of an entry that starts for the reads of others. Control responds within
+/// some 50 ms of its own start, and a reader that starts with it needs another 100 ms for
+/// five pages; routes take longer, as they require a leader.
+const START_WAIT: Duration = Duration::from_millis(500);
 
-/// Longest such wait where control answers, and others are to read: two readers may die
-/// one after the other, and be replaced, before those who wait read by themselves.
-const LONGEST_FIRST_WAIT: Duration = Duration::from_millis(2_500);
+/// Longest extension of that wait while control responds and has appointed readers: two
+/// readers may crash in sequence and be replaced before the waiting entries read the list
+/// themselves.
+const MAX_START_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The reads of the list that one entry knows of. Times are measured from a moment
-/// [`STALE_AFTER`] before the entry's start: older reads are of no use to it.
+/// The newest read of the list that one entry has. Times are measured from
+/// [`STALE_AFTER`] before the entry's start, as older reads are of no use to it.
 #[derive(Clone, Copy, Debug)]
 pub struct ListReads {
-    /// How long endpoints that leave may still be sent requests.
+    /// How long leaving endpoints may still be sent requests.
     within: Duration,
     newest: Option<Duration>,
-    /// How long the newest took.
+    /// Duration of the newest read.
     took: Duration,
     reader: bool,
-    /// When control said last that others read, and that none has yet.
-    awaited: Duration,
+    /// When control last responded that it has no read yet, and that others are to read.
+    deferred: Duration,
 }
 
 impl Default for ListReads {
@@ -183,59 +189,63 @@
 }
 
 impl ListReads {
-    /// No read is known yet; endpoints that leave may be sent requests for `within`.
+    /// Starts without a read; leaving endpoints may be sent requests for `within`.
     pub fn new(within: Duration) -> Self {
         Self {
             within,
             newest: None,
             took: Duration::ZERO,
             reader: false,
-            awaited: Duration::ZERO,
+            deferred: Duration::ZERO,
         }
     }
 
-    /// Whether any read is known.
+    /// Whether the entry has a read at all.
     pub fn has_read(&self) -> bool {
         self.newest.is_some()
     }
 
-    /// When the read in use was asked for.
+    /// When the read in use was requested.
     pub fn newest(&self) -> Option<Duration> {
         self.newest
     }
 
-    /// A read came that was asked for at `read` and took `took`. Returns whether it
-    /// replaces the one in use.
-    pub fn take(&mut self, read: Duration, took: Duration) -> bool {
-        let newer = self.newest.is_none_or(|newest| read > newest);
+    /// Offers a read that was requested at `requested` and took `took`. Returns whether
+    /// it replaces the one in use.
+    pub fn take(&mut self, requested: Duration, took: Duration) -> bool {
+        let newer = self.newest.is_none_or(|newest| requested > newest);
         if newer {
-            self.newest = Some(read);
-            self.took = took.min(LONGEST_READ);
+            self.newest = Some(requested);
+            self.took = took.min(MAX_READ_TIME);
         }
         newer
     }
 
-    /// Control answered at `now` that it knows of no read yet.
+    /// Records that control responded at `now` that it has no read yet, which extends the
+    /// wait at start.
     pub fn defer_to_readers(&mut self, now: Duration) {
-        self.awaited = now;
+        self.deferred = now;
     }
 
-    /// Whether this entry reads for the others.
+    /// Sets whether this entry reads the list for the others.
     pub fn set_reader(&mut self, reader: bool) {
         self.reader = reader;
     }
 
-    /// Whether this entry reads for the others.
+    /// Whether this entry reads the list for the others.
     pub fn is_reader(&self) -> bool {
         self.reader
     }
 
-    /// How long after `now` the entry reads next, if nothing more is heard: a
-    /// reader `interval` after the read in use, the others when that is stale. One that
-    /// knows of no read waits for a moment after its start, and as long as control says
-    /// that others read, unless it is a reader.
-    /// `spread`, of 0 to 1, keeps entries that all hear nothing from reading at the
-    /// same moment: by up to a quarter of the time, and twice the time at a start.
+    /// Time from `now` until the entry reads the list itself if it receives no newer
+    /// read.
+    ///
+    /// A reader reads `interval` after the read in use, other entries at
+    /// [`fallback_age`]. An entry without any read reads at once if it is a reader;
+    /// otherwise it waits for a moment after its start, and for longer while control
+    /// responds that others are to read. `spread`, from 0 to 1, is random and adds up to
+    /// a quarter of the time, or twice the time at a start, so that entries without fresh
+    /// reads do not read at the same moment.
     pub fn next_read_delay(
         &self,
         now: Duration,
@@ -247,14 +257,14 @@
             if self.reader {
                 return Duration::ZERO;
             }
-            let from = self
-                .awaited
-                .clamp(STALE_AFTER, STALE_AFTER + LONGEST_FIRST_WAIT);
-            let wait = FIRST_WAIT.mul_f64(1.0 + 2.0 * spread);
-            return (from + wait).saturating_sub(now);
+            let start = self
+                .deferred
+                .clamp(STALE_AFTER, STALE_AFTER + MAX_START_WAIT);
+            let wait = START_WAIT.mul_f64(1.0 + 2.0 * spread);
+            return (start + wait).saturating_sub(now);
         };
         let after = if self.reader {
-            interval.max(self.took).mul_f64(1.0 + SPREAD * spread)
+            interval.max(self.took).mul_f64(1.0 + JITTER * spread)
         } else {
             fallback_age(self.within, interval, self.took, spread)
         };
