--- a/crates/policy/src/usage/ledger.rs
+++ b/crates/policy/src/usage/ledger.rs
@@ -1,48 +1,49 @@
-//! What one entry counts.
+//! The counts of one entry.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::usage::counts_of;
 
-/// Most windows that are kept: minutes without control. The oldest give way.
-const MOST_WINDOWS: usize = 256;
-/// Most workspaces of one window, some 40 bytes each: several times as many as the design
-/// is made for. Requests of others are not counted.
-const MOST_WORKSPACES: usize = 8_192;
+/// Most windows that are kept, enough for minutes without control. The oldest are dropped
+/// first.
+const MAX_WINDOWS: usize = 256;
+/// Most workspaces per window, some 40 bytes each: several times the design size.
+/// Requests of further workspaces are not counted.
+const MAX_WORKSPACES: usize = 8_192;
 
-/// Names the run of a control instance.
+/// Random number that identifies one run of a control instance.
 pub type InstanceRun = u64;
 
-/// Whether a request was counted.
+/// The result of counting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counted {
-    /// It was.
+    /// The request was counted.
     Yes,
-    /// Its window's counts are fixed already.
+    /// The counts of its window are final already.
     Late,
-    /// There is no room for its workspace.
+    /// Its window has no room for another workspace.
     Full,
 }
 
-/// The counts of windows that are not fixed yet.
+/// One entry's counts of the windows that are not final yet.
 #[derive(Debug, Default)]
 pub struct Ledger {
     /// Sorted by window.
     windows: Vec<WindowCounts>,
-    /// What `instance` has of them.
-    told: Vec<WindowCounts>,
+    /// The counts that `instance` has acknowledged. Sorted by window.
+    acknowledged: Vec<WindowCounts>,
     instance: InstanceRun,
-    /// Windows before this one are fixed.
+    /// First window that is not final.
     next: Window,
 }
 
 impl Ledger {
-    /// A request of `workspace` was begun in `window`.
+    /// Counts a request of `workspace` that an endpoint began in `window`.
     pub fn count(&mut self, window: Window, workspace: &str) -> Counted {
         if window < self.next {
             return Counted::Late;
         }
         let counts = counts_of(&mut self.windows, window);
-        if counts.counts.len() >= MOST_WORKSPACES {
+        if counts.counts.len() >= MAX_WORKSPACES {
             let known = counts
                 .counts
                 .binary_search_by(|count| count.workspace.as_str().cmp(workspace));
@@ -51,63 +52,70 @@
             }
         }
         *counts.count_mut(workspace) += 1;
-        if self.windows.len() > MOST_WINDOWS {
+        if self.windows.len() > MAX_WINDOWS {
             self.windows.remove(0);
         }
         Counted::Yes
     }
 
-    /// Counts that `instance` does not have, whole and not as differences.
+    /// The counts that `instance` has not acknowledged, as totals rather than
+    /// differences.
     pub fn unacknowledged(&self, instance: InstanceRun) -> Vec<WindowCounts> {
         let known = instance == self.instance;
         let windows = self.windows.iter().filter_map(|counts| {
-            let told = known
-                .then(|| self.told.iter().find(|told| told.window == counts.window))
+            let before = known
+                .then(|| {
+                    self.acknowledged
+                        .iter()
+                        .find(|old| old.window == counts.window)
+                })
                 .flatten();
-            grown(counts, told)
+            grown(counts, before)
         });
         windows.collect()
     }
 
-    /// `instance` has taken in what was told.
-    pub fn acknowledged(&mut self, instance: InstanceRun, news: &[WindowCounts]) {
+    /// Records that `instance` has accepted `accepted`, as returned by
+    /// [`unacknowledged`](Self::unacknowledged).
+    pub fn acknowledged(&mut self, instance: InstanceRun, accepted: &[WindowCounts]) {
         if instance != self.instance {
             self.instance = instance;
-            self.told.clear();
+            self.acknowledged.clear();
         }
-        for counts in news.iter().filter(|counts| counts.window >= self.next) {
-            let told = counts_of(&mut self.told, counts.window);
+        for counts in accepted.iter().filter(|counts| counts.window >= self.next) {
+            let known = counts_of(&mut self.acknowledged, counts.window);
             for count in &counts.counts {
-                let held = told.count_mut(&count.workspace);
-                *held = (*held).max(count.begun);
+                let begun = known.count_mut(&count.workspace);
+                *begun = (*begun).max(count.begun);
             }
         }
     }
 
-    /// Windows before `next` are fixed, and what else comes for them is late.
+    /// Drops the windows before `next`, whose counts are final. Further requests in them
+    /// count as [`Counted::Late`].
     pub fn finalize_before(&mut self, next: Window) {
         self.next = self.next.max(next);
         let open = |counts: &WindowCounts| counts.window >= self.next;
         self.windows.retain(open);
-        self.told.retain(open);
+        self.acknowledged.retain(open);
     }
 }
 
-/// The counts that are larger than what was told.
-fn grown(counts: &WindowCounts, told: Option<&WindowCounts>) -> Option<WindowCounts> {
-    let before = |workspace: &str| {
-        let told = told.map_or(&[][..], |told| &told.counts);
+/// The counts that are larger than those in `before`; `None` if there are none.
+fn grown(counts: &WindowCounts, before: Option<&WindowCounts>) -> Option<WindowCounts> {
+    let previous = |workspace: &str| {
+        let before = before.map_or(&[][..], |before| &before.counts);
         let found =
-            told.binary_search_by(|count| count.workspace.as_str().cmp(workspace));
-        found.map_or(0, |at| told[at].begun)
+            before.binary_search_by(|count| count.workspace.as_str().cmp(workspace));
+        found.map_or(0, |at| before[at].begun)
     };
-    let news = counts
+    let grown = counts
         .counts
         .iter()
-        .filter(|count| count.begun > before(&count.workspace));
-    let news: Vec<WorkspaceCount> = news.cloned().collect();
-    (!news.is_empty()).then_some(WindowCounts {
+        .filter(|count| count.begun > previous(&count.workspace));
+    let grown: Vec<WorkspaceCount> = grown.cloned().collect();
+    (!grown.is_empty()).then_some(WindowCounts {
         window: counts.window,
-        counts: news,
+        counts: grown,
     })
 }
--- a/crates/policy/src/usage/tally.rs
+++ b/crates/policy/src/usage/tally.rs
@@ -1,42 +1,43 @@
-//! What entries told one control instance.
+//! The counts that entries have reported to one control instance.
 
 use crate::Moment;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::usage::counts_of;
 
-/// Most runs of entries that are held: five times as many as the design is made for.
-const MOST_TELLERS: usize = 2_500;
-/// Most open windows of one entry.
-const MOST_WINDOWS: usize = 256;
-/// How long a run is held that tells nothing more and has nothing that is open.
-const KEPT: Duration = Duration::from_secs(60);
-/// How long an entry that tells nothing more counts as one that is there: some of its
-/// intervals.
-const ALIVE: Duration = Duration::from_secs(2);
-/// How long windows wait for a run that tells nothing more: it may have been frozen or cut
-/// off, and come back with what it counted.
-const AWAITED: Duration = Duration::from_secs(10);
+/// Most runs of entries that are kept: five times the design size.
+const MAX_RUNS: usize = 2_500;
+/// Most open windows that are kept per run.
+const MAX_WINDOWS: usize = 256;
+/// How long a run without open windows is kept after its last report.
+const RETENTION: Duration = Duration::from_secs(60);
+/// How long a run counts as active after its last report: several report intervals.
+const ACTIVE_PERIOD: Duration = Duration::from_secs(2);
+/// How long windows wait for a run after its last report: it may have been frozen or
+/// disconnected, and return with further counts.
+const AWAIT_PERIOD: Duration = Duration::from_secs(10);
 
-/// What one run of an entry tells.
+/// A usage report from one run of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryReport {
-    /// The entry.
+    /// Name of the entry.
     pub entry: String,
-    /// Names the run.
+    /// Random number that identifies the run.
     pub run: u64,
-    /// Counts that have grown, whole.
+    /// Totals of the counts that have grown.
     pub windows: Vec<WindowCounts>,
-    /// All of its requests that were begun before this time are in what it told until now.
+    /// The reports of this run so far include all of its requests begun before this time.
     pub through: TrueTime,
-    /// Whether the run tells for the last time.
+    /// Whether this is the run's last report.
     pub last: bool,
 }
 
 #[derive(Debug)]
-struct Teller {
+struct EntryRun {
     entry: String,
     run: u64,
+    /// When the first report arrived.
     first: Moment,
+    /// When the newest report arrived.
     at: Moment,
     last: bool,
     through: TrueTime,
@@ -44,107 +45,108 @@
     windows: Vec<WindowCounts>,
 }
 
-/// When windows may be closed.
+/// When the counts of windows may be made final.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseRules {
-    /// How windows are cut.
+    /// How true time is divided into windows.
     pub windows: Windows,
-    /// Time after a window's end at which it is closed without the entries that are missing,
-    /// where most of them tell this instance.
+    /// Time after a window's end at which it is closed without the reports that are
+    /// missing, if at least half of the entries report to this instance.
     pub majority_wait: Duration,
-    /// The same where only a few do: the others may tell another instance.
+    /// The same time if fewer do, as the others may report to another instance.
     pub minority_wait: Duration,
 }
 
-/// The counts of windows that are not fixed yet, by entry.
+/// The counts of the windows that are not final yet, by run of an entry.
 #[derive(Debug, Default)]
 pub struct Tally {
     /// Sorted by run.
-    tellers: Vec<Teller>,
+    runs: Vec<EntryRun>,
     next: Window,
 }
 
 impl Tally {
-    /// Takes in what an entry told.
-    pub fn record(&mut self, now: Moment, told: EntryReport) {
-        let found = self.tellers.binary_search_by_key(&told.run, |t| t.run);
+    /// Adds a report. Reports of new runs beyond 2,500 are dropped.
+    pub fn record(&mut self, now: Moment, report: EntryReport) {
+        let found = self.runs.binary_search_by_key(&report.run, |t| t.run);
         let at = match found {
             Ok(at) => at,
-            Err(_) if self.tellers.len() >= MOST_TELLERS => return,
+            Err(_) if self.runs.len() >= MAX_RUNS => return,
             Err(at) => {
-                let teller = Teller {
-                    entry: told.entry,
-                    run: told.run,
+                let run = EntryRun {
+                    entry: report.entry,
+                    run: report.run,
                     first: now,
                     at: now,
                     last: false,
                     through: Duration::ZERO,
                     windows: Vec::new(),
                 };
-                self.tellers.insert(at, teller);
+                self.runs.insert(at, run);
                 at
             }
         };
-        let teller = &mut self.tellers[at];
-        teller.at = now;
-        teller.last |= told.last;
-        teller.through = teller.through.max(told.through);
-        for counts in told.windows.into_iter().filter(|c| c.window >= self.next) {
-            teller.take(&counts);
+        let run = &mut self.runs[at];
+        run.at = now;
+        run.last |= report.last;
+        run.through = run.through.max(report.through);
+        for counts in report.windows.into_iter().filter(|c| c.window >= self.next) {
+            run.take(&counts);
         }
     }
 
-    /// Runs of entries that told lately.
+    /// Number of runs of entries that reported within the last 2 s.
     pub fn active_runs(&self, now: Moment) -> usize {
-        let alive = |teller: &&Teller| now.saturating_sub(teller.at) < ALIVE;
-        self.tellers.iter().filter(alive).count()
+        let active = |run: &&EntryRun| now.saturating_sub(run.at) < ACTIVE_PERIOD;
+        self.runs.iter().filter(active).count()
     }
 
-    /// Whether the counts of `window` may be fixed: it is over, and all `expected` entries
-    /// have told of it, or it has been waited for long enough. Never where no entry tells
-    /// this instance: what they count, another one has.
+    /// Whether the counts of `window` may be made final: the window is over, and either
+    /// all `expected` entries have reported it in full or the wait of `rules` has passed.
+    /// Always false if no entry reports to this instance, since another one has their
+    /// counts then.
     pub fn is_complete(
         &self,
         now: Moment,
         time: TrueTime,
         window: Window,
-        closing: &CloseRules,
+        rules: &CloseRules,
         expected: usize,
     ) -> bool {
-        let end = closing.windows.end(window);
+        let end = rules.windows.end(window);
         if time < end {
             return false;
         }
-        let alive = self.active_runs(now);
-        if alive == 0 {
+        let active = self.active_runs(now);
+        if active == 0 {
             return false;
         }
-        if time >= end + closing.minority_wait {
+        if time >= end + rules.minority_wait {
             return true;
         }
-        if time >= end + closing.majority_wait {
-            return 2 * alive >= expected;
+        if time >= end + rules.majority_wait {
+            return 2 * active >= expected;
         }
-        let missing = |teller: &Teller| teller.through < end && self.awaited(now, teller);
-        let whole = self.tellers.iter().filter(|teller| teller.through >= end);
-        let lately = whole.filter(|teller| now.saturating_sub(teller.at) < ALIVE);
-        lately.count() >= expected.max(1) && !self.tellers.iter().any(missing)
+        let missing = |run: &EntryRun| run.through < end && self.is_awaited(now, run);
+        let complete = self.runs.iter().filter(|run| run.through >= end);
+        let active = complete.filter(|run| now.saturating_sub(run.at) < ACTIVE_PERIOD);
+        active.count() >= expected.max(1) && !self.runs.iter().any(missing)
     }
 
-    /// Whether a run may tell more: it was heard from, has not ended, and its entry has not
-    /// started again.
-    fn awaited(&self, now: Moment, teller: &Teller) -> bool {
+    /// Whether further reports of a run may arrive: it has reported within
+    /// [`AWAIT_PERIOD`], has not ended, and its entry has not restarted.
+    fn is_awaited(&self, now: Moment, run: &EntryRun) -> bool {
         let replaced =
-            |other: &Teller| other.entry == teller.entry && other.first > teller.first;
-        let lately = now.saturating_sub(teller.at) < AWAITED;
-        lately && !teller.last && !self.tellers.iter().any(replaced)
+            |other: &EntryRun| other.entry == run.entry && other.first > run.first;
+        let recent = now.saturating_sub(run.at) < AWAIT_PERIOD;
+        recent && !run.last && !self.runs.iter().any(replaced)
     }
 
-    /// The counts of `window` over all entries.
+    /// The counts of `window`, summed over all runs.
     pub fn sum(&self, window: Window) -> WindowCounts {
         let mut sum = WindowCounts::empty(window);
-        for teller in &self.tellers {
-            let found = teller.windows.iter().find(|counts| counts.window == window);
+        for run in &self.runs {
+            let found = run.windows.iter().find(|counts| counts.window == window);
             for count in found.map_or(&[][..], |counts| &counts.counts) {
                 *sum.count_mut(&count.workspace) += count.begun;
             }
@@ -152,25 +154,27 @@
         sum
     }
 
-    /// Windows before `next` are fixed.
+    /// Drops the windows before `next`, whose counts are final, and runs that are no
+    /// longer needed.
     pub fn finalize_before(&mut self, now: Moment, next: Window) {
         self.next = self.next.max(next);
-        for teller in &mut self.tellers {
-            teller.windows.retain(|counts| counts.window >= self.next);
+        for run in &mut self.runs {
+            run.windows.retain(|counts| counts.window >= self.next);
         }
-        let held = |t: &Teller| !t.windows.is_empty() || now.saturating_sub(t.at) < KEPT;
-        self.tellers.retain(held);
+        let needed =
+            |t: &EntryRun| !t.windows.is_empty() || now.saturating_sub(t.at) < RETENTION;
+        self.runs.retain(needed);
     }
 }
 
-impl Teller {
-    fn take(&mut self, news: &WindowCounts) {
-        let held = counts_of(&mut self.windows, news.window);
-        for count in &news.counts {
-            let begun = held.count_mut(&count.workspace);
+impl EntryRun {
+    fn take(&mut self, reported: &WindowCounts) {
+        let known = counts_of(&mut self.windows, reported.window);
+        for count in &reported.counts {
+            let begun = known.count_mut(&count.workspace);
             *begun = (*begun).max(count.begun);
         }
-        if self.windows.len() > MOST_WINDOWS {
+        if self.windows.len() > MAX_WINDOWS {
             self.windows.remove(0);
         }
     }
