--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -1,76 +1,76 @@
-//! Which run of each endpoint is the newest one.
+//! The newest run of each endpoint.
 //!
-//! The pattern: an endpoint crashes and comes back under its name within a second,
-//! while the list lags by as much, two entries read it for all others, and a third
-//! one reads it for itself behind a cut. What they read arrives in any order, some of
-//! it twice. An entry that goes by whatever came last sends to a run that is over, and
-//! takes beginnings for read that nobody has read.
+//! An endpoint may crash and return under its name within a second, while the list lags
+//! by as much, two entries read it for all others, and a third one behind a network
+//! partition reads it for itself. Their reads arrive in any order, some of them twice. An
+//! entry that relied on the last one to arrive would send to a run that is over, and
+//! would assume cached prefixes that the new run has not prefilled.
 //!
-//! So every run that was ever told is compared with the newest one known by name.
-//! Invariants, whatever is lost, doubled, delayed or crossed on the way:
+//! Every listed run is therefore compared with the newest known run of the same name.
+//! Invariants, under any loss, duplication, delay or reordering of messages:
 //!
-//! * the newest start that was told stays the newest;
-//! * a run that was seen leaving stays leaving, and its successor doesn't;
-//! * starts are compared with starts of the same name only, never with a clock here.
+//! * The newest start ever listed remains the newest.
+//! * A run that was seen leaving remains leaving, and its successor is not.
+//! * Start times are compared only with those of the same name, never with a local clock.
 //!
-//! A start that nobody told says nothing: the entry that lacks it is taken to mean
-//! the run that is known, and the first start that is told names that run. Taking it
-//! for a new one instead would forget that it is leaving whenever one of two readers
-//! is of an older version. An unnamed run is forgotten once it is off the list, since
-//! nothing would tell it from its successor.
+//! A listing without a start time is taken to mean the known run, and the first start
+//! time that is listed is assigned to that run. If it were taken for a new run, the run
+//! would cease to be leaving whenever one of two readers has an older version. A run
+//! without a start time is forgotten once it is off the list, since it cannot be
+//! distinguished from its successor.
 
 use dogwoodhill_core::prelude::*;
 use std::cmp::Ordering;
 
-/// How long the newest start of an endpoint is remembered that is no longer listed:
-/// regions lose each other for an hour, and old news arrive when they meet again.
-const KEPT: Duration = Duration::from_secs(3_600);
-/// Most endpoints that are remembered: eight times as many as the design is made for.
-/// Some 100 bytes each.
-const MOST: usize = 10_000;
+/// How long the newest run of an endpoint is kept that is no longer listed: regions may
+/// be disconnected for an hour, and old reads arrive once they reconnect.
+const RETENTION: Duration = Duration::from_secs(3_600);
+/// Most endpoints that are kept: eight times the design size. Some 100 bytes each.
+const MAX_ENDPOINTS: usize = 10_000;
 
-/// How news of an endpoint compare with what is known.
+/// How a listed run compares with the newest known run of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunAge {
-    /// They are of a run that was not known, and that is the newest now.
+    /// It is a new run, and the newest one now.
     Newer,
-    /// They are of the newest run.
+    /// It is the newest run.
     Current,
-    /// They are of an earlier run, and tell nothing.
+    /// It is an earlier run, and the listing is to be ignored.
     Older,
 }
 
 /// The newest run of one endpoint.
 #[derive(Clone, Debug)]
-struct Known {
+struct NewestRun {
     run: Incarnation,
     leaving: bool,
-    seen: Duration,
+    /// When it was last listed.
+    listed: Duration,
 }
 
-/// The newest runs of all endpoints that were told of lately.
+/// The newest runs of all recently listed endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations {
-    /// Sorted by name.
-    known: Vec<Known>,
+    /// Sorted by endpoint name.
+    runs: Vec<NewestRun>,
 }
 
 impl Incarnations {
-    /// Takes in that `run` is listed; `leaving`: as one that is about to stop.
+    /// Records that `run` is listed, as one that is about to stop if `leaving`.
     pub fn record(&mut self, now: Duration, run: &Incarnation, leaving: bool) -> RunAge {
-        let new = Known {
+        let new = NewestRun {
             run: run.clone(),
             leaving,
-            seen: now,
+            listed: now,
         };
         let at = match self.find(&run.id) {
             Ok(at) => at,
             Err(at) => {
-                self.known.insert(at, new);
+                self.runs.insert(at, new);
                 return RunAge::Newer;
             }
         };
-        let known = &mut self.known[at];
+        let known = &mut self.runs[at];
         match run.cmp_start(&known.run) {
             Ordering::Less => RunAge::Older,
             Ordering::Greater => {
@@ -80,7 +80,7 @@
             Ordering::Equal => {
                 known.run.born = known.run.born.or(run.born);
                 known.leaving |= leaving;
-                known.seen = now;
+                known.listed = now;
                 RunAge::Current
             }
         }
@@ -88,47 +88,48 @@
 
     /// The newest run of `id`, and whether it is leaving.
     pub fn newest(&self, id: &str) -> Option<(&Incarnation, bool)> {
-        let known = &self.known[self.find(id).ok()?];
+        let known = &self.runs[self.find(id).ok()?];
         Some((&known.run, known.leaving))
     }
 
-    /// A whole list was told at `now`: forgets what need not be remembered of
-    /// endpoints that are not on it.
+    /// Drops endpoints that are not on the whole list recorded at `now` and need not be
+    /// kept.
     pub fn forget(&mut self, now: Duration) {
-        self.known.retain(|known| {
-            let kept = known.run.born.map_or(Duration::ZERO, |_| KEPT);
-            now.saturating_sub(known.seen) <= kept
+        self.runs.retain(|known| {
+            let retention = known.run.born.map_or(Duration::ZERO, |_| RETENTION);
+            now.saturating_sub(known.listed) <= retention
         });
-        let excess = self.known.len().saturating_sub(MOST);
+        let excess = self.runs.len().saturating_sub(MAX_ENDPOINTS);
         if excess > 0 {
             self.forget_oldest(excess);
         }
     }
 
     fn forget_oldest(&mut self, count: usize) {
-        let mut seen: Vec<Duration> = self.known.iter().map(|known| known.seen).collect();
-        let (_, last, _) = seen.select_nth_unstable(count - 1);
+        let mut times: Vec<Duration> =
+            self.runs.iter().map(|known| known.listed).collect();
+        let (_, last, _) = times.select_nth_unstable(count - 1);
         let last = *last;
         let mut left = count;
-        self.known.retain(|known| {
-            let goes = left > 0 && known.seen <= last;
-            left -= usize::from(goes);
-            !goes
+        self.runs.retain(|known| {
+            let dropped = left > 0 && known.listed <= last;
+            left -= usize::from(dropped);
+            !dropped
         });
     }
 
-    /// Endpoints that are remembered.
+    /// Number of endpoints that are kept.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.runs.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no endpoint is kept.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.runs.is_empty()
     }
 
     fn find(&self, id: &str) -> Result<usize, usize> {
-        self.known
+        self.runs
             .binary_search_by(|known| known.run.id.as_str().cmp(id))
     }
 }
--- a/crates/policy/src/prefill_rate.rs
+++ b/crates/policy/src/prefill_rate.rs
@@ -1,64 +1,67 @@
-//! How fast the endpoints of a service read prompts.
+//! The rate at which the endpoints of a service prefill prompts.
 //!
-//! Nobody tells it, and engines differ by a factor of ten. What an entry sees is how
-//! long a prompt took until its first event, and how many tokens of it should have
-//! been unread. Most of what goes wrong makes a prompt look slow: it waited behind
-//! prompts of other entries, they were read at the same time, its beginning had been
-//! dropped meanwhile, the endpoint is a slow one. So the estimate is an upper
-//! quantile, which bounded steps follow: no single prompt moves it by more than a
-//! few hundredths, whatever an endpoint claims.
+//! Endpoints do not report the rate, and engines differ by a factor of ten. An entry
+//! observes how long a prompt took until its first event, and how many of its tokens
+//! should have been uncached. Most disturbances make a prompt look slow: it waited behind
+//! prompts of other entries, was prefilled together with them, had its prefix evicted
+//! from the cache, or went to a slow endpoint. The estimate is therefore an upper
+//! quantile, tracked in bounded steps: no single prompt moves it by more than a few
+//! hundredths, whatever an endpoint reports.
 
 use std::time::Duration;
 
-/// Tokens a millisecond before anything was seen. A mere start: an engine of half or
-/// four times that rate is known after sixty prompts.
-const START: f64 = 30.0;
-/// Bounds of the estimate, in tokens a millisecond: engines are known from one tenth
-/// of the upper one on.
-const BOUNDS: (f64, f64) = (3.0, 1_000.0);
-/// Share of the prompts that look slower than the rate that is looked for.
-const SLOWER: f64 = 0.7;
-/// Relative step with one prompt.
+/// Initial estimate, in tokens per millisecond. An engine of half or four times that rate
+/// is recognized after sixty prompts.
+const INITIAL_PER_MS: f64 = 30.0;
+/// Bounds of the estimate, in tokens per millisecond. Engines of a tenth of the
+/// upper bound and more exist.
+const BOUNDS_PER_MS: (f64, f64) = (3.0, 1_000.0);
+/// Fraction of prompts that appear slower than the estimated rate: the quantile tracked.
+const SLOWER_FRACTION: f64 = 0.7;
+/// Relative step of the estimate per prompt, before weighting.
 const STEP: f64 = 0.08;
-/// Unread tokens from which a prompt tells anything: below, the way there and the
-/// first step weigh as much as the reading.
-const ENOUGH: f64 = 1_000.0;
+/// Fewest uncached tokens of a prompt that is used: below that, network latency and the
+/// first decoding step take as long as the prefill.
+const MIN_TOKENS: f64 = 1_000.0;
 
-/// The rate at which endpoints of one service read.
+/// Estimated prefill rate of the endpoints of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillRate {
+    /// In tokens per millisecond.
     rate: f64,
 }
 
 impl Default for PrefillRate {
     fn default() -> Self {
-        Self { rate: START }
+        Self {
+            rate: INITIAL_PER_MS,
+        }
     }
 }
 
 impl PrefillRate {
-    /// A prompt with `tokens` that were not read before took `took` until its first
-    /// event, the way there and the first step not counted.
+    /// Updates the estimate with a prompt of `tokens` uncached tokens that took `took`
+    /// until its first event, without network latency and the first decoding step.
     pub fn observe(&mut self, tokens: f64, took: Duration) {
-        if !tokens.is_finite() || tokens < ENOUGH {
+        if !tokens.is_finite() || tokens < MIN_TOKENS {
             return;
         }
         let millis = took.as_secs_f64() * 1_000.0;
-        let quicker = tokens > self.rate * millis;
-        let step = if quicker {
-            STEP * SLOWER
+        let faster = tokens > self.rate * millis;
+        let step = if faster {
+            STEP * SLOWER_FRACTION
         } else {
-            -STEP * (1.0 - SLOWER)
+            -STEP * (1.0 - SLOWER_FRACTION)
         };
-        self.rate = (self.rate * (1.0 + step)).clamp(BOUNDS.0, BOUNDS.1);
+        self.rate = (self.rate * (1.0 + step)).clamp(BOUNDS_PER_MS.0, BOUNDS_PER_MS.1);
     }
 
-    /// Tokens that are read in a millisecond.
+    /// The estimate in tokens per millisecond.
     pub fn tokens_per_ms(&self) -> f64 {
         self.rate
     }
 
-    /// Time that reading `tokens` takes.
+    /// Estimated time to prefill `tokens` tokens.
     pub fn prefill_time(&self, tokens: f64) -> Duration {
         Duration::try_from_secs_f64(tokens / self.rate / 1_000.0).unwrap_or_default()
     }
--- a/crates/policy/src/served.rs
+++ b/crates/policy/src/served.rs
@@ -1,17 +1,18 @@
-//! Requests that one entry served lately.
+//! Requests that one entry served recently.
 //!
-//! The pattern: a question that many callers send word for word is under way at every
-//! endpoint, and so at each one that ends. That it was served a moment ago tells it from a
-//! request that ends them.
+//! A request with the same content that many callers send is in progress at every
+//! endpoint, and so at each one that crashes. That it was served a moment ago
+//! distinguishes it from a request that causes crashes.
 
 use crate::quarantine::HARMLESS_PERIOD;
 use dogwoodhill_core::prelude::*;
 
-/// Requests that are remembered, 32 bytes each: more than an entry answers within
+/// Number of slots, 32 bytes each: more than the requests that an entry serves within
 /// [`HARMLESS_PERIOD`].
 const SLOTS: usize = 2_048;
 
-/// Requests that were served lately. A later one may take the place of an earlier one.
+/// Fixed-size hash table of recently served requests. A later request may overwrite an
+/// earlier one in the same slot.
 #[derive(Clone, Debug)]
 pub struct ServedRequests {
     slots: Vec<(Fingerprint, Duration)>,
@@ -26,24 +27,24 @@
 }
 
 impl ServedRequests {
-    /// Notes that a request was served.
+    /// Records that a request was served at `now`.
     pub fn record(&mut self, now: Duration, request: Fingerprint) {
         self.slots[slot(request)] = (request, now);
     }
 
-    /// When a request was served, if that is so short ago that it counts.
+    /// When a request was served, if that was within [`HARMLESS_PERIOD`] before `now`.
     pub fn recently_served(
         &self,
         now: Duration,
         request: Fingerprint,
     ) -> Option<Duration> {
         let (known, at) = self.slots[slot(request)];
-        let counts = known == request && now.saturating_sub(at) < HARMLESS_PERIOD;
-        counts.then_some(at)
+        let recent = known == request && now.saturating_sub(at) < HARMLESS_PERIOD;
+        recent.then_some(at)
     }
 }
 
 fn slot(request: Fingerprint) -> usize {
-    // The remainder is far below the size of any word.
+    // The remainder is below `SLOTS`, so the cast loses nothing.
     (request % SLOTS as Fingerprint) as usize
 }
--- a/crates/policy/src/true_time.rs
+++ b/crates/policy/src/true_time.rs
@@ -1,86 +1,96 @@
-//! True time, as the middle of many wall clocks held against one steady clock.
+//! True time, estimated as the median of many wall clocks relative to one steady clock.
 //!
-//! A single wall clock may be off, or be stepped. The middle of several moves only where
-//! most of them do; and once it is settled it follows slowly, since true time and a steady
-//! clock hardly drift apart, so that even a step of most clocks moves it little.
+//! A single wall clock may be wrong, or may be stepped. The median of several moves only
+//! if most of them do. Once settled, the estimate follows the median slowly, since true
+//! time and a steady clock hardly drift apart, so that even a step of most clocks moves
+//! it little.
 
 use crate::Moment;
 use dogwoodhill_core::prelude::*;
 
-/// Names whose wall clock was told: a hash of an instance's run.
+/// Identifies a wall clock: a hash of the run of the process that reports it.
 pub type ClockId = u64;
 
-/// How long a told clock counts: some intervals at which entries tell.
-const KEPT: Duration = Duration::from_secs(3);
-/// Most clocks that count, enough for a steady middle.
-const MOST: usize = 512;
-/// Time after the first told clock in which the middle is taken as it is: instances that
-/// start together have all told by then.
-const SETTLES: Duration = Duration::from_secs(5);
-/// How far the offset may follow the middle in a second once it is settled. A wrong start
-/// heals in minutes, and a step that lasts for seconds moves it by some hundredths.
-const SLEW: f64 = 0.01;
+/// How long a reading counts: several of the intervals at which entries report.
+const READING_VALIDITY: Duration = Duration::from_secs(3);
+/// Most clocks that are used, enough for a stable median.
+const MAX_CLOCKS: usize = 512;
+/// Time after the first reading in which the estimate equals the median: instances that
+/// start together have all reported by its end.
+const SETTLING_PERIOD: Duration = Duration::from_secs(5);
+/// Most seconds that the settled offset moves per second. A wrong initial offset is
+/// corrected within minutes, and a step of the median that lasts for seconds moves it by
+/// some hundredths of a second.
+const MAX_SLEW: f64 = 0.01;
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    teller: ClockId,
+struct Reading {
+    clock: ClockId,
+    /// When it was received, on the steady clock.
     at: Moment,
+    /// Wall clock minus steady clock.
     offset: Duration,
 }
 
-/// What a steady clock has to be moved by to show true time.
+/// The estimated offset of true time from a steady clock.
 #[derive(Clone, Debug, Default)]
 pub struct TrueClock {
-    /// Sorted by teller.
-    told: Vec<Told>,
+    /// The newest reading of each clock, sorted by clock.
+    readings: Vec<Reading>,
+    /// When the first reading was received.
     first: Option<Moment>,
     offset: Option<Duration>,
-    moved: Moment,
+    /// When the offset was last updated.
+    updated: Moment,
 }
 
 impl TrueClock {
-    /// A teller's wall clock showed `wall` at `now` on the steady clock.
-    pub fn record(&mut self, now: Moment, teller: ClockId, wall: TrueTime) {
+    /// Records that a wall clock showed `wall` at `now` on the steady clock.
+    pub fn record(&mut self, now: Moment, clock: ClockId, wall: TrueTime) {
         self.first.get_or_insert(now);
-        self.told
-            .retain(|told| now.saturating_sub(told.at) < KEPT || told.teller == teller);
-        let new = Told {
-            teller,
+        self.readings.retain(|reading| {
+            now.saturating_sub(reading.at) < READING_VALIDITY || reading.clock == clock
+        });
+        let new = Reading {
+            clock,
             at: now,
             offset: wall.saturating_sub(now),
         };
-        match self.told.binary_search_by_key(&teller, |told| told.teller) {
-            Ok(at) => self.told[at] = new,
-            Err(at) if self.told.len() < MOST => self.told.insert(at, new),
+        match self
+            .readings
+            .binary_search_by_key(&clock, |reading| reading.clock)
+        {
+            Ok(at) => self.readings[at] = new,
+            Err(at) if self.readings.len() < MAX_CLOCKS => self.readings.insert(at, new),
             Err(_) => {}
         }
-        self.follow(now);
+        self.update_offset(now);
     }
 
-    /// True time at `now`; `None` before any clock was told.
+    /// True time at `now`; `None` before the first reading.
     pub fn now(&self, now: Moment) -> Option<TrueTime> {
         self.offset.map(|offset| offset + now)
     }
 
-    fn follow(&mut self, now: Moment) {
-        let Some(middle) = self.middle() else { return };
+    fn update_offset(&mut self, now: Moment) {
+        let Some(median) = self.median() else { return };
         let settling = self
             .first
-            .is_none_or(|first| now.saturating_sub(first) < SETTLES);
-        let passed = now.saturating_sub(self.moved);
-        self.moved = now;
+            .is_none_or(|first| now.saturating_sub(first) < SETTLING_PERIOD);
+        let passed = now.saturating_sub(self.updated);
+        self.updated = now;
         self.offset = match self.offset {
             Some(held) if !settling => {
-                let most = passed.mul_f64(SLEW);
-                Some(middle.clamp(held.saturating_sub(most), held + most))
+                let limit = passed.mul_f64(MAX_SLEW);
+                Some(median.clamp(held.saturating_sub(limit), held + limit))
             }
-            _ => Some(middle),
+            _ => Some(median),
         };
     }
 
-    fn middle(&self) -> Option<Duration> {
+    fn median(&self) -> Option<Duration> {
         let mut offsets: Vec<Duration> =
-            self.told.iter().map(|told| told.offset).collect();
+            self.readings.iter().map(|reading| reading.offset).collect();
         offsets.sort_unstable();
         offsets.get(offsets.len().checked_sub(1)? / 2).copied()
     }
--- a/crates/policy/src/usage/duty_lease.rs
+++ b/crates/policy/src/usage/duty_lease.rs
@@ -1,56 +1,58 @@
-//! A holder's own part in the lease of a duty: when it may act, by its own clock.
+//! The holder's side of the lease of a duty: when a machine may act, by its own clock.
 //!
-//! The log keeps two machines from holding a lease at once. That two never act at once, where
-//! nobody checks fencing numbers, rests on the holder too. Invariants:
+//! The log ensures that two machines never hold a lease at once. Where the receiver of
+//! the duty's results does not check fencing numbers, it depends on the holder as well
+//! that two machines never act at once. Invariants:
 //!
-//! * a lease is dated from when it was asked for: the log may have given it long before its
-//!   answer came;
-//! * nobody acts at or after the end of a lease, by a clock that goes on while the machine is
-//!   suspended;
-//! * the log keeps others out for a slack beyond the lease, in which what began before its end
-//!   is over;
-//! * who stood still closes nothing for a while: what it has not heard yet is not lost.
+//! * A lease is dated from its request, since the log may have granted it long before its
+//!   response arrived.
+//! * No machine acts at or after the end of its lease, by a clock that continues while
+//!   the machine is suspended.
+//! * The log excludes others for a slack beyond the lease, within which work begun before
+//!   its end is over.
+//! * A machine that was suspended closes no windows for a while, since messages that it
+//!   has not processed yet must not be lost.
 
 use dogwoodhill_core::prelude::*;
 
-/// A pause between two looks that means that this machine stood still.
-const STOOD_STILL: Duration = Duration::from_secs(1);
-/// Time after standing still in which nothing is closed: several of the intervals at which
-/// entries tell, and news of the log.
-const RECOVERS: Duration = Duration::from_secs(2);
-/// How long a holder that could not do its duty leaves it to others.
-const LEAVES: Duration = Duration::from_secs(10);
+/// Gap between two turns from which this machine is taken to have been suspended.
+const SUSPENSION_GAP: Duration = Duration::from_secs(1);
+/// Time after a suspension in which no windows are closed: several of the intervals at
+/// which entries report and the log sends updates.
+const RECOVERY_PERIOD: Duration = Duration::from_secs(2);
+/// How long a holder that could not perform its duty leaves it to others.
+const STAND_DOWN_PERIOD: Duration = Duration::from_secs(10);
 
-/// One machine's hold on a duty. Times are those of its own clock.
+/// One machine's view of the lease of a duty. All times are of its own clock.
 #[derive(Clone, Debug)]
 pub struct DutyLease {
     lease: Duration,
     slack: Duration,
     held: Option<Held>,
-    /// The highest fencing number that was refused.
+    /// The highest fencing number that was rejected.
     refused: Fence,
-    /// Until when another machine holds the duty.
-    barred: Duration,
-    /// When it looked last.
-    looked: Duration,
-    /// Until when it closes nothing.
-    unsure: Duration,
+    /// End of the lease of another machine.
+    other_until: Duration,
+    /// End of the last turn.
+    turn_ended: Duration,
+    /// Until when no windows are closed after a suspension.
+    recovering_until: Duration,
     /// Until when the duty is left to others.
-    away: Duration,
+    standing_down_until: Duration,
 }
 
-/// A question for the lease. It is dated when it is made, and made before it is sent, since
-/// what is sent comes out of it.
+/// A request for the lease. It carries the time of its creation, which precedes its
+/// sending since the message is made from it.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseRequest {
-    asked: Duration,
-    /// How long the lease is wanted for.
+    created: Duration,
+    /// Duration to request: that of the lease and the slack.
     pub duration: Duration,
-    /// A fencing number that was refused as too low; 0 for none.
+    /// The highest fencing number that was rejected as too low; 0 for none.
     pub refused: Fence,
 }
 
-/// A lease, as its holder sees it.
+/// A lease that this machine was granted; it may have ended.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     fence: Fence,
@@ -58,94 +60,97 @@
 }
 
 impl DutyLease {
-    /// No duty is held at `now`. A holder may act for `lease`, and what it began is over
-    /// within `slack` after that.
+    /// Starts at `now` without a lease. A holder may act for `lease`, and work that it
+    /// began is over within `slack` after that.
     pub fn new(now: Duration, lease: Duration, slack: Duration) -> Self {
         Self {
             lease,
             slack,
             held: None,
             refused: 0,
-            barred: Duration::ZERO,
-            looked: now,
-            unsure: Duration::ZERO,
-            away: Duration::ZERO,
+            other_until: Duration::ZERO,
+            turn_ended: now,
+            recovering_until: Duration::ZERO,
+            standing_down_until: Duration::ZERO,
         }
     }
 
-    /// Asks for the lease at `now`.
+    /// Creates a request for the lease at `now`.
     pub fn request(&self, now: Duration) -> LeaseRequest {
         LeaseRequest {
-            asked: now,
+            created: now,
             duration: self.lease + self.slack,
             refused: self.refused,
         }
     }
 
-    /// A turn of the machine's tasks begins.
+    /// Begins a turn of the machine's periodic tasks, and detects a suspension before it.
     pub fn begin_turn(&mut self, now: Duration) {
-        if now.saturating_sub(self.looked) > STOOD_STILL {
-            self.unsure = now + RECOVERS;
+        if now.saturating_sub(self.turn_ended) > SUSPENSION_GAP {
+            self.recovering_until = now + RECOVERY_PERIOD;
         }
     }
 
-    /// A turn of the machine's tasks is over.
+    /// Ends a turn of the machine's periodic tasks.
     pub fn end_turn(&mut self, now: Duration) {
-        self.looked = now;
+        self.turn_ended = now;
     }
 
-    /// Whether it may close what others may have news of.
+    /// Whether this machine may close windows: false for 2 s after a suspension.
     pub fn may_close(&self, now: Duration) -> bool {
-        now >= self.unsure
+        now >= self.recovering_until
     }
 
-    /// Whether it leaves the duty to others.
+    /// Whether this machine leaves the duty to others for now.
     pub fn is_standing_down(&self, now: Duration) -> bool {
-        now < self.away
+        now < self.standing_down_until
     }
 
-    /// Whether it may ask for the lease.
+    /// Whether this machine may request the lease: false while another one holds it.
     pub fn may_request(&self, now: Duration) -> bool {
-        now >= self.barred
+        now >= self.other_until
     }
 
-    /// The log gave or prolonged the lease. Whether its number is a new one.
-    pub fn granted(&mut self, question: LeaseRequest, fence: Fence) -> bool {
+    /// Records that the log granted or extended the lease. Returns whether its fencing
+    /// number is a new one.
+    pub fn granted(&mut self, request: LeaseRequest, fence: Fence) -> bool {
         let new = self.held.is_none_or(|held| held.fence != fence);
-        let until = question.asked + self.lease;
+        let until = request.created + self.lease;
         self.held = Some(Held { fence, until });
         new
     }
 
-    /// Another machine holds it for `left`. Whether this one did before.
+    /// Records that another machine holds the lease for `left`. Returns whether this one
+    /// held it before.
     pub fn held_by_other(&mut self, now: Duration, left: Duration) -> bool {
-        self.barred = now + left;
+        self.other_until = now + left;
         self.held.take().is_some()
     }
 
-    /// The number under which it may act now.
+    /// The fencing number under which this machine may act now; `None` if it may not.
     pub fn active_fence(&self, now: Duration) -> Option<Fence> {
         let held = self.held.filter(|held| now < held.until);
         held.map(|held| held.fence)
     }
 
-    /// Whether it takes itself for the holder, be it that the lease has ended.
+    /// Whether this machine was the last to be granted the lease, as far as it knows; the
+    /// lease may have ended.
     pub fn is_holder(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Whoever checks fencing numbers refused this one.
+    /// Records that a fencing number was rejected as too low, and drops the lease.
     pub fn fence_refused(&mut self, fence: Fence) {
         self.refused = self.refused.max(fence);
         self.held = None;
     }
 
-    /// It can't do its duty, and leaves it to others for a while.
+    /// Leaves the duty to others for 10 s, after this machine could not perform it.
     pub fn stand_down(&mut self, now: Duration) {
-        self.away = now + LEAVES;
+        self.standing_down_until = now + STAND_DOWN_PERIOD;
     }
 
-    /// It gives the lease up. Whether it had one.
+    /// Drops the lease. Returns whether there was one.
     pub fn release(&mut self) -> bool {
         self.held.take().is_some()
     }
--- a/crates/policy/src/usage/tally.rs
+++ b/crates/policy/src/usage/tally.rs
@@ -68,7 +68,7 @@
 impl Tally {
     /// Adds a report. Reports of new runs beyond 2,500 are dropped.
     pub fn record(&mut self, now: Moment, report: EntryReport) {
-        let found = self.runs.binary_search_by_key(&report.run, |t| t.run);
+        let found = self.runs.binary_search_by_key(&report.run, |run| run.run);
         let at = match found {
             Ok(at) => at,
             Err(_) if self.runs.len() >= MAX_RUNS => return,
@@ -161,8 +161,9 @@
         for run in &mut self.runs {
             run.windows.retain(|counts| counts.window >= self.next);
         }
-        let needed =
-            |t: &EntryRun| !t.windows.is_empty() || now.saturating_sub(t.at) < RETENTION;
+        let needed = |run: &EntryRun| {
+            !run.windows.is_empty() || now.saturating_sub(run.at) < RETENTION
+        };
         self.runs.retain(needed);
     }
 }
