--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -18,18 +18,19 @@
 //! * [`interference`]: whether streams with short pauses are kept apart at all;
 //! * [`reservation`]: which endpoints are kept free of long prompts;
 //! * [`packing`]: how many endpoints streams with short pauses are packed on;
-//! * [`prefill_rate`]: how fast endpoints read prompts;
-//! * [`incarnations`]: which run of each endpoint is the newest one;
-//! * [`list_reads`]: when an entry reads the list of endpoints by itself;
+//! * [`prefill_rate`]: the rate at which endpoints prefill prompts;
+//! * [`incarnations`]: the newest run of each endpoint;
+//! * [`list_reads`]: when an entry reads the list of endpoints itself;
 //! * [`backoff`]: endpoints that ask to be left alone for a while;
-//! * [`permits`]: limits on the rate of requests that endpoints name;
-//! * [`shared_health`]: what all entries together see of each endpoint;
-//! * [`quarantine`]: which requests crash endpoints, and are not sent on;
-//! * [`served`]: which requests were served lately;
-//! * [`transfer`]: fetching a large text that several sources have;
-//! * [`true_time`]: what time it is, by many wall clocks;
+//! * [`permits`]: rate limits that endpoints announce, enforced across all entries;
+//! * [`shared_health`]: endpoint health as observed by all entries together;
+//! * [`quarantine`]: requests that crash endpoints, and are not forwarded;
+//! * [`served`]: recently served requests;
+//! * [`transfer`]: fetching a large text in pieces from several sources;
+//! * [`true_time`]: true time, estimated from many wall clocks;
 //! * [`urgency`]: who goes first at an endpoint;
-//! * [`usage`]: how many requests of each workspace were begun in a window of time;
+//! * [`usage`]: counts of requests per workspace and window of time, and the lease
+//!   of the duty that finalizes them;
 //! * [`health`]: which endpoints an entry may use after what came back lately;
 //! * [`gate`]: the agent's decision to start or refuse, with [`limit`], the
 //!   number of requests its endpoint can run at once, learned from token gaps.
--- a/crates/policy/tests/permits.rs
+++ b/crates/policy/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name, and how many entries keep to them together.
+//! Rate limits announced by endpoints, enforced across many entries.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::permits::{
@@ -20,7 +20,7 @@
     Rate::new(per_second).expect("a rate")
 }
 
-fn named(per_second: f64) -> Limit {
+fn limit_of(per_second: f64) -> Limit {
     Limit::Named(rate(per_second))
 }
 
@@ -28,13 +28,13 @@
     Incarnation::new("i-1", Some(1))
 }
 
-/// Most requests that an endpoint takes in a [`WINDOW`].
-fn most(limit: f64) -> usize {
+/// Most requests that an endpoint may get in a [`WINDOW`].
+fn allowed(limit: f64) -> usize {
     (1.5 * limit * WINDOW.as_secs_f64()) as usize + 5
 }
 
-/// The largest number of `sent`, which rise, within one [`WINDOW`].
-fn densest(sent: &[Duration]) -> usize {
+/// The largest number of the ascending times `sent` within one [`WINDOW`].
+fn peak(sent: &[Duration]) -> usize {
     let within = sent
         .iter()
         .enumerate()
@@ -42,66 +42,67 @@
     within.max().unwrap_or(0)
 }
 
-/// Entries before one limited endpoint, in virtual time.
-struct Play {
+/// Entries sending to one limited endpoint, in virtual time.
+struct Simulation {
     entries: usize,
     limit: f64,
-    /// Requests a second that come to each entry.
+    /// Requests per second that arrive at each entry.
     demand: f64,
     seed: u64,
 }
 
-/// What befalls control instances in a play.
+/// State of the control instances during a simulation.
 #[derive(Clone, Copy, PartialEq)]
 enum Control {
-    Stays,
-    /// Entries go over to another one, each at a time of its own within a second.
-    Changes,
-    /// The one that all ask first answers only half of them.
+    Stable,
+    /// Entries switch to another instance, each at its own time within a second.
+    Failover,
+    /// The first choice answers only half of the entries.
     Split,
-    /// None answers any more.
-    Gone,
+    /// No instance answers any more.
+    Down,
 }
 
-impl Play {
+impl Simulation {
     const STEP: Duration = ms(20);
-    const LENGTH: Duration = ms(24_000);
-    const TURN: Duration = ms(9_000);
+    const DURATION: Duration = ms(24_000);
+    const FAULT_AT: Duration = ms(9_000);
 
-    /// Times at which requests go to the endpoint, from when each entry has heard of the limit.
-    fn sent(&self, control: Control) -> Vec<Duration> {
+    /// Times at which requests are sent to the endpoint. Each entry knows the limit from
+    /// the start.
+    fn run(&self, control: Control) -> Vec<Duration> {
         let mut random = StdRng::seed_from_u64(self.seed);
-        let mut holders = [Limits::default(), Limits::default()];
+        let mut instances = [Limits::default(), Limits::default()];
         let mut entries: Vec<(Permits, Duration, Duration)> = (0..self.entries)
             .map(|_| {
                 let mut permits = Permits::default();
-                permits.observe(Duration::ZERO, named(self.limit));
-                let asks = ms(random.random_range(0..500));
-                let moves = Self::TURN + ms(random.random_range(0..1_000));
-                (permits, asks, moves)
+                permits.observe(Duration::ZERO, limit_of(self.limit));
+                let next_report = ms(random.random_range(0..500));
+                let fault_at = Self::FAULT_AT + ms(random.random_range(0..1_000));
+                (permits, next_report, fault_at)
             })
             .collect();
         let mut sent = Vec::new();
         let mut now = Duration::ZERO;
-        while now < Self::LENGTH {
-            for (permits, asks, moves) in &mut entries {
-                let alone = control == Control::Gone && now >= *moves;
-                if alone {
+        while now < Self::DURATION {
+            for (permits, next_report, fault_at) in &mut entries {
+                let cut_off = control == Control::Down && now >= *fault_at;
+                if cut_off {
                     permits.begin_autonomy(self.entries as u32, random.random());
-                } else if *asks <= now {
-                    *asks = now + ms(random.random_range(400..600));
-                    let changed = control == Control::Changes && now >= *moves;
-                    // The first choice is silent for this entry, and not for the others.
+                } else if *next_report <= now {
+                    *next_report = now + ms(random.random_range(400..600));
+                    let failed_over = control == Control::Failover && now >= *fault_at;
+                    // The first choice does not answer this entry, but answers others.
                     let split =
-                        control == Control::Split && *moves > Self::TURN + ms(500);
+                        control == Control::Split && *fault_at > Self::FAULT_AT + ms(500);
                     let choice = if split {
                         ControlChoice::Second
                     } else {
                         ControlChoice::First
                     };
-                    if let Some(news) = permits.report(now) {
-                        let holder = &mut holders[usize::from(changed || split)];
-                        let granted = holder.apply_report(now, &run(), news, choice);
+                    if let Some(report) = permits.report(now) {
+                        let instance = &mut instances[usize::from(failed_over || split)];
+                        let granted = instance.apply_report(now, &run(), report, choice);
                         permits.receive_grant(now, granted);
                     }
                 }
@@ -110,7 +111,7 @@
                     && permits.demand(now)
                     && permits.take(now).is_some()
                 {
-                    permits.observe(now, named(self.limit));
+                    permits.observe(now, limit_of(self.limit));
                     sent.push(now);
                 }
             }
@@ -120,39 +121,39 @@
     }
 }
 
-/// Nine, 33 and 303 entries, little and much to do, one control instance, a change of it, and
-/// none: the endpoint never gets more than it takes. Permits that end unused, where there is
-/// little to do at each entry, leave it a good part of that.
+/// For 1 to 303 entries, low and high load, and every state of the control instances, the
+/// endpoint never gets more than its limit allows. With a stable instance it also gets a
+/// good part of the limit, although permits expire unused at entries with little load.
 #[test]
-fn limit_kept_by_all_entries_together() {
+fn limits_kept_by_all_entries_together() {
     for entries in [1, 9, 33, 303] {
         for limit in [0.0, 0.25, 1.0, 1.3, 8.0, 200.0] {
             let all = [
-                Control::Stays,
-                Control::Changes,
+                Control::Stable,
+                Control::Failover,
                 Control::Split,
-                Control::Gone,
+                Control::Down,
             ];
             for control in all {
                 let demand = (40.0 / entries as f64).max(0.4 * limit / entries as f64);
                 let seed = entries as u64;
-                let play = Play {
+                let simulation = Simulation {
                     entries,
                     limit,
                     demand: demand.min(60.0),
                     seed,
                 };
-                let sent = play.sent(control);
-                let densest = densest(&sent);
+                let sent = simulation.run(control);
+                let peak = peak(&sent);
                 let case = format!("{entries} entries, {limit} a second");
-                assert!(densest <= most(limit), "{case}: {densest}");
-                // Where entries have next to nothing to do, most permits end unused.
-                let busy = play.demand >= 1.0 && limit > 0.0;
-                assert!(!busy || !sent.is_empty(), "{case}: it gets something");
-                let offered = play.demand * entries as f64;
+                assert!(peak <= allowed(limit), "{case}: {peak}");
+                // At entries with hardly any load, most permits expire unused.
+                let busy = simulation.demand >= 1.0 && limit > 0.0;
+                assert!(!busy || !sent.is_empty(), "{case}: nothing was sent");
+                let offered = simulation.demand * entries as f64;
                 let enough = busy && limit >= 1.0 && limit <= offered / 4.0;
-                if control == Control::Stays && enough {
-                    let wanted = 0.4 * limit * Play::LENGTH.as_secs_f64();
+                if control == Control::Stable && enough {
+                    let wanted = 0.4 * limit * Simulation::DURATION.as_secs_f64();
                     let got = sent.len() as f64;
                     assert!(got >= wanted, "{case}: {got} of {wanted}");
                 }
@@ -162,9 +163,9 @@
 }
 
 #[test]
-fn permits_end() {
+fn permits_expire() {
     let mut permits = Permits::default();
-    permits.observe(ms(0), named(2.0));
+    permits.observe(ms(0), limit_of(2.0));
     assert!(!permits.demand(ms(10)), "none was granted");
     permits.receive_grant(ms(100), 2);
     assert!(permits.demand(ms(200)));
@@ -173,89 +174,92 @@
     assert_eq!(
         permits.take(ms(100) + PERMIT_VALIDITY),
         None,
-        "the other one is over"
+        "the other one has expired"
     );
 }
 
 #[test]
-fn permits_unlimited_without_end() {
+fn permits_without_limit_never_expire() {
     let mut permits = Permits::default();
     assert!(permits.demand(ms(0)));
     assert_eq!(permits.take(ms(0)), Some(Permit { until: None }));
     assert!(!permits.observe(ms(0), Limit::Unreadable));
-    assert!(permits.demand(ms(0)), "nothing can be kept to");
+    assert!(permits.demand(ms(0)), "an unreadable limit is no limit");
     assert_eq!(permits.report(ms(0)), None);
 }
 
 #[test]
-fn permits_lower_limit_leaves_a_part() {
+fn permits_scaled_down_by_lower_limit() {
     let mut permits = Permits::default();
-    permits.observe(ms(0), named(8.0));
+    permits.observe(ms(0), limit_of(8.0));
     permits.receive_grant(ms(0), 4);
-    assert!(permits.observe(ms(100), named(2.0)));
+    assert!(permits.observe(ms(100), limit_of(2.0)));
     assert!(permits.take(ms(200)).is_some());
     assert_eq!(permits.take(ms(200)), None);
 }
 
-/// Answers overtake each other: one without a limit ends it only some time after.
+/// Responses overtake each other, so one without a limit ends the limit only after a
+/// delay.
 #[test]
-fn limit_ends_some_time_after_it_was_named() {
+fn permits_limit_ends_after_delay() {
     let mut permits = Permits::default();
-    permits.observe(ms(1_000), named(1.0));
+    permits.observe(ms(1_000), limit_of(1.0));
     assert!(!permits.observe(ms(1_100), Limit::Unnamed));
     assert!(!permits.demand(ms(1_100)));
     assert!(permits.observe(ms(1_400), Limit::Unnamed));
     assert!(permits.demand(ms(1_400)));
-    let news = permits.report(ms(1_500)).expect("the others are told");
-    assert_eq!(news.observed.rate, None);
+    let report = permits
+        .report(ms(1_500))
+        .expect("the end of the limit is reported");
+    assert_eq!(report.observed.rate, None);
     permits.receive_grant(ms(1_500), 0);
-    assert_eq!(permits.report(ms(1_600)), None, "once");
+    assert_eq!(permits.report(ms(1_600)), None, "reported once");
     assert!(
-        permits.observe(ms(2_000), named(3.0)),
-        "and it may come again"
+        permits.observe(ms(2_000), limit_of(3.0)),
+        "a new limit may follow"
     );
 }
 
-/// One entry hears of the limit and of its end, the other one by control alone.
+/// One entry observes a limit and its end; the other one learns both from control only.
 #[test]
-fn limit_told_to_entries_that_heard_nothing() {
+fn limits_distributed_to_other_entries() {
     let mut limits = Limits::default();
-    let (mut hears, mut is_told) = (Permits::default(), Permits::default());
-    hears.observe(ms(1_000), named(2.0));
-    let news = hears.report(ms(1_100)).expect("it heard");
+    let (mut observer, mut other) = (Permits::default(), Permits::default());
+    observer.observe(ms(1_000), limit_of(2.0));
+    let report = observer.report(ms(1_100)).expect("a limit was observed");
     assert_eq!(
-        limits.apply_report(ms(1_101), &run(), news, ControlChoice::First),
+        limits.apply_report(ms(1_101), &run(), report, ControlChoice::First),
         0,
         "no permits yet"
     );
-    let seen: Vec<Observation> = limits
+    let observations: Vec<Observation> = limits
         .observations(ms(1_200))
         .map(|known| known.1)
         .collect();
-    assert!(is_told.merge(seen[0]));
-    assert!(!is_told.demand(ms(1_200)));
-    let wants = is_told.report(ms(2_200)).expect("it could use one");
-    assert_eq!(wants.wanted, 1);
+    assert!(other.merge(observations[0]));
+    assert!(!other.demand(ms(1_200)));
+    let demand_report = other.report(ms(2_200)).expect("a permit is needed");
+    assert_eq!(demand_report.wanted, 1);
     assert_eq!(
-        limits.apply_report(ms(2_201), &run(), wants, ControlChoice::First),
+        limits.apply_report(ms(2_201), &run(), demand_report, ControlChoice::First),
         1
     );
-    hears.observe(ms(3_000), Limit::Unnamed);
-    let news = hears.report(ms(3_100)).expect("it ended");
-    limits.apply_report(ms(3_101), &run(), news, ControlChoice::First);
-    let seen: Vec<Observation> = limits
+    observer.observe(ms(3_000), Limit::Unnamed);
+    let report = observer.report(ms(3_100)).expect("the limit ended");
+    limits.apply_report(ms(3_101), &run(), report, ControlChoice::First);
+    let observations: Vec<Observation> = limits
         .observations(ms(3_200))
         .map(|known| known.1)
         .collect();
-    assert!(is_told.merge(seen[0]));
-    assert!(is_told.demand(ms(3_200)));
+    assert!(other.merge(observations[0]));
+    assert!(other.demand(ms(3_200)));
 }
 
-/// An older observed, as an entry tells it that stood still, changes nothing.
+/// An older observation, as reported by an entry that was suspended, changes nothing.
 #[test]
-fn limit_older_word_is_ignored() {
+fn limits_older_observation_ignored() {
     let mut limits = Limits::default();
-    let news = |limit: Option<f64>, at, wanted| LimitReport {
+    let report = |limit: Option<f64>, at, wanted| LimitReport {
         observed: Observation {
             rate: limit.map(rate),
             at,
@@ -265,52 +269,71 @@
     limits.apply_report(
         ms(5_000),
         &run(),
-        news(Some(1.0), ms(5_000), 0),
+        report(Some(1.0), ms(5_000), 0),
         ControlChoice::First,
     );
     limits.apply_report(
         ms(6_000),
         &run(),
-        news(None, ms(6_000), 0),
+        report(None, ms(6_000), 0),
         ControlChoice::First,
     );
     limits.apply_report(
         ms(7_000),
         &run(),
-        news(Some(1.0), ms(5_500), 1),
+        report(Some(1.0), ms(5_500), 1),
         ControlChoice::First,
     );
     let known = limits
         .observations(ms(7_000))
         .next()
-        .expect("it is remembered")
+        .expect("it is still known")
         .1;
     assert_eq!(known.rate, None);
-    assert_eq!(limits.observations(ms(70_000)).count(), 0, "for a while");
+    assert_eq!(
+        limits.observations(ms(70_000)).count(),
+        0,
+        "dropped once old"
+    );
 }
 
-/// Another start of the same endpoint owes nothing to what was said before.
+/// A new run of an endpoint replaces the limit of the earlier run.
 #[test]
-fn limit_of_an_earlier_start_is_over() {
+fn limits_earlier_run_superseded() {
     let mut limits = Limits::default();
     let observed = |at| Observation {
         rate: Some(rate(1.0)),
         at,
     };
-    let news = |at, wanted| LimitReport {
+    let report = |at, wanted| LimitReport {
         observed: observed(at),
         wanted,
     };
-    let later = Incarnation::new("i-1", Some(2));
-    limits.apply_report(ms(1_000), &run(), news(ms(1_000), 0), ControlChoice::First);
-    limits.apply_report(ms(2_000), &later, news(ms(2_000), 0), ControlChoice::First);
+    let later_run = Incarnation::new("i-1", Some(2));
+    limits.apply_report(
+        ms(1_000),
+        &run(),
+        report(ms(1_000), 0),
+        ControlChoice::First,
+    );
+    limits.apply_report(
+        ms(2_000),
+        &later_run,
+        report(ms(2_000), 0),
+        ControlChoice::First,
+    );
     assert_eq!(
-        limits.apply_report(ms(9_000), &run(), news(ms(9_000), 1), ControlChoice::First),
+        limits.apply_report(
+            ms(9_000),
+            &run(),
+            report(ms(9_000), 1),
+            ControlChoice::First
+        ),
         0
     );
     assert_eq!(
         limits.observations(ms(9_000)).next().map(|known| known.0),
-        Some(&later)
+        Some(&later_run)
     );
 }
 
@@ -320,9 +343,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever entries ask for and whenever, one instance hands out no more than it may.
+    /// For any reports at any times, one instance grants no more permits than the limit
+    /// allows.
     #[test]
-    fn limits_grant_no_more_than_a_limit_allows(
+    fn limits_grants_bounded(
         limit in prop_oneof![Just(0.0), 0.01..2.0, 2.0..500.0],
         asked in proptest::collection::vec((0u64..3_000, 0u32..100), 1..200),
     ) {
@@ -332,7 +356,12 @@
         for (passed, wanted) in asked {
             now += ms(passed);
             let observed = Observation { rate: Some(rate(limit)), at: now };
-            let permits = limits.apply_report(now, &run(), LimitReport { observed, wanted }, ControlChoice::First);
+            let permits = limits.apply_report(
+                now,
+                &run(),
+                LimitReport { observed, wanted },
+                ControlChoice::First,
+            );
             granted.push((now, permits));
         }
         for (at, first) in granted.iter().enumerate() {
@@ -348,16 +377,16 @@
     }
 }
 
-/// A limit of zero: the endpoint gets a request now and then, so that it can say that it takes
-/// more.
+/// An endpoint with a limit of zero gets occasional requests, so that it can announce a
+/// higher limit.
 #[test]
-fn limit_of_zero_is_asked_about() {
-    let play = Play {
+fn limits_zero_rate_still_probed() {
+    let simulation = Simulation {
         entries: 9,
         limit: 0.0,
         demand: 10.0,
         seed: 3,
     };
-    let sent = play.sent(Control::Stays);
+    let sent = simulation.run(Control::Stable);
     assert!(!sent.is_empty() && sent.len() <= 3, "{sent:?}");
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which of the requests that were lost with their endpoints is the cause.
+//! Finding the cause among the requests that were lost with their endpoints.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::quarantine::{
@@ -11,11 +11,11 @@
     Duration::from_millis(millis)
 }
 
-/// Long enough after a crash that one entry's word counts.
-const LATER: u64 = 1_000;
+/// Time after a crash, in milliseconds, after which the report of one entry suffices.
+const CONFIRMED_MS: u64 = 1_000;
 const CULPRIT: Fingerprint = 1;
-/// Requests that came beside it.
-const BESIDE: std::ops::Range<Fingerprint> = 100..110;
+/// Requests that run on the same endpoints as the culprit.
+const BYSTANDERS: std::ops::Range<Fingerprint> = 100..110;
 
 fn loss(request: Fingerprint, run: u64, at: u64) -> LostRequest {
     LostRequest {
@@ -28,7 +28,8 @@
     }
 }
 
-/// Endpoint `run` ends at `at`, with these requests, each at an entry of its own.
+/// Endpoint `run` crashes at `at` with these requests, each reported by a different
+/// entry.
 fn crash(
     quarantine: &mut Quarantine,
     run: u64,
@@ -41,12 +42,12 @@
     }
 }
 
-fn found(quarantine: &mut Quarantine, now: u64) -> Vec<Fingerprint> {
+fn evaluate(quarantine: &mut Quarantine, now: u64) -> Vec<Fingerprint> {
     let found = quarantine.evaluate(ms(now));
     found.into_iter().map(|found| found.request).collect()
 }
 
-/// Crashes of endpoints 0, 1 and so on, each 10 s after the one before, under one request.
+/// Crashes of endpoints 0, 1 and so on under one request, 10 s apart.
 fn crashes(count: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for run in 0..count {
@@ -56,78 +57,88 @@
 }
 
 #[test]
-fn judge_third_crash_found() {
+fn evaluate_third_crash_found() {
     let mut quarantine = crashes(2);
-    assert_eq!(found(&mut quarantine, 10_000 + LATER), [], "chance");
+    assert_eq!(
+        evaluate(&mut quarantine, 10_000 + CONFIRMED_MS),
+        [],
+        "two may be chance"
+    );
     crash(&mut quarantine, 2, 20_000, [CULPRIT]);
-    assert_eq!(found(&mut quarantine, 20_000 + LATER), [CULPRIT]);
-    let standing = quarantine.status(ms(20_000 + LATER), CULPRIT);
+    assert_eq!(evaluate(&mut quarantine, 20_000 + CONFIRMED_MS), [CULPRIT]);
+    let status = quarantine.status(ms(20_000 + CONFIRMED_MS), CULPRIT);
     assert_eq!(
-        (standing.crashes, standing.remaining),
+        (status.crashes, status.remaining),
         (3, Some(quarantine_period(1)))
     );
-    assert_eq!(found(&mut quarantine, 20_000 + 2 * LATER), [], "once");
+    assert_eq!(
+        evaluate(&mut quarantine, 20_000 + 2 * CONFIRMED_MS),
+        [],
+        "found once"
+    );
 }
 
-/// One entry's word waits for a sign of life; two that lost the endpoint are enough.
+/// A crash reported by one entry is confirmed only after a while, one reported by two at
+/// once.
 #[test]
-fn judge_crash_told_by_two_found_at_once() {
+fn evaluate_crash_reported_twice_found_at_once() {
     let mut quarantine = crashes(3);
-    assert_eq!(found(&mut quarantine, 20_001), []);
+    assert_eq!(evaluate(&mut quarantine, 20_001), []);
     crash(&mut quarantine, 2, 20_001, [7]);
-    assert_eq!(found(&mut quarantine, 20_002), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 20_002), [CULPRIT]);
 }
 
-/// A connection broke and others were refused, as by an engine with a long queue.
+/// A connection broke and others were refused, as by an engine with a long queue, but
+/// data arrives later: the endpoint did not crash.
 #[test]
-fn alive_endpoint_is_no_crash() {
+fn record_alive_disproves_crash() {
     let mut quarantine = crashes(3);
     let run = Incarnation::new("i-1", None);
     for heard in [9_000, 10_300] {
-        // What came before it ended is read a little later, too.
+        // Bytes sent before the crash may be read a little later.
         quarantine.record_alive(&run, ms(heard));
         assert_eq!(quarantine.status(ms(20_000), CULPRIT).crashes, 3);
     }
     quarantine.record_alive(&run, ms(10_600));
     assert_eq!(quarantine.status(ms(20_000), CULPRIT).crashes, 2);
-    assert_eq!(found(&mut quarantine, 20_000 + LATER), []);
+    assert_eq!(evaluate(&mut quarantine, 20_000 + CONFIRMED_MS), []);
 }
 
-/// Ten ordinary requests are beside it at each of its crashes, and come again with it. While
-/// nothing tells them apart none is held; once it crashed an endpoint alone, it is.
+/// Ten ordinary requests are lost in each crash of the culprit. While they cannot be
+/// distinguished, none is quarantined; once it crashes an endpoint without them, it is.
 #[test]
-fn judge_ten_beside_at_each_crash_spared() {
+fn evaluate_bystanders_spared() {
     let mut quarantine = Quarantine::default();
     for run in 0..3 {
-        let all = BESIDE.chain([CULPRIT]);
+        let all = BYSTANDERS.chain([CULPRIT]);
         crash(&mut quarantine, run, run * 1_000, all);
     }
-    assert_eq!(found(&mut quarantine, 2_000 + LATER), []);
-    // Suspected, they run apart from each other.
+    assert_eq!(evaluate(&mut quarantine, 2_000 + CONFIRMED_MS), []);
+    // Suspects run apart from each other.
     crash(&mut quarantine, 3, 4_000, [CULPRIT]);
-    assert_eq!(found(&mut quarantine, 4_000 + LATER), [CULPRIT]);
-    assert_eq!(found(&mut quarantine, 60_000), [], "nobody else");
+    assert_eq!(evaluate(&mut quarantine, 4_000 + CONFIRMED_MS), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 60_000), [], "no bystander");
 }
 
-/// The same, and the others are served before it comes again.
+/// The bystanders are served before the culprit is sent again.
 #[test]
-fn judge_beside_and_served_spared() {
+fn evaluate_served_bystanders_spared() {
     let mut quarantine = Quarantine::default();
     for run in 0..3 {
-        let all = BESIDE.chain([CULPRIT]);
+        let all = BYSTANDERS.chain([CULPRIT]);
         crash(&mut quarantine, run, run * 1_000, all);
     }
-    for request in BESIDE {
+    for request in BYSTANDERS {
         quarantine.record_served(request, ms(3_000));
     }
-    assert_eq!(found(&mut quarantine, 3_000), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 3_000), [CULPRIT]);
     assert_eq!(quarantine.notices(ms(3_000)).len(), 1);
 }
 
-/// It ends a sixth endpoint, and something else was lost with all six: it is not let on for
-/// the sake of that. The other one sometimes lasted longer.
+/// Two requests are lost with the same six endpoints: from six crashes on one of them is
+/// quarantined although they cannot be distinguished, the one with the shorter run time.
 #[test]
-fn judge_always_together_ends_as_well() {
+fn evaluate_inseparable_found_after_six() {
     let mut quarantine = Quarantine::default();
     for run in 0..6 {
         crash(&mut quarantine, run, run * 1_000, [CULPRIT]);
@@ -137,53 +148,62 @@
         };
         quarantine.record_loss(ms(run * 1_000), 5, &longer);
         let expected = if run < 5 { vec![] } else { vec![CULPRIT] };
-        assert_eq!(found(&mut quarantine, run * 1_000 + 700), expected, "{run}");
+        assert_eq!(
+            evaluate(&mut quarantine, run * 1_000 + 700),
+            expected,
+            "{run}"
+        );
     }
-    assert_eq!(found(&mut quarantine, 60_000), [], "explained");
+    assert_eq!(
+        evaluate(&mut quarantine, 60_000),
+        [],
+        "all crashes are attributed"
+    );
 }
 
-/// A question that many callers send word for word is under way wherever an endpoint ends.
+/// A request that many callers send with the same content is in progress on every
+/// endpoint that crashes, but is served elsewhere.
 #[test]
-fn judge_served_word_for_word_spared() {
+fn evaluate_common_request_spared() {
     let mut quarantine = Quarantine::default();
     for run in 0..8 {
         crash(&mut quarantine, run, run * 1_000, [100]);
         quarantine.record_served(100, ms(run * 1_000 + 300));
-        assert_eq!(found(&mut quarantine, run * 1_000 + 700), [], "{run}");
+        assert_eq!(evaluate(&mut quarantine, run * 1_000 + 700), [], "{run}");
     }
 }
 
-/// It worked for long, and ends endpoints since they are of another version.
+/// A request that was served long ago crashes endpoints, as after an upgrade of them.
 #[test]
-fn judge_served_long_ago_found() {
+fn evaluate_served_long_ago_found() {
     let mut quarantine = Quarantine::default();
     quarantine.record_served(CULPRIT, ms(0));
     for run in 0..3 {
         crash(&mut quarantine, run, 20_000 + run * 1_000, [CULPRIT]);
         quarantine.record_served(CULPRIT, ms(0));
     }
-    assert_eq!(found(&mut quarantine, 22_000 + LATER), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 22_000 + CONFIRMED_MS), [CULPRIT]);
 }
 
-/// Three endpoints are lost with their failure domain, and the same request, sent by many
-/// callers, was at each of them.
+/// Three endpoints are lost with their failure domain while running the same request,
+/// sent by many callers.
 #[test]
-fn judge_failure_domain_lost_is_no_proof() {
+fn evaluate_failure_domain_lost_spared() {
     let mut quarantine = Quarantine::default();
     for (run, at) in [(0, 1_000), (3, 1_040), (6, 1_110)] {
         crash(&mut quarantine, run, at, [100]);
     }
-    assert_eq!(found(&mut quarantine, 1_110 + LATER), []);
+    assert_eq!(evaluate(&mut quarantine, 1_110 + CONFIRMED_MS), []);
     assert_eq!(quarantine.status(ms(3_000), 100).crashes, 2);
-    // One of another domain that ends in the same moment counts.
+    // A crash in another domain at the same moment counts.
     crash(&mut quarantine, 1, 1_050, [100]);
-    assert_eq!(found(&mut quarantine, 1_110 + LATER), [100]);
+    assert_eq!(evaluate(&mut quarantine, 1_110 + CONFIRMED_MS), [100]);
 }
 
-/// One failure domain, and a caller that sends again at once: each endpoint began the
-/// request after the one before had ended.
+/// A caller retries at once within one failure domain: each endpoint started the request
+/// after the previous one had crashed, so the crashes are independent.
 #[test]
-fn judge_one_after_the_other_in_one_domain_found() {
+fn evaluate_sequence_in_one_domain_found() {
     let mut quarantine = Quarantine::default();
     for run in [0, 3, 6] {
         let lost = LostRequest {
@@ -192,49 +212,53 @@
         };
         quarantine.record_loss(ms(1_100), 1, &lost);
     }
-    assert_eq!(found(&mut quarantine, 1_100 + LATER), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 1_100 + CONFIRMED_MS), [CULPRIT]);
 }
 
-/// What a quarantined request explains, no other one is held for, now or later.
+/// A crash attributed to a quarantined request never counts against another one.
 #[test]
-fn judge_explained_crashes_count_once() {
+fn evaluate_attributed_crashes_count_once() {
     let mut quarantine = crashes(5);
     for run in 1..4 {
         crash(&mut quarantine, run, run * 10_000, [100]);
     }
-    assert_eq!(found(&mut quarantine, 50_000), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 50_000), [CULPRIT]);
     for run in 10..12 {
         crash(&mut quarantine, run, run * 10_000, [100]);
     }
-    assert_eq!(found(&mut quarantine, 150_000), [], "two of its own");
+    assert_eq!(
+        evaluate(&mut quarantine, 150_000),
+        [],
+        "only two of its own"
+    );
 }
 
 #[test]
-fn judge_two_culprits_both_found() {
+fn evaluate_two_culprits_found() {
     let mut quarantine = Quarantine::default();
     for run in 0..6 {
         let request = CULPRIT + (run % 2) as Fingerprint;
         crash(&mut quarantine, run, run * 1_000, [request]);
     }
-    let mut all = found(&mut quarantine, 10_000);
+    let mut all = evaluate(&mut quarantine, 10_000);
     all.sort_unstable();
     assert_eq!(all, [CULPRIT, CULPRIT + 1]);
 }
 
-/// A quarantine ends; then one more crash is enough, and the next one lasts longer.
+/// After a quarantine one more crash leads to the next one, which lasts longer.
 #[test]
-fn term_ends_and_grows() {
+fn quarantine_period_ends_and_doubles() {
     let mut quarantine = crashes(3);
-    assert_eq!(found(&mut quarantine, 21_000), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 21_000), [CULPRIT]);
     let over = 21_000 + quarantine_period(1).as_millis() as u64;
     assert!(quarantine.status(ms(over - 1), CULPRIT).remaining.is_some());
-    assert_eq!(found(&mut quarantine, over + 1), []);
-    let standing = quarantine.status(ms(over + 1), CULPRIT);
-    assert_eq!((standing.crashes, standing.remaining), (2, None));
+    assert_eq!(evaluate(&mut quarantine, over + 1), []);
+    let status = quarantine.status(ms(over + 1), CULPRIT);
+    assert_eq!((status.crashes, status.remaining), (2, None));
     crash(&mut quarantine, 9, over + 5_000, [CULPRIT]);
-    assert_eq!(found(&mut quarantine, over + 6_000), [CULPRIT]);
-    let standing = quarantine.status(ms(over + 6_000), CULPRIT);
-    assert_eq!(standing.remaining, Some(quarantine_period(2)));
+    assert_eq!(evaluate(&mut quarantine, over + 6_000), [CULPRIT]);
+    let status = quarantine.status(ms(over + 6_000), CULPRIT);
+    assert_eq!(status.remaining, Some(quarantine_period(2)));
     assert!(
         quarantine_period(2) == 2 * quarantine_period(1)
             && quarantine_period(60) == quarantine_period(61)
@@ -242,33 +266,33 @@
 }
 
 #[test]
-fn take_held_until_its_end() {
+fn take_quarantined_until_end() {
     let mut quarantine = Quarantine::default();
     quarantine.take(ms(0), CULPRIT, 1, 2, ms(5_000));
     quarantine.take(ms(0), 2, 1, 1, ms(0));
-    assert_eq!(quarantine.quarantined_count(), 1, "one was over");
+    assert_eq!(quarantine.quarantined_count(), 1, "the other one had ended");
     let left = |at| quarantine.status(ms(at), CULPRIT).remaining;
     assert_eq!(left(1_000), Some(ms(4_000)));
     assert_eq!(left(5_001), None);
 }
 
-/// Crashes are forgotten, and with them the request.
+/// Old crashes are dropped, and with them the request.
 #[test]
-fn judge_old_crashes_forgotten() {
+fn evaluate_old_crashes_dropped() {
     let mut quarantine = crashes(2);
     let later = CRASH_RETENTION.as_millis() as u64 + 10_000;
     crash(&mut quarantine, 9, later, [CULPRIT]);
-    assert_eq!(found(&mut quarantine, later + LATER), []);
-    assert_eq!(found(&mut quarantine, 2 * later), []);
+    assert_eq!(evaluate(&mut quarantine, later + CONFIRMED_MS), []);
+    assert_eq!(evaluate(&mut quarantine, 2 * later), []);
     assert!(quarantine.is_empty());
 }
 
-/// A workspace whose requests are lost by the thousand, as after an outage, takes no other
-/// one's memory, and a quarantine of another one stays.
+/// Thousands of lost requests of one workspace, as after an outage, are bounded and do
+/// not displace the quarantine of another workspace's request.
 #[test]
-fn lost_thousands_of_one_workspace_bounded() {
+fn record_loss_bounded_per_workspace() {
     let mut quarantine = crashes(3);
-    assert_eq!(found(&mut quarantine, 21_000), [CULPRIT]);
+    assert_eq!(evaluate(&mut quarantine, 21_000), [CULPRIT]);
     for request in 1_000..9_000 {
         let loss = LostRequest {
             workspace: 2,
@@ -283,7 +307,7 @@
 }
 
 #[test]
-fn served_lately_only() {
+fn recently_served_only() {
     let mut served = ServedRequests::default();
     served.record(ms(1_000), 7);
     assert_eq!(served.recently_served(ms(2_000), 7), Some(ms(1_000)));
@@ -298,24 +322,27 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever else was lost with its endpoints, in whatever pattern: the culprit is found
-    /// as soon as nobody else was at all its crashes, and nobody else ever is.
+    /// Whichever bystanders are lost with its endpoints, the culprit is found as soon as
+    /// no bystander was lost in all of its crashes, and no bystander is ever quarantined.
     #[test]
-    fn judge_never_whom_chance_put_beside(
-        beside in proptest::collection::vec(
-            proptest::collection::btree_set(BESIDE, 0..10), 1..6),
+    fn evaluate_never_bystanders(
+        bystanders in proptest::collection::vec(
+            proptest::collection::btree_set(BYSTANDERS, 0..10), 1..6),
         pause in 300u64..20_000,
     ) {
         let mut quarantine = Quarantine::default();
-        let mut held = Vec::new();
-        for (run, others) in (0..).zip(&beside) {
+        let mut quarantined = Vec::new();
+        for (run, others) in (0..).zip(&bystanders) {
             let all = others.iter().copied().chain([CULPRIT]);
             crash(&mut quarantine, run, run * pause, all);
-            held.extend(found(&mut quarantine, run * pause + 250));
+            quarantined.extend(evaluate(&mut quarantine, run * pause + 250));
         }
-        held.extend(found(&mut quarantine, beside.len() as u64 * pause + LATER));
-        let always = BESIDE.filter(|r| beside.iter().all(|set| set.contains(r)));
-        let known = beside.len() >= 3 && always.count() == 0;
-        prop_assert_eq!(held, if known { vec![CULPRIT] } else { vec![] });
+        quarantined.extend(evaluate(
+            &mut quarantine,
+            bystanders.len() as u64 * pause + CONFIRMED_MS,
+        ));
+        let always = BYSTANDERS.filter(|r| bystanders.iter().all(|set| set.contains(r)));
+        let known = bystanders.len() >= 3 && always.count() == 0;
+        prop_assert_eq!(quarantined, if known { vec![CULPRIT] } else { vec![] });
     }
 }
