--- a/crates/policy/tests/usage.rs
+++ b/crates/policy/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of usage, from entries that are told, stop, start again and change instances.
+//! Usage counts, while entries and control instances restart and messages are lost.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::usage::{CloseRules, Counted, EntryReport, Ledger, Tally};
@@ -10,7 +10,7 @@
     Duration::from_secs(seconds)
 }
 
-fn closing() -> CloseRules {
+fn rules() -> CloseRules {
     CloseRules {
         windows: Windows::new(LENGTH),
         majority_wait: s(5),
@@ -18,7 +18,7 @@
     }
 }
 
-fn told(run: u64, through: TrueTime, windows: Vec<WindowCounts>) -> EntryReport {
+fn report(run: u64, through: TrueTime, windows: Vec<WindowCounts>) -> EntryReport {
     EntryReport {
         entry: format!("entry-{run}"),
         run,
@@ -41,41 +41,41 @@
     assert_eq!((windows.start(2), windows.end(2)), (s(10), s(15)));
 }
 
-/// A message whose answer was lost comes again, and so does what was told another instance.
+/// A report is repeated if its response was lost, or after it went to another instance.
 #[test]
-fn news_told_twice_counts_once() {
+fn tally_repeated_report_counts_once() {
     let mut ledger = Ledger::default();
     let mut tally = Tally::default();
     ledger.count(3, "cues");
-    let news = ledger.unacknowledged(1);
-    tally.record(s(16), told(9, s(16), news.clone()));
+    let counts = ledger.unacknowledged(1);
+    tally.record(s(16), report(9, s(16), counts.clone()));
     ledger.count(3, "cues");
-    tally.record(s(16), told(9, s(16), ledger.unacknowledged(1)));
-    tally.record(s(17), told(9, s(17), news));
+    tally.record(s(16), report(9, s(16), ledger.unacknowledged(1)));
+    tally.record(s(17), report(9, s(17), counts));
     assert_eq!(begun(&tally.sum(3), "cues"), 2);
 }
 
 #[test]
-fn news_only_what_has_grown() {
+fn unacknowledged_only_grown_counts() {
     let mut ledger = Ledger::default();
     ledger.count(3, "cues");
     ledger.count(3, "notes");
-    let news = ledger.unacknowledged(1);
-    ledger.acknowledged(1, &news);
+    let counts = ledger.unacknowledged(1);
+    ledger.acknowledged(1, &counts);
     assert_eq!(ledger.unacknowledged(1), []);
     ledger.count(3, "cues");
     let grown = ledger.unacknowledged(1);
     assert_eq!(grown[0].counts.len(), 1);
-    assert_eq!(begun(&grown[0], "cues"), 2, "whole, not the difference");
+    assert_eq!(begun(&grown[0], "cues"), 2, "the total, not the difference");
     assert_eq!(
         ledger.unacknowledged(2)[0].counts.len(),
         2,
-        "another run knows nothing"
+        "another run has no counts"
     );
 }
 
 #[test]
-fn count_late_is_not_counted() {
+fn count_late_is_rejected() {
     let mut ledger = Ledger::default();
     assert_eq!(ledger.count(3, "cues"), Counted::Yes);
     ledger.finalize_before(4);
@@ -83,13 +83,14 @@
     assert_eq!(ledger.unacknowledged(1), []);
 }
 
-/// A workspace's names come from keys; a flood of them stays bounded.
+/// Workspace names come from keys, so the number of workspaces is bounded, as is that of
+/// windows.
 #[test]
 fn count_bounded_in_workspaces_and_windows() {
     let mut ledger = Ledger::default();
     let full = (0..9_000).filter(|i| ledger.count(3, &i.to_string()) == Counted::Full);
     assert_eq!(full.count(), 9_000 - 8_192);
-    assert_eq!(ledger.count(3, "0"), Counted::Yes, "one that is known");
+    assert_eq!(ledger.count(3, "0"), Counted::Yes, "a known workspace");
     for window in 4..1_000 {
         ledger.count(window, "cues");
     }
@@ -97,107 +98,111 @@
 }
 
 #[test]
-fn complete_waits_for_entries_that_told_of_the_window() {
+fn is_complete_waits_for_full_reports() {
     let mut tally = Tally::default();
-    tally.record(s(12), told(1, s(12), vec![]));
-    tally.record(s(15), told(2, s(15), vec![]));
-    let complete = |tally: &Tally, now| tally.is_complete(now, now, 2, &closing(), 1);
-    assert!(!complete(&tally, s(16)), "1 has not told of its end");
-    tally.record(s(16), told(1, s(16), vec![]));
+    tally.record(s(12), report(1, s(12), vec![]));
+    tally.record(s(15), report(2, s(15), vec![]));
+    let complete = |tally: &Tally, now| tally.is_complete(now, now, 2, &rules(), 1);
+    assert!(!complete(&tally, s(16)), "entry 1 has not reported its end");
+    tally.record(s(16), report(1, s(16), vec![]));
     assert!(complete(&tally, s(16)));
     assert!(
-        !tally.is_complete(s(16), s(14), 2, &closing(), 1),
-        "not over"
+        !tally.is_complete(s(16), s(14), 2, &rules(), 1),
+        "the window is not over"
     );
 }
 
-/// An entry that was killed in the window tells nothing more.
+/// An entry that was killed during the window delays it no longer than `majority_wait`.
 #[test]
-fn complete_waits_no_longer_than_its_patience() {
+fn is_complete_after_majority_wait() {
     let mut tally = Tally::default();
-    tally.record(s(12), told(1, s(12), vec![]));
-    tally.record(s(19), told(2, s(19), vec![]));
-    assert!(!tally.is_complete(s(19), s(19), 2, &closing(), 2));
-    assert!(tally.is_complete(s(20), s(20), 2, &closing(), 2));
+    tally.record(s(12), report(1, s(12), vec![]));
+    tally.record(s(19), report(2, s(19), vec![]));
+    assert!(!tally.is_complete(s(19), s(19), 2, &rules(), 2));
+    assert!(tally.is_complete(s(20), s(20), 2, &rules(), 2));
 }
 
-/// The holder has just been lost. Another instance was told once, at the start, and knows what
-/// time it is; its windows would be closed without a single request. Seen: a window of 2,505
-/// requests was reported as one of none.
+/// After the loss of the holder, an instance that got a single report at the start must
+/// not close windows without the other entries' counts. That fault reported a window of
+/// 2,505 requests as empty.
 #[test]
-fn complete_not_where_entries_tell_another_instance() {
+fn is_complete_not_without_entries() {
     let mut tally = Tally::default();
-    let complete = |tally: &Tally, now| tally.is_complete(now, now, 2, &closing(), 33);
-    tally.record(s(1), told(1, s(1), vec![]));
-    assert!(!complete(&tally, s(20)), "nobody tells it");
-    assert!(!complete(&tally, s(60)), "whoever comes may have counted");
+    let complete = |tally: &Tally, now| tally.is_complete(now, now, 2, &rules(), 33);
+    tally.record(s(1), report(1, s(1), vec![]));
+    assert!(!complete(&tally, s(20)), "no entry reports to it");
+    assert!(
+        !complete(&tally, s(60)),
+        "entries that switch over may have counts"
+    );
     for run in 0..16 {
-        tally.record(s(20), told(run, s(20), vec![]));
+        tally.record(s(20), report(run, s(20), vec![]));
     }
-    assert!(!complete(&tally, s(20)), "most tell another one");
-    tally.record(s(20), told(16, s(20), vec![]));
-    assert!(complete(&tally, s(20)), "most tell it");
+    assert!(!complete(&tally, s(20)), "most report to another instance");
+    tally.record(s(20), report(16, s(20), vec![]));
+    assert!(complete(&tally, s(20)), "most report to this instance");
 }
 
-/// Most entries are cut off from all instances: what is left is reported in time.
+/// Most entries are disconnected from all instances: the counts of the others are
+/// reported after `minority_wait`.
 #[test]
-fn complete_with_a_few_entries_in_the_end() {
+fn is_complete_after_minority_wait() {
     let mut tally = Tally::default();
-    tally.record(s(22), told(1, s(22), vec![]));
-    assert!(!tally.is_complete(s(22), s(22), 2, &closing(), 33));
-    tally.record(s(23), told(1, s(23), vec![]));
-    assert!(tally.is_complete(s(23), s(23), 2, &closing(), 33));
+    tally.record(s(22), report(1, s(22), vec![]));
+    assert!(!tally.is_complete(s(22), s(22), 2, &rules(), 33));
+    tally.record(s(23), report(1, s(23), vec![]));
+    assert!(tally.is_complete(s(23), s(23), 2, &rules(), 33));
 }
 
-/// An entry that stood still while one window ended and another one began.
+/// An entry was suspended while one window ended and another one began.
 #[test]
-fn complete_waits_for_an_entry_that_is_silent() {
+fn is_complete_waits_for_suspended_entry() {
     let mut tally = Tally::default();
-    tally.record(s(14), told(1, s(14), vec![]));
-    tally.record(s(21), told(2, s(21), vec![]));
-    assert!(!tally.is_complete(s(21), s(21), 3, &closing(), 1));
-    tally.record(s(22), told(1, s(22), vec![]));
-    assert!(tally.is_complete(s(22), s(22), 3, &closing(), 1));
+    tally.record(s(14), report(1, s(14), vec![]));
+    tally.record(s(21), report(2, s(21), vec![]));
+    assert!(!tally.is_complete(s(21), s(21), 3, &rules(), 1));
+    tally.record(s(22), report(1, s(22), vec![]));
+    assert!(tally.is_complete(s(22), s(22), 3, &rules(), 1));
 }
 
 #[test]
-fn complete_does_not_wait_for_runs_that_ended() {
+fn is_complete_ignores_ended_runs() {
     let mut tally = Tally::default();
-    tally.record(s(14), told(1, s(14), vec![]));
-    tally.record(s(13), told(2, s(13), vec![]));
-    let again = EntryReport {
+    tally.record(s(14), report(1, s(14), vec![]));
+    tally.record(s(13), report(2, s(13), vec![]));
+    let restarted = EntryReport {
         entry: "entry-1".to_string(),
-        ..told(3, s(16), vec![])
+        ..report(3, s(16), vec![])
     };
-    tally.record(s(16), again);
+    tally.record(s(16), restarted);
     assert!(
-        !tally.is_complete(s(16), s(16), 2, &closing(), 1),
-        "2 is awaited"
+        !tally.is_complete(s(16), s(16), 2, &rules(), 1),
+        "run 2 is awaited"
     );
-    let ends = EntryReport {
+    let final_report = EntryReport {
         last: true,
-        ..told(2, s(14), vec![])
+        ..report(2, s(14), vec![])
     };
-    tally.record(s(16), ends);
-    assert!(tally.is_complete(s(16), s(16), 2, &closing(), 1));
+    tally.record(s(16), final_report);
+    assert!(tally.is_complete(s(16), s(16), 2, &rules(), 1));
 }
 
-/// An instance that has just been told by the first of many entries.
+/// An instance has a report of only the first of many entries.
 #[test]
-fn complete_waits_for_all_that_are_there() {
+fn is_complete_waits_for_expected_entries() {
     let mut tally = Tally::default();
-    tally.record(s(16), told(1, s(16), vec![]));
-    assert!(!tally.is_complete(s(16), s(16), 2, &closing(), 33));
+    tally.record(s(16), report(1, s(16), vec![]));
+    assert!(!tally.is_complete(s(16), s(16), 2, &rules(), 33));
 }
 
 #[test]
-fn tell_of_fixed_windows_is_dropped() {
+fn record_final_windows_dropped() {
     let mut tally = Tally::default();
     tally.finalize_before(s(16), 3);
     let mut ledger = Ledger::default();
     ledger.count(2, "cues");
     ledger.count(3, "cues");
-    tally.record(s(16), told(1, s(16), ledger.unacknowledged(1)));
+    tally.record(s(16), report(1, s(16), ledger.unacknowledged(1)));
     assert_eq!(tally.sum(2).total(), 0);
     assert_eq!(tally.sum(3).total(), 1);
 }
@@ -207,16 +212,16 @@
 enum Step {
     /// The entry counts a request of this workspace.
     Count { entry: usize, workspace: u8 },
-    /// The entry tells an instance; its answer comes or is lost.
-    Tell {
+    /// The entry reports to an instance; the response arrives or is lost.
+    Report {
         entry: usize,
         instance: usize,
         answered: bool,
     },
-    /// The entry ends with what it has, and starts again.
+    /// The entry restarts and loses its counts.
     Restart { entry: usize },
-    /// The instance ends with what it was told, and starts again.
-    Forget { instance: usize },
+    /// The instance restarts and loses its tally.
+    RestartInstance { instance: usize },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -224,14 +229,16 @@
         8 => (0..3_usize, 0..4_u8)
             .prop_map(|(entry, workspace)| Step::Count { entry, workspace }),
         6 => (0..3_usize, 0..2_usize, any::<bool>())
-            .prop_map(|(entry, instance, answered)| Step::Tell { entry, instance, answered }),
+            .prop_map(|(entry, instance, answered)| Step::Report {
+                entry, instance, answered
+            }),
         1 => (0..3_usize).prop_map(|entry| Step::Restart { entry }),
-        1 => (0..2_usize).prop_map(|instance| Step::Forget { instance }),
+        1 => (0..2_usize).prop_map(|instance| Step::RestartInstance { instance }),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-/// An entry's run: its ledger, and what its workspaces had begun.
+/// A run of an entry: its ledger, and the requests begun per workspace.
 #[derive(Debug, Default)]
 struct Run {
     id: u64,
@@ -240,8 +247,8 @@
 }
 
 proptest! {
-    /// Whatever is lost and told again, an instance that every run has told by now has each
-    /// request once; and nobody ever has more than there were.
+    /// For any losses and repetitions, an instance to which every run has reported counts
+    /// each request once, and no instance ever counts more requests than there were.
     #[test]
     fn tally_each_request_once(steps in steps()) {
         let mut runs: Vec<Run> = (0..3).map(|id| Run { id, ..Run::default() }).collect();
@@ -254,13 +261,13 @@
                     runs[entry].ledger.count(3, &workspace.to_string());
                     runs[entry].begun[workspace as usize] += 1;
                 }
-                Step::Tell { entry, instance, answered } => {
+                Step::Report { entry, instance, answered } => {
                     let run = &mut runs[entry];
                     let (id, tally) = &mut instances[instance];
-                    let news = run.ledger.unacknowledged(*id);
-                    tally.record(s(16), told(run.id, s(16), news.clone()));
+                    let counts = run.ledger.unacknowledged(*id);
+                    tally.record(s(16), report(run.id, s(16), counts.clone()));
                     if answered {
-                        run.ledger.acknowledged(*id, &news);
+                        run.ledger.acknowledged(*id, &counts);
                     }
                 }
                 Step::Restart { entry } => {
@@ -271,7 +278,7 @@
                     runs[entry].id = next;
                     next += 1;
                 }
-                Step::Forget { instance } => {
+                Step::RestartInstance { instance } => {
                     instances[instance] = (next + 1_000, Tally::default());
                     next += 1;
                 }
@@ -279,7 +286,7 @@
         }
         let (id, mut fresh) = (next + 5_000, Tally::default());
         for run in &runs {
-            fresh.record(s(17), told(run.id, s(17), run.ledger.unacknowledged(id)));
+            fresh.record(s(17), report(run.id, s(17), run.ledger.unacknowledged(id)));
         }
         for (workspace, ended) in ended.iter().enumerate() {
             let name = workspace.to_string();
@@ -291,13 +298,16 @@
         }
         for (id, tally) in &mut instances {
             for run in &runs {
-                tally.record(s(17), told(run.id, s(17), run.ledger.unacknowledged(*id)));
+                tally.record(
+                    s(17),
+                    report(run.id, s(17), run.ledger.unacknowledged(*id)),
+                );
             }
             for (workspace, ended) in ended.iter().enumerate() {
                 let name = workspace.to_string();
                 let live: u64 = runs.iter().map(|run| run.begun[workspace]).sum();
-                let held = begun(&tally.sum(3), &name);
-                prop_assert!(held >= live && held <= live + ended);
+                let counted = begun(&tally.sum(3), &name);
+                prop_assert!(counted >= live && counted <= live + ended);
             }
         }
     }
