--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which run of an endpoint counts, whatever order news of it come in.
+//! The newest run of an endpoint, for any order of the listings that arrive.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::incarnations::{Incarnations, RunAge};
@@ -13,25 +13,31 @@
 }
 
 fn newest(runs: &Incarnations, id: usize) -> (Option<Born>, bool) {
-    let (run, leaving) = runs.newest(&format!("i-{id}")).expect("it was told");
+    let (run, leaving) = runs
+        .newest(&format!("i-{id}"))
+        .expect("the endpoint was listed");
     (run.born, leaving)
 }
 
-/// An endpoint starts again under its name: it is another one, whatever was known of
-/// the earlier run, and the earlier run never comes back.
+/// A later start under the same name is a new run that inherits nothing from the earlier
+/// one, and the earlier run never returns.
 #[test]
-fn told_later_start_replaces() {
+fn record_later_start_replaces() {
     let mut runs = Incarnations::default();
     assert_eq!(runs.record(ms(0), &run(1, Some(50)), true), RunAge::Newer);
     assert_eq!(runs.record(ms(1), &run(1, Some(60)), false), RunAge::Newer);
-    assert_eq!(newest(&runs, 1), (Some(60), false), "it has not left");
+    assert_eq!(
+        newest(&runs, 1),
+        (Some(60), false),
+        "the new run is not leaving"
+    );
     assert_eq!(runs.record(ms(2), &run(1, Some(50)), true), RunAge::Older);
     assert_eq!(newest(&runs, 1), (Some(60), false));
 }
 
-/// Seen leaving is for good, for that run.
+/// A run that was seen leaving remains leaving.
 #[test]
-fn told_leaving_stays_leaving() {
+fn record_leaving_is_permanent() {
     let mut runs = Incarnations::default();
     runs.record(ms(0), &run(1, Some(50)), true);
     assert_eq!(
@@ -41,11 +47,11 @@
     assert_eq!(newest(&runs, 1), (Some(50), true));
 }
 
-/// A reader of an older version leaves the start out: it says nothing, neither that the
-/// endpoint started again nor that it no longer leaves. The first start that is told
-/// names the run that is known.
+/// A reader of an older version omits the start time. That means neither that the
+/// endpoint restarted nor that it is no longer leaving. The first start time that is
+/// listed is assigned to the known run.
 #[test]
-fn told_without_start_says_nothing() {
+fn record_without_start_changes_nothing() {
     let mut runs = Incarnations::default();
     runs.record(ms(0), &run(1, None), true);
     assert_eq!(
@@ -58,10 +64,10 @@
     assert_eq!(runs.record(ms(3), &run(1, Some(51)), false), RunAge::Newer);
 }
 
-/// A list that lags for an hour does not bring an earlier run back; a run without a
-/// start is forgotten with the first list that leaves it out.
+/// A list that lags by up to an hour does not bring an earlier run back. A run without a
+/// start time is forgotten with the first list that omits it.
 #[test]
-fn forget_named_late_unnamed_at_once() {
+fn forget_runs_without_start_at_once() {
     let mut runs = Incarnations::default();
     runs.record(ms(0), &run(1, Some(50)), false);
     runs.record(ms(0), &run(2, None), true);
@@ -75,10 +81,10 @@
     assert!(runs.is_empty());
 }
 
-/// A list of a million names, one of them real: memory stays bounded, and what was
-/// seen last is kept.
+/// A list with too many names does not exhaust memory; the endpoints listed last are
+/// kept.
 #[test]
-fn forget_bounds_what_is_remembered() {
+fn forget_bounds_memory() {
     let mut runs = Incarnations::default();
     for id in 0..30_000 {
         runs.record(ms(id as u64 / 10), &run(id, Some(1)), false);
@@ -95,20 +101,20 @@
         ..ProptestConfig::default()
     })]
 
-    /// News of several runs of several endpoints, lost, doubled, late and crossed: the
-    /// newest start that was told is the one known, a run seen leaving stays so, and
-    /// what does not count is called older.
+    /// Listings of several runs of several endpoints, lost, duplicated, late and
+    /// reordered: the newest start is kept, a run seen leaving remains leaving, and
+    /// earlier runs are reported as older.
     #[test]
-    fn told_any_order_ends_with_the_newest(
-        news in proptest::collection::vec(
+    fn record_any_order_keeps_newest(
+        listings in proptest::collection::vec(
             (0usize..3, proptest::option::weighted(0.8, 1u64..6), any::<bool>()),
             1..60,
         ),
     ) {
         let mut runs = Incarnations::default();
         let mut starts: [Option<Option<Born>>; 3] = [None; 3];
-        let mut left = [false; 3];
-        for (at, (id, born, leaving)) in news.into_iter().enumerate() {
+        let mut leaving_runs = [false; 3];
+        for (at, (id, born, leaving)) in listings.into_iter().enumerate() {
             let age = runs.record(ms(at as u64), &run(id, born), leaving);
             let known = starts[id];
             let expected = match (known, born) {
@@ -121,23 +127,26 @@
             match age {
                 RunAge::Newer => {
                     starts[id] = Some(born);
-                    left[id] = leaving;
+                    leaving_runs[id] = leaving;
                 }
                 RunAge::Current => {
                     starts[id] = Some(known.flatten().or(born));
-                    left[id] |= leaving;
+                    leaving_runs[id] |= leaving;
                 }
                 RunAge::Older => {}
             }
             runs.forget(ms(at as u64));
             if born.is_some() {
-                prop_assert_eq!(newest(&runs, id), (starts[id].flatten(), left[id]));
+                prop_assert_eq!(
+                    newest(&runs, id),
+                    (starts[id].flatten(), leaving_runs[id])
+                );
             }
-            // Runs without a start may be forgotten with any list.
+            // A run without a start time may be forgotten with any list.
             for (id, start) in starts.iter_mut().enumerate() {
                 if runs.newest(&format!("i-{id}")).is_none() {
                     *start = None;
-                    left[id] = false;
+                    leaving_runs[id] = false;
                 }
             }
         }
--- a/crates/policy/tests/prefill_rate.rs
+++ b/crates/policy/tests/prefill_rate.rs
@@ -1,4 +1,4 @@
-//! What is learned of engines of many kinds from the prompts that they read.
+//! Estimates of the prefill rate for engines of many kinds.
 
 use dogwoodhill_policy::prefill_rate::PrefillRate;
 use proptest::prelude::*;
@@ -6,10 +6,10 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// A prompt at an engine that reads `rate` tokens a millisecond: one in three waits
-/// for up to twice its own time, one in ten has to be read with its beginning, one
-/// in twenty-five is found read already, and one endpoint in three is slower by
-/// three tenths.
+/// A prompt at an engine that prefills `rate` tokens per millisecond. One of three waits
+/// for up to twice its own time, one of ten has lost its cached prefix, one of
+/// twenty-five is mostly cached already, and one of three endpoints is slower by three
+/// tenths.
 fn prompt(random: &mut StdRng, rate: f64) -> (f64, Duration) {
     let tokens = random.random_range(1_000.0..9_000.0);
     let mut millis = tokens / rate;
@@ -28,33 +28,32 @@
     (tokens, Duration::from_secs_f64(millis / 1_000.0))
 }
 
-/// Engines from 15 to 120 tokens a millisecond, some of them met after a quite other
-/// one: sixty prompts later the estimate is within a fifth in the mean, and stays
-/// there.
+/// For engines from 15 to 120 tokens per millisecond, the estimate starts from a fixed
+/// initial value and is within a fifth of the true rate on average after sixty prompts.
 #[test]
-fn learn_engines_of_many_kinds() {
+fn observe_converges_for_many_engines() {
     let mut random = StdRng::seed_from_u64(5);
     for profile in 0..24 {
         let rate = 15.0 * 8f64.powf(f64::from(profile) / 23.0);
-        let mut learned = PrefillRate::default();
+        let mut estimate = PrefillRate::default();
         for _ in 0..60 {
             let (tokens, took) = prompt(&mut random, rate);
-            learned.observe(tokens, took);
+            estimate.observe(tokens, took);
         }
         let mut sum = 0.0;
         for _ in 0..100 {
             let (tokens, took) = prompt(&mut random, rate);
-            learned.observe(tokens, took);
-            sum += learned.tokens_per_ms() / 100.0;
+            estimate.observe(tokens, took);
+            sum += estimate.tokens_per_ms() / 100.0;
         }
         let error = (sum / rate - 1.0).abs();
-        assert!(error < 0.2, "{rate} learned as {sum}");
+        assert!(error < 0.2, "{rate} estimated as {sum}");
     }
 }
 
-/// Short prompts say nothing, and time for a prompt is in proportion to it.
+/// Short prompts are ignored, and the prefill time is proportional to the prompt.
 #[test]
-fn learn_short_prompts_say_nothing() {
+fn observe_ignores_short_prompts() {
     let mut rate = PrefillRate::default();
     for _ in 0..1_000 {
         rate.observe(900.0, Duration::ZERO);
@@ -64,14 +63,14 @@
 }
 
 proptest! {
-    /// Absurd claims move the estimate by a few hundredths each, and never beyond its
-    /// bounds.
+    /// Absurd observations move the estimate by a few hundredths each, and never beyond
+    /// its bounds.
     #[test]
-    fn learn_bounded_steps(
-        seen in proptest::collection::vec((any::<f64>(), any::<u64>()), 1..300),
+    fn observe_bounded_steps(
+        prompts in proptest::collection::vec((any::<f64>(), any::<u64>()), 1..300),
     ) {
         let mut rate = PrefillRate::default();
-        for (tokens, micros) in seen {
+        for (tokens, micros) in prompts {
             let before = rate.tokens_per_ms();
             rate.observe(tokens, Duration::from_micros(micros));
             let after = rate.tokens_per_ms();
