--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -101,11 +101,11 @@
         });
         let excess = self.runs.len().saturating_sub(MAX_ENDPOINTS);
         if excess > 0 {
-            self.forget_oldest(excess);
+            self.drop_oldest(excess);
         }
     }
 
-    fn forget_oldest(&mut self, count: usize) {
+    fn drop_oldest(&mut self, count: usize) {
         let mut times: Vec<Duration> =
             self.runs.iter().map(|known| known.listed).collect();
         let (_, last, _) = times.select_nth_unstable(count - 1);
--- a/crates/policy/src/permits.rs
+++ b/crates/policy/src/permits.rs
@@ -410,7 +410,7 @@
 
 impl Limits {
     /// Records an entry's report on the limit of `run`. Returns the number of permits
-    /// granted, at most as many as the report wants.
+    /// granted, at most as many as requested.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -438,7 +438,7 @@
         match run.cmp_start(&endpoint.run) {
             Ordering::Less => return 0,
             Ordering::Greater => {
-                *endpoint = LimitedEndpoint::new(now, run.clone(), report.observed)
+                *endpoint = LimitedEndpoint::new(now, run.clone(), report.observed);
             }
             Ordering::Equal => {}
         }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -131,10 +131,10 @@
     }
 }
 
-/// Whether bytes received from an endpoint at `heard` prove that it did not crash at
+/// Whether bytes received from an endpoint at `received` prove that it did not crash at
 /// `lost`.
-pub fn outlived(lost: Duration, heard: Duration) -> bool {
-    heard > lost + READ_LAG
+pub fn outlived(lost: Duration, received: Duration) -> bool {
+    received > lost + READ_LAG
 }
 
 /// Length of the `times`th quarantine of a request.
@@ -235,14 +235,14 @@
         self.lost.iter().map(|lost| &lost.run)
     }
 
-    /// Records that bytes were received from an endpoint at `heard` or later, and drops
-    /// the crashes that this disproves.
-    pub fn record_alive(&mut self, run: &Incarnation, heard: Duration) {
+    /// Records that bytes were received from an endpoint at `received` or later, and
+    /// drops the crashes that this disproves.
+    pub fn record_alive(&mut self, run: &Incarnation, received: Duration) {
         self.lost
-            .retain(|lost| lost.run != *run || !outlived(lost.at, heard));
+            .retain(|lost| lost.run != *run || !outlived(lost.at, received));
         for suspect in &mut self.suspects {
             let crashes = &mut suspect.crashes;
-            crashes.retain(|crash| crash.run != *run || !outlived(crash.at, heard));
+            crashes.retain(|crash| crash.run != *run || !outlived(crash.at, received));
         }
         self.remove_idle();
     }
--- a/crates/policy/src/usage/duty_lease.rs
+++ b/crates/policy/src/usage/duty_lease.rs
@@ -133,8 +133,8 @@
         held.map(|held| held.fence)
     }
 
-    /// Whether this machine was the last to be granted the lease, as far as it knows; the
-    /// lease may have ended.
+    /// Whether this machine counts as the holder: it was granted the lease and has not
+    /// lost or dropped it since. The lease may have expired.
     pub fn is_holder(&self) -> bool {
         self.held.is_some()
     }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Gate, limit, quota, budget and placement.
+//! Admission at the gate, concurrency limits, quotas, retry budgets, placement and
+//! subsets.
 
 use dogwoodhill_core::load::Load;
 use dogwoodhill_policy::Moment;
@@ -14,7 +15,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn ask(attempt: u128, tier: u8) -> AdmissionRequest {
+fn request(attempt: u128, tier: u8) -> AdmissionRequest {
     AdmissionRequest {
         attempt,
         tier,
@@ -22,91 +23,101 @@
     }
 }
 
-fn fixed(limit: u32) -> Gate {
+fn gate_with_limit(limit: u32) -> Gate {
     Gate::new(Limit::new(limit, limit, limit))
 }
 
 #[test]
-fn admit_urgent_uses_slots_kept_from_patient() {
-    let mut gate = fixed(20);
+fn admit_reserves_slots_for_urgent() {
+    let mut gate = gate_with_limit(20);
     let now = Moment::ZERO;
-    gate.admit(now, &ask(0, 0)).unwrap();
+    gate.admit(now, &request(0, 0)).unwrap();
     let mut next = 1;
-    while gate.admit(now, &ask(next, 5)).is_ok() {
+    while gate.admit(now, &request(next, 5)).is_ok() {
         next += 1;
     }
     assert_eq!(gate.running(), 17, "5 steps of 3% of 20 stay free");
-    let owed = AdmissionRequest {
+    let due_request = AdmissionRequest {
         due: true,
-        ..ask(100, 5)
+        ..request(100, 5)
     };
     assert_eq!(
-        gate.admit(now, &owed),
+        gate.admit(now, &due_request),
         Ok(()),
-        "an owed start uses any slot"
+        "a due request uses any slot"
     );
-    assert_eq!(gate.admit(now, &ask(101, 0)), Ok(()));
-    assert_eq!(gate.admit(now, &ask(102, 0)), Ok(()));
-    assert_eq!(gate.admit(now, &ask(103, 0)), Err(Refusal::Full));
-    assert_eq!(gate.running(), 20, "nothing that ran was stopped");
+    assert_eq!(gate.admit(now, &request(101, 0)), Ok(()));
+    assert_eq!(gate.admit(now, &request(102, 0)), Ok(()));
+    assert_eq!(gate.admit(now, &request(103, 0)), Err(Refusal::Full));
+    assert_eq!(gate.running(), 20, "no running request was stopped");
 }
 
 #[test]
-fn admit_without_urgent_load_uses_all() {
-    let mut gate = fixed(20);
+fn admit_without_urgent_load_uses_all_slots() {
+    let mut gate = gate_with_limit(20);
     for n in 0..20 {
-        assert_eq!(gate.admit(Moment::ZERO, &ask(n, 5)), Ok(()));
+        assert_eq!(gate.admit(Moment::ZERO, &request(n, 5)), Ok(()));
     }
 }
 
 #[test]
-fn admit_same_attempt_refused() {
-    let mut gate = fixed(20);
-    gate.admit(Moment::ZERO, &ask(1, 0)).unwrap();
+fn admit_repeated_attempt_refused() {
+    let mut gate = gate_with_limit(20);
+    gate.admit(Moment::ZERO, &request(1, 0)).unwrap();
     gate.end();
-    assert_eq!(gate.admit(Moment::ZERO, &ask(1, 0)), Err(Refusal::Repeated));
+    assert_eq!(
+        gate.admit(Moment::ZERO, &request(1, 0)),
+        Err(Refusal::Repeated)
+    );
 }
 
 #[test]
 fn admit_leaving_refused() {
-    let mut gate = fixed(20);
+    let mut gate = gate_with_limit(20);
     gate.set_leaving(true);
-    assert_eq!(gate.admit(Moment::ZERO, &ask(1, 0)), Err(Refusal::Leaving));
+    assert_eq!(
+        gate.admit(Moment::ZERO, &request(1, 0)),
+        Err(Refusal::Leaving)
+    );
 }
 
 #[test]
-fn admit_breaking_endpoint_on_probation() {
-    let mut gate = fixed(20);
+fn admit_probation_after_broken_requests() {
+    let mut gate = gate_with_limit(20);
     for n in 0..10 {
-        gate.admit(Moment::ZERO, &ask(n, 0)).unwrap();
+        gate.admit(Moment::ZERO, &request(n, 0)).unwrap();
     }
-    // All ten break together: one pause, not ten.
+    // Ten requests that break together cause one pause, not ten.
     for _ in 0..10 {
         gate.record_broken(Moment::ZERO);
         gate.end();
     }
-    let early = Moment::from_millis(199);
-    assert_eq!(gate.admit(early, &ask(20, 5)), Err(Refusal::Full));
+    let too_early = Moment::from_millis(199);
+    assert_eq!(gate.admit(too_early, &request(20, 5)), Err(Refusal::Full));
     let late = Moment::from_millis(200);
-    assert_eq!(gate.admit(late, &ask(21, 0)), Err(Refusal::Full), "spared");
-    gate.admit(late, &ask(22, 5)).unwrap();
     assert_eq!(
-        gate.admit(late, &ask(23, 5)),
+        gate.admit(late, &request(21, 0)),
+        Err(Refusal::Full),
+        "no urgent request on probation"
+    );
+    gate.admit(late, &request(22, 5)).unwrap();
+    assert_eq!(
+        gate.admit(late, &request(23, 5)),
         Err(Refusal::Full),
         "one at a time"
     );
     gate.record_broken(late);
     gate.end();
-    let still = Moment::from_millis(599);
+    let still_paused = Moment::from_millis(599);
     assert_eq!(
-        gate.admit(still, &ask(24, 5)),
+        gate.admit(still_paused, &request(24, 5)),
         Err(Refusal::Full),
         "twice as long"
     );
-    let alone = Moment::from_millis(3_600);
-    gate.admit(alone, &ask(25, 0)).unwrap();
+    let after_pause = Moment::from_millis(3_600);
+    gate.admit(after_pause, &request(25, 0)).unwrap();
     gate.record_complete();
-    gate.admit(alone, &ask(26, 0)).unwrap();
+    gate.admit(after_pause, &request(26, 0)).unwrap();
 }
 
 #[test]
@@ -120,7 +131,7 @@
     }
     assert_eq!(limit.value(), 20);
     limit.learn(now + MIN_HOLD / 2, Moment::from_millis(90), allowed, 20);
-    assert_eq!(limit.value(), 20, "held for a minimum time");
+    assert_eq!(limit.value(), 20, "kept for a minimum time");
     limit.learn(now + MIN_HOLD, Moment::from_millis(90), allowed, 20);
     assert_eq!(limit.value(), 17);
     limit.learn(now + MIN_HOLD * 2, Moment::from_millis(20), allowed, 3);
@@ -128,7 +139,7 @@
 }
 
 #[test]
-fn cap_holds_for_a_while() {
+fn cap_expires() {
     let mut limit = Limit::new(30, 1, 100);
     limit.cap(Moment::ZERO, 16);
     let (gap, allowed) = (Moment::from_millis(1), Moment::from_millis(40));
@@ -171,32 +182,35 @@
     #[test]
     fn budget_stays_in_bounds(steps in proptest::collection::vec(any::<bool>(), 0..400)) {
         let mut budget = Budget::default();
-        let (mut firsts, mut retries) = (0u32, 0u32);
+        let (mut initial, mut retries) = (0u32, 0u32);
         for first in steps {
             if first {
                 budget.earn();
-                firsts += 1;
+                initial += 1;
             } else {
                 retries += u32::from(budget.spend());
             }
             prop_assert!((0.0..=MAX_UNITS).contains(&budget.units()));
         }
-        prop_assert!(f64::from(retries) <= MAX_UNITS + f64::from(firsts) * 0.1 + 1e-6);
+        prop_assert!(f64::from(retries) <= MAX_UNITS + f64::from(initial) * 0.1 + 1e-6);
     }
 
     #[test]
     fn gate_never_above_limit(
         limit in 1u32..40,
-        steps in proptest::collection::vec((0u8..6, any::<bool>(), any::<bool>()), 0..300),
+        steps in proptest::collection::vec(
+            (0u8..6, any::<bool>(), any::<bool>()), 0..300),
     ) {
-        let mut gate = fixed(limit);
+        let mut gate = gate_with_limit(limit);
         for (number, (tier, due, end)) in steps.into_iter().enumerate() {
             if end && gate.running() > 0 {
                 gate.end();
             }
-            let ask = AdmissionRequest { attempt: number as u128, tier, due };
+            let request = AdmissionRequest { attempt: number as u128, tier, due };
             let running = gate.running();
-            let admitted = gate.admit(Moment::from_millis(number as u64), &ask).is_ok();
+            let admitted = gate
+                .admit(Moment::from_millis(number as u64), &request)
+                .is_ok();
             prop_assert!(gate.running() <= limit);
             if tier == 0 {
                 prop_assert_eq!(admitted, running < limit, "tier 0 uses any free slot");
@@ -224,7 +238,7 @@
     }
 }
 
-const WISH: PlacementRequest = PlacementRequest {
+const REQUEST: PlacementRequest = PlacementRequest {
     now: Moment::ZERO,
     tier: 0,
     due: false,
@@ -233,29 +247,29 @@
 };
 
 #[test]
-fn pick_straggler_only_when_worth_the_wait() {
+fn pick_straggler_only_under_backlog() {
     let mut views = views(4);
     views[0] = View::new("endpoint-0".to_string(), "domain-0".to_string());
     views[0].report(Moment::ZERO, &report(60_000), 0);
     let mut policy = Policy::Predicted.build("domain-0".to_string());
     let mut random = SmallRng::seed_from_u64(1);
     for _ in 0..24 {
-        let at = policy.pick(&views, &WISH, &[], &mut random).unwrap();
+        let at = policy.pick(&views, &REQUEST, &[], &mut random).unwrap();
         assert_ne!(at, 0);
         views[at].start();
     }
-    // Six times slower: worth it only with more than five waiting for each
-    // running one.
-    assert_eq!(policy.pick(&views, &WISH, &[], &mut random), None);
+    // The straggler is six times slower, so it is used only with more than five waiting
+    // requests per running one.
+    assert_eq!(policy.pick(&views, &REQUEST, &[], &mut random), None);
     let backlog = PlacementRequest {
         backlog: 5.1,
-        ..WISH
+        ..REQUEST
     };
     assert_eq!(policy.pick(&views, &backlog, &[], &mut random), Some(0));
 }
 
 #[test]
-fn pick_silent_straggler_probed_by_patient_request() {
+fn pick_stale_straggler_probed_by_low_tier() {
     let mut views = views(4);
     views[0] = View::new("endpoint-0".to_string(), "domain-0".to_string());
     views[0].report(Moment::ZERO, &report(60_000), 0);
@@ -264,20 +278,20 @@
     }
     let later = PlacementRequest {
         now: Moment::from_secs(4),
-        ..WISH
+        ..REQUEST
     };
     let mut policy = Policy::Predicted.build("domain-0".to_string());
     let mut random = SmallRng::seed_from_u64(1);
     assert_eq!(
         policy.pick(&views, &later, &[], &mut random),
         None,
-        "not tier 0"
+        "no tier 0 request probes it"
     );
-    let patient = PlacementRequest { tier: 3, ..later };
-    assert_eq!(policy.pick(&views, &patient, &[], &mut random), Some(0));
+    let low_tier = PlacementRequest { tier: 3, ..later };
+    assert_eq!(policy.pick(&views, &low_tier, &[], &mut random), Some(0));
     views[0].start();
     assert_eq!(
-        policy.pick(&views, &patient, &[], &mut random),
+        policy.pick(&views, &low_tier, &[], &mut random),
         None,
         "one at a time"
     );
@@ -289,11 +303,11 @@
     let mut policy = Policy::Predicted.build("domain-1".to_string());
     let mut random = SmallRng::seed_from_u64(1);
     for _ in 0..16 {
-        let at = policy.pick(&views, &WISH, &[], &mut random).unwrap();
+        let at = policy.pick(&views, &REQUEST, &[], &mut random).unwrap();
         assert_eq!(views[at].domain, "domain-1");
         views[at].start();
     }
-    let at = policy.pick(&views, &WISH, &[], &mut random).unwrap();
+    let at = policy.pick(&views, &REQUEST, &[], &mut random).unwrap();
     assert_eq!(views[at].domain, "domain-0");
 }
 
@@ -303,16 +317,16 @@
     let mut policy = Policy::Predicted.build("domain-0".to_string());
     let mut random = SmallRng::seed_from_u64(1);
     views[0].failed(Moment::ZERO);
-    assert_eq!(policy.pick(&views, &WISH, &[], &mut random), None);
+    assert_eq!(policy.pick(&views, &REQUEST, &[], &mut random), None);
     let later = PlacementRequest {
         now: Moment::from_millis(200),
-        ..WISH
+        ..REQUEST
     };
     assert_eq!(policy.pick(&views, &later, &[], &mut random), Some(0));
 }
 
 #[test]
-fn room_full_report_fades() {
+fn has_room_full_report_expires() {
     let mut view = View::new("endpoint".to_string(), "domain".to_string());
     let full = Load {
         running: 8,
@@ -323,17 +337,17 @@
     assert!(view.has_room(Moment::from_secs(1), 0, false));
 }
 
-fn listed(count: usize) -> Vec<ListedEndpoint> {
-    let one = |n: usize| ListedEndpoint {
+fn endpoints(count: usize) -> Vec<ListedEndpoint> {
+    let endpoint = |n: usize| ListedEndpoint {
         name: format!("endpoint-{n}"),
         domain: format!("domain-{}", n % 4),
     };
-    (0..count).map(one).collect()
+    (0..count).map(endpoint).collect()
 }
 
 #[test]
 fn subset_few_entries_use_all() {
-    let all = listed(1_200);
+    let all = endpoints(1_200);
     assert_eq!(subset::choose("entry-1", "domain-0", &all, 6), all);
     assert_eq!(
         subset::choose("entry-1", "domain-0", &all[..40], 450).len(),
@@ -343,31 +357,40 @@
 
 #[test]
 fn subset_covers_every_endpoint_evenly() {
-    let all = listed(1_200);
-    let mut uses = vec![0usize; all.len()];
+    let all = endpoints(1_200);
+    let mut use_counts = vec![0usize; all.len()];
     for n in 0..450 {
         let name = format!("entry-{n}");
         let domain = format!("domain-{}", n % 4);
         let chosen = subset::choose(&name, &domain, &all, 450);
         assert_eq!(chosen.len(), 64);
-        let near = chosen.iter().filter(|one| one.domain == domain).count();
-        assert!(near >= 32, "half are near: {near}");
-        for one in &chosen {
-            uses[all.iter().position(|other| other == one).unwrap()] += 1;
+        let near = chosen
+            .iter()
+            .filter(|endpoint| endpoint.domain == domain)
+            .count();
+        assert!(near >= 32, "half are in the same domain: {near}");
+        for endpoint in &chosen {
+            use_counts[all.iter().position(|other| other == endpoint).unwrap()] += 1;
         }
     }
-    let least = uses.iter().min().unwrap();
-    let most = uses.iter().max().unwrap();
+    let least = use_counts.iter().min().unwrap();
+    let most = use_counts.iter().max().unwrap();
     assert!(*least >= 8 && *most <= 45, "{least} to {most} entries each");
 }
 
 #[test]
-fn subset_lost_endpoint_changes_one_place() {
-    let all = listed(1_200);
+fn subset_lost_endpoint_replaced_by_one() {
+    let all = endpoints(1_200);
     let before = subset::choose("entry-1", "domain-0", &all, 450);
-    let gone = before[5].clone();
-    let rest: Vec<ListedEndpoint> = all.into_iter().filter(|one| *one != gone).collect();
+    let removed = before[5].clone();
+    let rest: Vec<ListedEndpoint> = all
+        .into_iter()
+        .filter(|endpoint| *endpoint != removed)
+        .collect();
     let after = subset::choose("entry-1", "domain-0", &rest, 450);
-    let new = after.iter().filter(|one| !before.contains(one)).count();
+    let new = after
+        .iter()
+        .filter(|endpoint| !before.contains(endpoint))
+        .count();
     assert_eq!(new, 1);
 }
--- a/crates/policy/tests/permits.rs
+++ b/crates/policy/tests/permits.rs
@@ -68,7 +68,7 @@
     const DURATION: Duration = ms(24_000);
     const FAULT_AT: Duration = ms(9_000);
 
-    /// Times at which requests are sent to the endpoint. Each entry knows the limit from
+    /// Times at which requests are sent to the endpoint. Each entry has the limit from
     /// the start.
     fn run(&self, control: Control) -> Vec<Duration> {
         let mut random = StdRng::seed_from_u64(self.seed);
@@ -348,12 +348,12 @@
     #[test]
     fn limits_grants_bounded(
         limit in prop_oneof![Just(0.0), 0.01..2.0, 2.0..500.0],
-        asked in proptest::collection::vec((0u64..3_000, 0u32..100), 1..200),
+        reports in proptest::collection::vec((0u64..3_000, 0u32..100), 1..200),
     ) {
         let mut limits = Limits::default();
         let mut now = ms(1_000);
         let mut granted = Vec::new();
-        for (passed, wanted) in asked {
+        for (passed, wanted) in reports {
             now += ms(passed);
             let observed = Observation { rate: Some(rate(limit)), at: now };
             let permits = limits.apply_report(
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -94,9 +94,9 @@
 fn record_alive_disproves_crash() {
     let mut quarantine = crashes(3);
     let run = Incarnation::new("i-1", None);
-    for heard in [9_000, 10_300] {
+    for received in [9_000, 10_300] {
         // Bytes sent before the crash may be read a little later.
-        quarantine.record_alive(&run, ms(heard));
+        quarantine.record_alive(&run, ms(received));
         assert_eq!(quarantine.status(ms(20_000), CULPRIT).crashes, 3);
     }
     quarantine.record_alive(&run, ms(10_600));
--- a/crates/policy/tests/shared_health.rs
+++ b/crates/policy/tests/shared_health.rs
@@ -270,9 +270,9 @@
 /// A hundred entries send a thousand prompts per second to 180 endpoints. Thirty of these
 /// are replaced at once while the list still contains them for three seconds. Without
 /// reports each entry loses a request at each of the thirty. With reports all entries
-/// know within a second: two entries meet the same endpoint after 0.36 s on average,
-/// report that after 0.15 s, and the others poll within 0.5 s. No more sends fail than
-/// arrive at these endpoints within that second.
+/// have the verdict within a second: two entries meet the same endpoint after 0.36 s on
+/// average, report that after 0.15 s, and the others poll within 0.5 s. No more sends
+/// fail than arrive at these endpoints within that second.
 #[test]
 fn load_thirty_endpoints_replaced() {
     let (alone, together) = (
