--- a/crates/policy/src/list_reads.rs
+++ b/crates/policy/src/list_reads.rs
@@ -75,10 +75,10 @@
 ///
 /// A read takes `took`, and leaving endpoints may be sent requests for `within`.
 /// `spread`, from 0 to 1, is random, so that entries without fresh reads do not read at
-/// the same moment. The result is never below [`expected_age`]: entries that read in
-/// normal operation exhaust the list's call limit for each other. If that leaves no time
-/// for the read and a connection, entries wait as long as without a bound, since hundreds
-/// of them that read early would be late together.
+/// the same moment. A result within the bound is never below [`expected_age`]: entries
+/// that read in normal operation exhaust the list's call limit for each other. If that
+/// leaves no time for the read and a connection, entries wait as long as without a bound,
+/// since hundreds of them that read early would be late together.
 pub fn fallback_age(
     within: Duration,
     interval: Duration,
@@ -135,7 +135,8 @@
 /// Protects against lists that are truncated or empty by a fault of their source.
 ///
 /// A list with less than half of the endpoints in use is accepted only if it persists. An
-/// empty list is never accepted, since endpoints that are gone are detected without it.
+/// empty list never replaces one with endpoints, since endpoints that are gone are
+/// detected without it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShrinkGuard {
     since: Option<Duration>,
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -276,8 +276,9 @@
         suspect.times = suspect.times.max(times);
     }
 
-    /// Quarantines each request that is the only explanation of [`QUARANTINE_CRASHES`]
-    /// crashes, and returns the new quarantines.
+    /// Quarantines each request with at least [`QUARANTINE_CRASHES`] crashes that no
+    /// other request shares entirely, or with six crashes, and returns the new
+    /// quarantines.
     pub fn evaluate(&mut self, now: Duration) -> Vec<NewQuarantine> {
         self.expire(now);
         let mut found = Vec::new();
@@ -295,9 +296,9 @@
         found
     }
 
-    /// The index of the request with the most crashes not attributed to a quarantined
-    /// request, and their number, if these are enough and no other request shares them
-    /// all.
+    /// The request to quarantine next: its index and the number of its crashes. Only
+    /// confirmed crashes count that are not attributed to a quarantined request. Requests
+    /// with more crashes come first.
     fn culprit(&self, now: Duration) -> Option<(usize, usize)> {
         let enough = |suspect: &&Suspect| {
             suspect.until.is_none() && suspect.crashes.len() >= QUARANTINE_CRASHES
--- a/crates/policy/src/shared_health.rs
+++ b/crates/policy/src/shared_health.rs
@@ -17,7 +17,7 @@
 //!   must have made the same observation.
 //! * An endpoint from which any entry received data after that is neither silent nor
 //!   replaced. An entry behind a network partition, or one that was refused for too many
-//!   connections, convinces no other.
+//!   connections, therefore does not affect the others.
 //! * Every verdict expires soon unless new reports confirm it, except that an endpoint
 //!   was replaced: its old run does not come back.
 
