--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -55,7 +55,7 @@
     /// further.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), CodecError> {
         self.buffer.extend_from_slice(bytes);
-        while let Some(length) = self.announced()? {
+        while let Some(length) = self.frame_length()? {
             if self.buffer.len() < PREFIX + length {
                 break;
             }
@@ -73,7 +73,7 @@
         self.frames.pop_front()
     }
 
-    fn announced(&self) -> Result<Option<usize>, CodecError> {
+    fn frame_length(&self) -> Result<Option<usize>, CodecError> {
         let Some(prefix) = self.buffer.first_chunk::<PREFIX>() else {
             return Ok(None);
         };
--- a/crates/wire/src/demand.rs
+++ b/crates/wire/src/demand.rs
@@ -1,5 +1,9 @@
-//! Messages about what comes for each service, and what the list of endpoints says,
-//! between entries and control instances.
+//! The periodic exchange between entries and control instances.
+//!
+//! Each entry reports its demand per service, its newest read of the endpoint list, its
+//! observations of endpoints, lost requests and endpoint limits. The control instance
+//! answers with the merged state of all entries. Endpoints are identified by their index
+//! in a list that both sides hold, identified by its [mark](crate::list::Mark).
 
 use crate::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use crate::list::ListRead;
@@ -10,103 +14,106 @@
 /// Path of [`DemandReport`].
 pub const DEMAND_PATH: &str = "/internal/demand";
 
-/// When a control instance answered, by its own clock: the time since it started.
+/// Time at which a control instance answered, by its own monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Names the instance's present run; 0 for none.
+    /// Identifies the instance's process; 0 for none.
     pub run: u64,
-    /// Its time.
+    /// Time since that process started.
     pub at: Duration,
 }
 
-/// An instance's last stamp, as an entry tells it back. What passed since the stamp beyond
-/// what the entry says, its message was under way at least: so the instance knows of one
-/// that lay for long, without a clock that both share. Counted from the question and not
-/// from its answer, so that the usual time on the way adds nothing: ages that are told too
-/// large make entries read the list by themselves.
+/// The last [`Stamp`] of an instance, echoed by an entry.
+///
+/// The instance subtracts `since` from the time elapsed since the stamp. The difference is
+/// a lower bound of the message's transit time, so the instance recognises a long-delayed
+/// message without a shared clock. `since` counts from the entry's request, not from the
+/// answer, so that the usual round trip contributes nothing: overestimated ages would make
+/// entries read the endpoint list themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The stamp.
+    /// The echoed stamp.
     pub stamp: Stamp,
-    /// How long ago the entry had asked for it, when it wrote this.
+    /// Time from the request that was answered with the stamp to the writing of this
+    /// message.
     pub since: Duration,
 }
 
-/// Tells what came lately at one entry. Answered with [`DemandReply`].
+/// Periodic report of one entry. Answered with [`DemandReply`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// Name of the entry.
     pub entry: String,
-    /// Its services; sorted.
+    /// Demand of each service, sorted by service.
     pub services: Vec<ServiceDemand>,
-    /// Mark of the list that it has; 0 for none.
+    /// Mark of the endpoint list that the entry uses; 0 for none.
     #[serde(default)]
     pub list_mark: u64,
-    /// Its own newest read of the list.
+    /// The entry's own newest read of the list.
     #[serde(default)]
     pub list: Option<ListRead>,
-    /// What it met at endpoints since it told last, by place in the list that it has.
+    /// Observations of endpoints since the last report. Indices refer to `list_mark`.
     #[serde(default)]
     pub observations: Vec<EndpointObservation>,
-    /// Places in that list of the endpoints that it heard from lately, a bit each: the
-    /// lowest bit of the first byte is the first place.
+    /// Bitmap over the list of `list_mark`: set for endpoints from which the entry
+    /// recently received data. The least significant bit of the first byte is index 0.
     #[serde(default, with = "serde_bytes")]
     pub responding: Vec<u8>,
-    /// The last stamp that it got of this instance.
+    /// Echo of the last stamp received from this instance.
     #[serde(default)]
     pub echo: Option<Echo>,
-    /// Requests that it lost with their endpoints, and has not told this instance yet.
+    /// Requests lost with their endpoints and not yet reported to this instance.
     #[serde(default)]
     pub losses: Vec<RequestLoss>,
-    /// Requests that it served although they were suspected.
+    /// Suspected requests that the entry nevertheless served.
     #[serde(default)]
     pub served: Vec<RequestServed>,
-    /// Mark of the suspected requests that it knows; 0 for none.
+    /// Mark of the [`Suspects`] that the entry has; 0 for none.
     #[serde(default)]
     pub suspects_mark: u64,
-    /// Limits that it heard of, or for which it could use permits.
+    /// Limits that endpoints announced to the entry, or for which it could use permits.
     #[serde(default)]
     pub limits: Vec<EndpointLimit>,
-    /// Mark of the limits that it was told of; 0 for none.
+    /// Mark of the [`EndpointLimits`] that the entry has; 0 for none.
     #[serde(default)]
     pub limits_mark: u64,
-    /// Whether it asks this instance before all others.
+    /// Whether the entry sends its reports to this instance before all others.
     #[serde(default)]
     pub preferred: bool,
 }
 
-/// What an entry met at one endpoint.
+/// Outcomes of an entry's requests to one endpoint since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointObservation {
-    /// Place of the endpoint in the list, sorted by name and start.
+    /// Index of the endpoint in the list, which is sorted by name and start.
     pub list_index: u32,
-    /// Whether another run answered at its address.
+    /// Whether another run of the endpoint answered at its address.
     pub replaced: bool,
-    /// Whether it could not be reached, or said nothing for too long.
+    /// Whether a connection failed or no data arrived in time.
     pub unreached: bool,
-    /// Answers, failures among them.
+    /// Number of answered requests, including failed ones.
     pub answered: u32,
-    /// Failures.
+    /// Number of failed requests.
     pub failed: u32,
 }
 
-/// What all entries together see of an endpoint.
+/// Verdict on an endpoint from the observations of all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointVerdict {
-    /// Place of the endpoint in the list, sorted by name and start.
+    /// Index of the endpoint in the list, which is sorted by name and start.
     pub list_index: u32,
-    /// What holds of it.
+    /// The verdict; sound endpoints are not listed.
     pub verdict: WireVerdict,
 }
 
-/// What holds of an endpoint.
+/// Serialized form of [`Verdict`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WireVerdict {
-    /// It fails more of its requests than others.
+    /// Its failure rate exceeds that of other endpoints.
     Failing,
-    /// Nothing comes from it or reaches it.
+    /// It can't be reached and sends no data.
     Silent,
-    /// Another run answers at its address.
+    /// Another run of the endpoint answers at its address.
     Replaced,
 }
 
@@ -130,49 +137,49 @@
     }
 }
 
-/// Work for one service, in seconds of an endpoint's time, fading alike at all
-/// entries, and the pauses of its streams.
+/// Recent work for one service, in seconds of endpoint time, and the pauses of its
+/// streams. All values decay at the same rate at every entry, so that they can be added.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceDemand {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Of streams with short pauses.
+    /// Work of latency-sensitive streams, which allow only short pauses.
     pub latency_sensitive: f64,
-    /// Of other requests.
+    /// Work of all other requests.
     pub other: f64,
-    /// Longest pauses of streams that ran beside long prompts, in seconds, times
-    /// `streams`.
+    /// Mean longest pause of streams that ran beside long prompts, in seconds, multiplied
+    /// by `streams`.
     #[serde(default)]
     pub pauses: f64,
-    /// Streams that `pauses` comes from.
+    /// Number of streams that contributed to `pauses`.
     #[serde(default)]
     pub streams: f64,
 }
 
-/// Sums over all entries that told lately, and the newest read of the list.
+/// Answer to [`DemandReport`]: state merged from the recent reports of all entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReply {
-    /// The sums; sorted by service.
+    /// Sums over the entries, sorted by service.
     pub services: Vec<ServiceDemand>,
-    /// Whether the entry reads the list for the others.
+    /// Whether the entry is to read the endpoint list on behalf of all entries.
     #[serde(default)]
     pub reader: bool,
-    /// The newest read of the list.
+    /// The newest read of the list by any entry.
     #[serde(default)]
     pub list: Option<ListRead>,
-    /// What entries together see of the endpoints of that read; the others are sound.
+    /// Verdicts on the endpoints of that list; endpoints not named are sound.
     #[serde(default)]
     pub verdicts: Vec<EndpointVerdict>,
-    /// When this was answered.
+    /// Time of this answer.
     #[serde(default)]
     pub stamp: Stamp,
-    /// Requests that crash their endpoints, where the entry knows others.
+    /// Requests suspected of crashing their endpoints; `None` if the entry has this state.
     #[serde(default)]
     pub suspects: Option<Suspects>,
-    /// Limits that endpoints name, where the entry knows others.
+    /// Limits that endpoints announced; `None` if the entry has this state.
     #[serde(default)]
     pub limits: Option<EndpointLimits>,
-    /// Its permits for endpoints that it told of.
+    /// The entry's permits for the endpoints named in [`DemandReport::limits`].
     #[serde(default)]
     pub permits: Vec<EndpointPermits>,
 }
@@ -180,45 +187,45 @@
 /// A request that was lost with an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLoss {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Hash of its workspace.
+    /// Hash of the caller's workspace.
     pub workspace: u64,
-    /// The endpoint's run.
+    /// Run of the endpoint that was lost.
     pub run: Incarnation,
     /// Hash of the endpoint's failure domain.
     pub domain: u64,
-    /// How long it was under way there.
+    /// Time from sending the request to the loss of the connection.
     pub duration: Duration,
-    /// How long ago its connection broke.
+    /// Time since the loss of the connection.
     pub age: Duration,
 }
 
-/// A request that was served.
+/// A suspected request that was served, which clears it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestServed {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// How long ago.
+    /// Time since it was served.
     pub age: Duration,
 }
 
 /// All requests that are suspected or quarantined.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspects {
-    /// Differs where the requests do; 0 for none.
+    /// Hash of `requests`, to detect changes; 0 for none.
     pub mark: u64,
-    /// The requests, sorted.
+    /// The requests, sorted by fingerprint.
     pub requests: Vec<SuspectRequest>,
 }
 
-/// What is known of a request.
+/// State of a suspected or quarantined request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Endpoints that crashed under it.
+    /// Number of endpoints that crashed while running it.
     pub crashes: u32,
-    /// How much longer it is not sent on; `None` where it may be.
+    /// Time until the end of its quarantine; `None` if it may be sent to endpoints.
     pub remaining: Option<Duration>,
 }
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -21,11 +21,11 @@
 /// earlier.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time beyond [`POLL_TIMEOUT`] after which the answer counts as lost.
-const SLACK: Duration = Duration::from_secs(4);
+const ANSWER_GRACE: Duration = Duration::from_secs(4);
 /// Retry delay after the first failed poll; it doubles with each further failure.
-const MIN_PAUSE: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Upper bound of the retry delay, before jitter.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// An [`Update`] after [`DocumentCache::take`] applied its differences.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,7 +86,7 @@
 
     fn find(&self, service: &str) -> Result<usize, usize> {
         self.documents
-            .binary_search_by(|known| known.document.service.as_str().cmp(service))
+            .binary_search_by(|cached| cached.document.service.as_str().cmp(service))
     }
 }
 
@@ -107,18 +107,18 @@
     /// retry delays, so that daemons don't act in step.
     pub jitter_seed: u64,
     /// Newest revision seen in other messages. If it exceeds the revision of the last
-    /// poll, the polled instance may be cut off from the majority, and the next instance
-    /// is polled at once.
+    /// poll, the polled instance may be cut off from the majority, so the pending poll is
+    /// abandoned and the next instance polled.
     pub newest: watch::Receiver<Revision>,
 }
 
 impl DocumentWatcher {
-    /// Polls forever. Calls `heed` with each applied update and `failed` after each poll
-    /// that failed.
+    /// Polls forever. Calls `on_changes` with each applied update and `on_failure` after
+    /// each failed or abandoned poll.
     pub async fn run(
         self,
-        mut heed: impl FnMut(AppliedChanges) + Send,
-        mut failed: impl FnMut() + Send,
+        mut on_changes: impl FnMut(AppliedChanges) + Send,
+        mut on_failure: impl FnMut() + Send,
     ) {
         let control = ControlClient::new(
             self.client.clone(),
@@ -134,22 +134,22 @@
             wait: POLL_TIMEOUT,
         };
         let mut newest = self.newest.clone();
-        let mut known = DocumentCache::default();
-        let mut pause = MIN_PAUSE;
+        let mut cache = DocumentCache::default();
+        let mut delay = MIN_RETRY_DELAY;
         let mut jitter = self.jitter_seed;
         loop {
             let polled = tokio::select! {
                 polled = self.poll(&control, &request) => polled,
-                () = newer(&mut newest, request.revision) => None,
+                () = newer_revision(&mut newest, request.revision) => None,
             };
             match polled {
                 Some(update) if update.revision >= request.revision => {
-                    pause = MIN_PAUSE;
-                    match known.take(update) {
+                    delay = MIN_RETRY_DELAY;
+                    match cache.take(update) {
                         Some(changes) => {
                             request.revision = changes.revision;
                             request.entries = changes.entries;
-                            heed(changes);
+                            on_changes(changes);
                         }
                         // Revision 0 requests all documents in full. None of them can
                         // be older than the cached ones.
@@ -157,11 +157,11 @@
                     }
                 }
                 _ => {
-                    failed();
+                    on_failure();
                     control.advance();
-                    jitter = next(jitter);
-                    sleep(pause.mul_f64(0.5 + (jitter % 1024) as f64 / 1024.0)).await;
-                    pause = (pause * 2).min(MAX_PAUSE);
+                    jitter = next_jitter(jitter);
+                    sleep(delay.mul_f64(0.5 + (jitter % 1024) as f64 / 1024.0)).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
@@ -172,13 +172,16 @@
         let call = self
             .client
             .call::<_, ControlReply<Update>>(address, WATCH_PATH, watch);
-        let answered = timeout(POLL_TIMEOUT + SLACK, call).await.ok()?.ok()?;
+        let answered = timeout(POLL_TIMEOUT + ANSWER_GRACE, call)
+            .await
+            .ok()?
+            .ok()?;
         answered.ok()
     }
 }
 
 /// Resolves on the next notification of a revision above `revision`.
-async fn newer(newest: &mut watch::Receiver<Revision>, revision: Revision) {
+async fn newer_revision(newest: &mut watch::Receiver<Revision>, revision: Revision) {
     loop {
         if newest.changed().await.is_err() {
             return std::future::pending().await;
@@ -191,8 +194,8 @@
 
 /// One step of a linear congruential generator with Knuth's MMIX constants. Jitter needs
 /// no better quality, and no shared random source is involved.
-fn next(state: u64) -> u64 {
-    const FACTOR: u64 = 6_364_136_223_846_793_005;
-    const STEP: u64 = 1_442_695_040_888_963_407;
-    state.wrapping_mul(FACTOR).wrapping_add(STEP) >> 1
+fn next_jitter(state: u64) -> u64 {
+    const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+    const INCREMENT: u64 = 1_442_695_040_888_963_407;
+    state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT) >> 1
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,16 +1,15 @@
-//! Messages between the router's own processes, and the client that sends
-//! them.
+//! Internal protocol of the router's processes: messages, framing and client.
 //!
-//! Entry and agent talk over HTTP/2 with one `rmp-serde` message in the body
-//! of the request and a sequence of length-prefixed frames in the body of the
-//! answer. The crate exists so that both ends share one definition of what a
-//! complete answer is. Its invariants:
+//! Processes communicate over HTTP/2. The body of a request is one MessagePack message.
+//! An agent answers an entry's attempt with a sequence of length-prefixed frames; all
+//! other answers are one message. The crate gives both ends the same definition of a
+//! complete answer. Its invariants:
 //!
-//! * every frame carries the attempt id it belongs to and its position, so
-//!   that a frame of another attempt, a repeated one or a lost one is seen;
-//! * an answer is complete only when its `End` frame arrived and the byte
-//!   count in it agrees with what was received ([`answer::Answer`]);
-//! * no message is longer than [`codec::MAX_FRAME`].
+//! * every frame carries its attempt id and sequence number, so that a frame that is
+//!   foreign, repeated or missing is detected;
+//! * an answer is complete only if its `End` frame arrived with a byte count equal to the
+//!   bytes received ([`answer::Answer`]);
+//! * no frame is longer than [`codec::MAX_FRAME`].
 
 pub mod answer;
 pub mod attempt;
@@ -27,7 +26,7 @@
 pub mod routes;
 pub mod usage;
 
-/// The names most modules need, for one import line.
+/// Re-exports of the names that most modules use.
 pub mod prelude {
     pub use crate::answer::{Answer, AnswerError, AnswerPart};
     pub use crate::attempt::{Attempt, Header};
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,25 +1,28 @@
-//! Messages about limits that endpoints name, between entries and control instances.
+//! Messages about endpoint rate limits, between entries and control instances.
+//!
+//! An endpoint may announce a limit on the request rate of all entries together. Entries
+//! report the limits they see, and control instances divide them into permits.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::permits::{LimitReport, Observation, Rate};
 use serde::{Deserialize, Serialize};
 
-/// What a sender knows of an endpoint's limit.
+/// State of one endpoint's rate limit, as known to the sender.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLimit {
-    /// The endpoint's run.
+    /// Run of the endpoint.
     pub run: Incarnation,
-    /// Requests a second that it takes of all entries together; `None` where it names no
-    /// limit any more.
+    /// Limit in requests per second for all entries together; `None` if the endpoint no
+    /// longer announces a limit.
     pub rate: Option<f64>,
-    /// How long ago it said so.
+    /// Time since the endpoint announced it.
     pub age: Duration,
-    /// Requests that an entry could send there now, beyond the permits that it has.
+    /// Number of requests that the entry could send now beyond its permits.
     pub wanted: u32,
 }
 
 impl EndpointLimit {
-    /// What is known at `now`.
+    /// Converts a report, with its age relative to `now`.
     pub fn new(now: Duration, run: Incarnation, news: LimitReport) -> Self {
         Self {
             run,
@@ -29,8 +32,8 @@
         }
     }
 
-    /// The same by the receiver's clock, where `age` was counted at `sent`. A rate that is
-    /// none says nothing.
+    /// Converts back to a report in the receiver's clock; `sent` is the time on that clock
+    /// at which `age` held. Returns `None` if the rate is invalid.
     pub fn read(&self, sent: Duration) -> Option<LimitReport> {
         let rate = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
@@ -43,20 +46,20 @@
     }
 }
 
-/// The limits of all endpoints that named one lately.
+/// The limits of all endpoints that recently announced one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLimits {
-    /// Differs where the limits do; 0 for none.
+    /// Hash of `limits`, to detect changes; 0 for none.
     pub mark: u64,
     /// The limits, sorted by endpoint.
     pub limits: Vec<EndpointLimit>,
 }
 
-/// Permits of one entry for one limited endpoint, from when it asked.
+/// Permits granted to one entry for one limited endpoint, valid from the request on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointPermits {
-    /// The endpoint's run.
+    /// Run of the endpoint.
     pub run: Incarnation,
-    /// Requests that may be sent.
+    /// Number of requests that the entry may send.
     pub permits: u32,
 }
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -1,13 +1,15 @@
-//! What a reader of the list of endpoints tells the other entries, by way of a
-//! control instance: the whole list to who has none, and what changed to the others.
+//! Distribution of the endpoint list, complete or as differences.
 //!
-//! While endpoints leave one by one, a list of 3,000 endpoints changes twice a second.
-//! Told whole to 300 entries it is 60 MB a second; what changed is some hundred bytes
-//! for each of them.
+//! A few entries read the list from the platform; control instances pass it on to the
+//! others. A receiver without a recent list gets the complete list, any other receiver the
+//! changes since the list it has. While endpoints leave one by one, a list of 3,000
+//! endpoints changes twice a second: sending it complete to 300 entries would take
+//! 60 MB/s, whereas the changes are some hundred bytes per entry.
 //!
-//! Invariant: changes are applied only to the list that they were worked out from, and
-//! nothing is taken whose mark is not the one that was told; so a change that was lost,
-//! doubled or damaged leads to the whole list, never to a wrong one.
+//! Invariants: changes are applied only to the list from which they were computed, and a
+//! result is rejected unless its [`Mark`] equals the announced one. Lost, duplicated or
+//! corrupt changes therefore lead to a transfer of the complete list, never to a wrong
+//! list.
 
 use crate::compress::{compress, decompress};
 use dogwoodhill_core::prelude::*;
@@ -18,39 +20,41 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Earlier lists that are remembered. A list is read once a second and asked for twice, so
-/// that this is a few seconds: who fell behind further gets the whole.
-const REMEMBERED: usize = 8;
+/// Number of earlier lists from which changes can be computed. The list is read once and
+/// requested twice a second, so this covers a few seconds; a receiver further behind gets
+/// the complete list.
+const MAX_EARLIER: usize = 8;
 
-/// One endpoint, as the list has it.
+/// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its name and start.
+    /// Name and start time.
     pub run: Incarnation,
-    /// Service.
+    /// Service that the endpoint runs.
     pub service: ServiceId,
-    /// Address.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    /// Requests it can run at once.
+    /// Number of requests that the endpoint can run concurrently.
     pub slots: u32,
-    /// Whether it is about to stop.
+    /// Whether the endpoint is draining and will stop.
     pub leaving: bool,
 }
 
-/// Names a list: the same for the same endpoints in any order. 0 stands for no list.
+/// Content hash of a list, independent of the order of its endpoints. 0 means no list.
 pub type Mark = u64;
 
-/// Mark of the list without endpoints.
+/// Mark of a list without endpoints; differs from 0, which means no list.
 const EMPTY: Mark = 1;
 
-/// The mark of a list.
+/// Computes the mark of a list.
 pub fn mark(endpoints: &[EndpointRecord]) -> Mark {
     EMPTY.wrapping_add(sum(endpoints.iter()))
 }
 
-/// What some endpoints add to the mark of their list.
+/// Sums the hashes of some endpoints. A sum, with wrap-around, lets [`ListChanges::apply`]
+/// update a mark without hashing the unchanged endpoints.
 fn sum<'a>(endpoints: impl Iterator<Item = &'a EndpointRecord>) -> Mark {
     let one = |listed: &EndpointRecord| {
         let EndpointRecord {
@@ -67,30 +71,31 @@
     endpoints.map(one).fold(0, u64::wrapping_add)
 }
 
-/// One read of the list.
+/// A read of the list, as sent to a receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListRead {
-    /// The same for the same content.
+    /// Mark of the list.
     pub mark: Mark,
-    /// How long ago it was asked for.
+    /// Time since the list was requested from the platform.
     pub age: Duration,
-    /// How long the read took.
+    /// Duration of the read.
     #[serde(default)]
     pub took: Duration,
-    /// The whole list; left out where the receiver has this content.
+    /// The complete list; `None` if the receiver has the list or gets `changes`.
     pub whole: Option<Arc<CompressedList>>,
-    /// What changed since a list that the receiver has, in place of the whole.
+    /// Changes since the receiver's list, in place of `whole`.
     #[serde(default)]
     pub changes: Option<Arc<ListChanges>>,
 }
 
-/// A whole list, packed: 3,000 endpoints are 270 KB as they are, and hundreds of entries
-/// ask for them at once after all were killed, of one instance on 100 Mbit/s.
+/// A complete list, gzip-compressed. 3,000 endpoints take 270 KB uncompressed, and after a
+/// restart of all processes hundreds of entries request the list at once from one instance
+/// with a 100 Mbit/s link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedList(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl CompressedList {
-    /// Packs a list.
+    /// Encodes and compresses a list.
     ///
     /// # Panics
     ///
@@ -101,30 +106,31 @@
         ))
     }
 
-    /// Bytes that it takes on its way.
+    /// Compressed size in bytes.
     pub fn size(&self) -> usize {
         self.0.len()
     }
 
-    /// The list, if it can be read.
+    /// Decompresses and decodes the list. Returns `None` if the bytes are corrupt.
     pub fn read(&self) -> Option<Vec<EndpointRecord>> {
         rmp_serde::from_slice(&decompress(&self.0).ok()?).ok()
     }
 }
 
-/// What makes one list into another.
+/// The difference between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListChanges {
-    /// The list that it is worked out from.
+    /// Mark of the older list, to which the difference applies.
     pub from: Mark,
-    /// Places there of endpoints that are gone or changed; they rise.
+    /// Indices in the older list of removed and changed endpoints, in ascending order.
     pub removed: Vec<u32>,
-    /// Endpoints that are new or changed; sorted by name and start.
+    /// New and changed endpoints, sorted by name and start.
     pub updated: Vec<EndpointRecord>,
 }
 
 impl ListChanges {
-    /// What makes `old`, whose mark is `from`, into `new`; both sorted by name and start.
+    /// Computes the difference from `old`, whose mark is `from`, to `new`. Both lists must
+    /// be sorted by name and start.
     pub fn between(from: Mark, old: &[EndpointRecord], new: &[EndpointRecord]) -> Self {
         let mut changes = Self {
             from,
@@ -154,7 +160,7 @@
         changes
     }
 
-    /// The list that it makes `old` into. Only what changed is hashed anew.
+    /// Applies the difference to `old`. Only removed and updated endpoints are hashed.
     pub fn apply(&self, old: &ListSnapshot) -> ListSnapshot {
         let stays = |place: &(u32, &EndpointRecord)| {
             self.removed.binary_search(&place.0).is_err()
@@ -174,28 +180,29 @@
         }
     }
 
-    /// Endpoints that it names, as its size goes.
+    /// Number of removed and updated endpoints, a measure of the encoded size. A changed
+    /// endpoint counts twice.
     pub fn len(&self) -> usize {
         self.removed.len() + self.updated.len()
     }
 
-    /// Whether nothing changed.
+    /// Returns whether the two lists are equal.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A list and its mark.
+/// A list with its mark.
 #[derive(Clone, Debug, Default)]
 pub struct ListSnapshot {
-    /// Its mark; 0 for none.
+    /// Mark of the list; 0 for no list.
     pub mark: Mark,
-    /// Its endpoints, sorted by name and start.
+    /// The endpoints, sorted by name and start.
     pub endpoints: Arc<Vec<EndpointRecord>>,
 }
 
 impl ListSnapshot {
-    /// A list in any order.
+    /// Sorts `endpoints`, given in any order, and computes their mark.
     pub fn new(mut endpoints: Vec<EndpointRecord>) -> Self {
         endpoints.sort_by(|a, b| a.run.cmp(&b.run));
         let mark = mark(&endpoints);
@@ -204,20 +211,20 @@
     }
 }
 
-/// An earlier list, and what has changed since, once anybody asked.
+/// An earlier list and its difference to the newest one, computed on first use.
 #[derive(Clone, Debug)]
-struct Earlier {
-    content: ListSnapshot,
+struct EarlierList {
+    snapshot: ListSnapshot,
     changes: Option<Arc<ListChanges>>,
 }
 
-/// The newest list, and what changed since some earlier ones.
+/// The newest list and the differences from a few earlier ones.
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
     newest: ListSnapshot,
-    /// The newest list packed, once anybody asked for it.
+    /// The compressed newest list, computed on first use.
     whole: Option<Arc<CompressedList>>,
-    earlier: VecDeque<Earlier>,
+    earlier: VecDeque<EarlierList>,
 }
 
 impl ListHistory {
@@ -226,26 +233,27 @@
         &self.newest
     }
 
-    /// Puts a list in place of the newest one.
+    /// Replaces the newest list and keeps the old one as an earlier list.
     pub fn put(&mut self, newest: ListSnapshot) {
-        let content = std::mem::replace(&mut self.newest, newest);
+        let snapshot = std::mem::replace(&mut self.newest, newest);
         self.whole = None;
         self.earlier
-            .retain(|earlier| earlier.content.mark != content.mark);
+            .retain(|earlier| earlier.snapshot.mark != snapshot.mark);
         for earlier in &mut self.earlier {
             earlier.changes = None;
         }
-        if content.mark != 0 {
+        if snapshot.mark != 0 {
             let changes = None;
-            self.earlier.push_back(Earlier { content, changes });
+            self.earlier.push_back(EarlierList { snapshot, changes });
         }
-        if self.earlier.len() > REMEMBERED {
+        if self.earlier.len() > MAX_EARLIER {
             self.earlier.pop_front();
         }
     }
 
-    /// The newest list, read `age` ago within `took`, for a receiver that has the list of
-    /// `held`. What changed is worked out once for all that have the same list.
+    /// Returns the newest list, read `age` ago in `took`, in the smallest form for a
+    /// receiver that has the list with mark `held`: nothing, changes or the complete list.
+    /// Changes are computed once for all receivers of the same list.
     pub fn read_for(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
         let ListSnapshot { mark, endpoints } = self.newest.clone();
         let mut read = ListRead {
@@ -258,13 +266,14 @@
         if held == mark {
             return read;
         }
-        let found = self.earlier.iter_mut().find(|e| e.content.mark == held);
+        let found = self.earlier.iter_mut().find(|e| e.snapshot.mark == held);
         let changes = found.map(|earlier| {
-            let Earlier { content, changes } = earlier;
-            let between = || ListChanges::between(held, &content.endpoints, &endpoints);
+            let EarlierList { snapshot, changes } = earlier;
+            let between = || ListChanges::between(held, &snapshot.endpoints, &endpoints);
             Arc::clone(changes.get_or_insert_with(|| Arc::new(between())))
         });
-        // Half of the list in changes is more than the list itself.
+        // Changes are not compressed: beyond half of the list they are larger than the
+        // complete list.
         match changes.filter(|changes| changes.len() * 2 < endpoints.len()) {
             Some(changes) => read.changes = Some(changes),
             None => {
@@ -275,11 +284,11 @@
         read
     }
 
-    /// The list that `read` tells to a receiver that has these. `None` where it tells no
-    /// content, changes of a list that is not the newest here, or a content whose mark is
-    /// another one.
+    /// Reconstructs the list from a received `read`. Returns `None` if `read` carries no
+    /// list, if its changes don't apply to the newest list here, or if the result doesn't
+    /// have the announced mark.
     pub fn resolve(&self, read: &ListRead) -> Option<ListSnapshot> {
-        let content = match (&read.whole, &read.changes) {
+        let snapshot = match (&read.whole, &read.changes) {
             (Some(whole), _) => ListSnapshot::new(whole.read()?),
             (None, Some(changes))
                 if changes.from == self.newest.mark && changes.from != 0 =>
@@ -288,6 +297,6 @@
             }
             _ => return None,
         };
-        (content.mark == read.mark).then_some(content)
+        (snapshot.mark == read.mark).then_some(snapshot)
     }
 }
--- a/crates/wire/src/routes.rs
+++ b/crates/wire/src/routes.rs
@@ -1,8 +1,8 @@
-//! Messages about the route set between entries and control instances.
+//! Messages by which entries fetch the route set from control instances.
 //!
-//! Control instances only tell which version they have. The text is fetched apart, a
-//! piece at a time, so that no answer is longer than a small link carries in some
-//! ten milliseconds, and nothing is sent that was not asked for.
+//! A long poll returns only the version of the newest set. Entries then fetch its text in
+//! pieces, so that each answer takes a slow link only some tens of milliseconds and
+//! nothing is sent unrequested.
 
 use crate::compress::{DecompressError, compress, decompress};
 use dogwoodhill_core::prelude::*;
@@ -13,72 +13,72 @@
 pub const ROUTES_PATH: &str = "/internal/routes";
 /// Path of [`FetchRoutes`].
 pub const PIECE_PATH: &str = "/internal/routes/piece";
-/// Most bytes that one piece has, whatever is asked for.
+/// Largest piece, in bytes, whatever size was requested.
 pub const MAX_PIECE: usize = 256 * 1024;
 
-/// Asks which route set is the newest. Answered once it is newer than `known`, or
-/// when `wait` has passed.
+/// Requests the version of the newest route set. Answered once it exceeds `known` or after
+/// `wait`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRoutes {
-    /// Name of the entry that asks.
+    /// Name of the requesting entry.
     pub entry: String,
-    /// Newest version that the entry knows of by this instance. An entry that knows
-    /// of none is answered only after a majority confirmed that the instance knows
-    /// the newest one.
+    /// Newest version that this instance has announced to the entry, or that the entry
+    /// has. Without one, the answer is sent only after a majority confirmed that the
+    /// instance has the newest set.
     pub known: Option<Version>,
-    /// Longest wait.
+    /// Longest time to wait for a newer version.
     pub wait: Duration,
 }
 
 /// Answer to [`WatchRoutes`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesStatus {
-    /// Version of the newest set.
+    /// Version of the newest set; `None` if there is no set.
     pub newest: Option<Version>,
     /// Internal addresses of the control instances.
     pub control: Vec<SocketAddr>,
-    /// Entries that follow, as far as the instance knows.
+    /// Number of entries that watch the route set, as far as the instance knows.
     pub entries: u32,
 }
 
-/// Asks for a part of a set's text. Answered with a [`RoutesPiece`], or with `None`
-/// where the instance does not keep that version.
+/// Requests a part of a set's compressed text. Answered with a [`RoutesPiece`], or with
+/// `None` if the instance does not have that version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRoutes {
-    /// Which set.
+    /// Version of the set.
     pub version: Version,
-    /// From which byte on.
+    /// Offset of the first requested byte.
     pub offset: usize,
-    /// How many bytes at most.
+    /// Largest number of bytes to return; [`MAX_PIECE`] also applies.
     pub max_bytes: usize,
 }
 
-/// A part of a set's text.
+/// A part of a set's compressed text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesPiece {
-    /// Which set.
+    /// Version of the set.
     pub version: Version,
-    /// Length of the whole text, in bytes.
+    /// Length of the complete compressed text, in bytes.
     pub total: u64,
-    /// Position of the first byte.
+    /// Offset of the first byte of `bytes`.
     pub offset: usize,
-    /// The bytes.
+    /// The bytes of this part; empty if the request started at or past the end.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// A route set as it was accepted.
+/// An accepted route set in the form in which it is stored and transferred.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRoutes {
-    /// Version.
+    /// Version of the set.
     pub version: Version,
-    /// Text, as the operator sent it, [packed](crate::compress).
+    /// The operator's text, [compressed](crate::compress).
     #[serde(with = "serde_bytes")]
     pub source: Vec<u8>,
 }
 
 impl StoredRoutes {
-    /// Packs what an operator sent.
+    /// Compresses the text sent by an operator.
     pub fn new(version: Version, text: &[u8]) -> Self {
         Self {
             version,
@@ -86,19 +86,20 @@
         }
     }
 
-    /// What the operator sent.
+    /// Returns the text sent by the operator.
     ///
     /// # Errors
     ///
-    /// [`DecompressError`].
+    /// [`DecompressError`] if the stored bytes are corrupt or too large.
     pub fn text(&self) -> Result<Vec<u8>, DecompressError> {
         decompress(&self.source)
     }
 
-    /// The part of the packed text that `asked` names.
-    pub fn piece(&self, asked: &FetchRoutes) -> RoutesPiece {
-        let offset = asked.offset.min(self.source.len());
-        let max_bytes = asked.max_bytes.min(MAX_PIECE);
+    /// Returns the requested part of the compressed text, clipped to its length and to
+    /// [`MAX_PIECE`].
+    pub fn piece(&self, request: &FetchRoutes) -> RoutesPiece {
+        let offset = request.offset.min(self.source.len());
+        let max_bytes = request.max_bytes.min(MAX_PIECE);
         let end = (offset + max_bytes).min(self.source.len());
         RoutesPiece {
             version: self.version,
--- a/crates/wire/tests/answer.rs
+++ b/crates/wire/tests/answer.rs
@@ -1,4 +1,4 @@
-//! Only a whole answer of one's own is ever complete.
+//! An answer counts as complete only with all frames of its own attempt, in order.
 
 use bytes::Bytes;
 use dogwoodhill_wire::prelude::*;
@@ -23,7 +23,7 @@
     }
 }
 
-/// The frames of an answer with these chunks.
+/// Returns the frames of an answer with these chunks.
 fn frames(attempt: u128, chunks: &[Vec<u8>]) -> Vec<Frame> {
     let mut bodies = vec![head()];
     bodies.extend(
@@ -39,27 +39,27 @@
         .collect()
 }
 
-/// What a caller would have been given: the bytes, and whether as complete.
-struct Given {
+/// What a caller would have received.
+struct Received {
     bytes: Vec<u8>,
     complete: bool,
 }
 
-fn give(sequence: Vec<Frame>) -> Given {
+fn receive(sequence: Vec<Frame>) -> Received {
     let mut answer = Answer::new(OWN);
-    let mut given = Given {
+    let mut received = Received {
         bytes: Vec::new(),
         complete: false,
     };
     for frame in sequence {
         match answer.accept(frame) {
-            Ok(AnswerPart::Chunk(bytes)) => given.bytes.extend_from_slice(&bytes),
-            Ok(AnswerPart::End { .. }) => given.complete = true,
+            Ok(AnswerPart::Chunk(bytes)) => received.bytes.extend_from_slice(&bytes),
+            Ok(AnswerPart::End { .. }) => received.complete = true,
             Ok(_) => {}
-            Err(_) => return given,
+            Err(_) => return received,
         }
     }
-    given
+    received
 }
 
 fn runner(seed: u8) -> TestRunner {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn interleaving_never_delivers_foreign_or_short() {
+fn accept_interleaved_never_foreign_or_truncated() {
     let chunk = proptest::collection::vec(any::<u8>(), 1..6);
     let chunks = proptest::collection::vec(chunk, 0..6);
     let mix =
@@ -89,11 +89,14 @@
                 false => at.get(&own_frames).clone(),
             })
             .collect();
-        let given = give(sequence);
+        let received = receive(sequence);
         let whole: Vec<u8> = own.concat();
-        prop_assert!(whole.starts_with(&given.bytes), "only own bytes, in order");
-        if given.complete {
-            prop_assert_eq!(given.bytes, whole, "complete means whole");
+        prop_assert!(
+            whole.starts_with(&received.bytes),
+            "only own bytes, in order"
+        );
+        if received.complete {
+            prop_assert_eq!(received.bytes, whole, "complete means whole");
         }
         Ok(())
     });
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn frames_survive_any_cutting() {
+fn feed_chunks_of_any_size_decodes_frames() {
     let chunk = proptest::collection::vec(any::<u8>(), 0..200);
     let chunks = proptest::collection::vec(chunk, 0..5);
     let strategy = (chunks, 1usize..64);
@@ -127,13 +130,13 @@
 fn accept_complete_then_late_chunk_dropped() {
     let mut sequence = frames(OWN, &[b"abc".to_vec()]);
     sequence.push(frame(OWN, 3, Body::Chunk(Bytes::from_static(b"late"))));
-    let given = give(sequence);
-    assert!(given.complete);
-    assert_eq!(given.bytes, b"abc");
+    let received = receive(sequence);
+    assert!(received.complete);
+    assert_eq!(received.bytes, b"abc");
 }
 
 #[test]
-fn accept_end_with_other_count_is_short() {
+fn accept_end_with_other_count_truncated() {
     let mut answer = Answer::new(OWN);
     answer.accept(frame(OWN, 0, head())).unwrap();
     let end = Body::End {
--- a/crates/wire/tests/compress.rs
+++ b/crates/wire/tests/compress.rs
@@ -1,4 +1,4 @@
-//! Packing and unpacking.
+//! Compression and decompression of texts from untrusted sources.
 
 use dogwoodhill_wire::compress::{DecompressError, compress, decompress};
 use flate2::Compression;
@@ -7,14 +7,14 @@
 use std::io::Write;
 
 #[test]
-fn unpack_plain_text_as_it_is() {
+fn decompress_plain_text_unchanged() {
     let text = br#"{"version":1,"routes":[]}"#;
     assert_eq!(decompress(text).expect("plain"), text);
     assert_eq!(decompress(b"").expect("plain"), b"");
 }
 
 #[test]
-fn unpack_damaged_refused() {
+fn decompress_corrupt_refused() {
     let mut packed = compress(&[b'a'; 10_000]);
     let last = packed.len() - 1;
     packed[last] ^= 0x55;
@@ -25,15 +25,15 @@
     ));
 }
 
-/// Less than a megabyte that stands for 65.
+/// Less than one compressed megabyte that expands to 65 MiB.
 #[test]
-fn unpack_bomb_refused() {
-    let mut packer = GzEncoder::new(Vec::new(), Compression::best());
+fn decompress_bomb_refused() {
+    let mut encoder = GzEncoder::new(Vec::new(), Compression::best());
     let megabyte = vec![0; 1024 * 1024];
     for _ in 0..65 {
-        packer.write_all(&megabyte).expect("memory takes all");
+        encoder.write_all(&megabyte).expect("memory takes all");
     }
-    let packed = packer.finish().expect("memory takes all");
+    let packed = encoder.finish().expect("memory takes all");
     assert!(packed.len() < 1024 * 1024);
     assert!(matches!(
         decompress(&packed),
@@ -43,13 +43,13 @@
 
 proptest! {
     #[test]
-    fn unpack_packed_is_the_text(text in proptest::collection::vec(any::<u8>(), 0..5_000)) {
+    fn decompress_inverts_compress(text in proptest::collection::vec(any::<u8>(), 0..5_000)) {
         prop_assert_eq!(decompress(&compress(&text)).expect("packed"), text);
     }
 
-    /// What comes from outside may be anything: no panic, and an answer.
+    /// Arbitrary input never causes a panic.
     #[test]
-    fn unpack_odd_bytes_answered(mut bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
+    fn decompress_arbitrary_bytes_never_panics(mut bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
         let plain = decompress(&bytes);
         prop_assert!(plain.is_ok() || bytes.starts_with(&[0x1f, 0x8b]));
         bytes.splice(0..0, [0x1f, 0x8b, 8]);
--- a/crates/wire/tests/document_watch.rs
+++ b/crates/wire/tests/document_watch.rs
@@ -1,4 +1,4 @@
-//! Differences are only applied to the document they were made from.
+//! A document difference is applied only to the revision it was computed from.
 
 use dogwoodhill_core::document::Delta;
 use dogwoodhill_core::prelude::*;
@@ -41,22 +41,22 @@
 }
 
 #[test]
-fn take_patch_to_own_document() {
-    let mut known = DocumentCache::default();
-    known.take(update(whole(3, document(1, "a")))).unwrap();
-    let changes = known.take(update(patch(3, 5))).unwrap();
+fn take_patch_of_cached_revision_applied() {
+    let mut cache = DocumentCache::default();
+    cache.take(update(whole(3, document(1, "a")))).unwrap();
+    let changes = cache.take(update(patch(3, 5))).unwrap();
     assert_eq!(*changes.documents[0].document, document(2, "b"));
     assert_eq!(changes.documents[0].revision, 5);
 }
 
 #[test]
-fn take_patch_to_other_document_refused() {
-    let mut known = DocumentCache::default();
+fn take_patch_of_other_revision_refused() {
+    let mut cache = DocumentCache::default();
     assert_eq!(
-        known.take(update(patch(3, 5))),
+        cache.take(update(patch(3, 5))),
         None,
-        "nothing is known yet"
+        "nothing is cached yet"
     );
-    known.take(update(whole(4, document(1, "a")))).unwrap();
-    assert_eq!(known.take(update(patch(3, 5))), None);
+    cache.take(update(whole(4, document(1, "a")))).unwrap();
+    assert_eq!(cache.take(update(patch(3, 5))), None);
 }
--- a/crates/wire/tests/limits.rs
+++ b/crates/wire/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Messages about limits that endpoints name: sizes, and what comes back from bytes.
+//! Messages about endpoint rate limits: encoded size and conversion between clocks.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::permits::{LimitReport, Observation, Rate};
@@ -23,15 +23,15 @@
     }
 }
 
-/// What the exchange twice a second costs, for docs/CAPACITY.md.
+/// Sizes in the exchange that takes place twice a second; docs/CAPACITY.md gives them.
 #[test]
 fn limits_encode_small() {
-    let tell = |limits: usize| DemandReport {
+    let report = |limits: usize| DemandReport {
         limits: vec![limit(); limits],
         limits_mark: u64::from(limits > 0) * u64::MAX,
         ..DemandReport::default()
     };
-    let totals = |limits: usize, permits: usize| DemandReply {
+    let reply = |limits: usize, permits: usize| DemandReply {
         limits: (limits > 0).then(|| EndpointLimits {
             mark: u64::MAX,
             limits: vec![limit(); limits],
@@ -45,38 +45,40 @@
         ],
         ..DemandReply::default()
     };
-    let nothing = rmp_serde::to_vec(&tell(0)).expect("messages encode").len();
+    let empty = rmp_serde::to_vec(&report(0))
+        .expect("messages encode")
+        .len();
     println!(
-        "told: nothing 2, one {}, each more {}; answered: nothing 2, one limit {}, each \
+        "report: empty 2, one limit {}, each more {}; reply: empty 2, one limit {}, each \
          more {}, a permit {}",
-        size(&tell(1)) - nothing + 2,
-        size(&tell(2)) - size(&tell(1)),
-        size(&totals(1, 0)) - size(&totals(0, 0)) + 2,
-        size(&totals(2, 0)) - size(&totals(1, 0)),
-        size(&totals(0, 1)) - size(&totals(0, 0)),
+        size(&report(1)) - empty + 2,
+        size(&report(2)) - size(&report(1)),
+        size(&reply(1, 0)) - size(&reply(0, 0)) + 2,
+        size(&reply(2, 0)) - size(&reply(1, 0)),
+        size(&reply(0, 1)) - size(&reply(0, 0)),
     );
-    assert!(size(&tell(2)) - size(&tell(1)) <= 48);
-    assert!(size(&totals(2, 0)) - size(&totals(1, 0)) <= 48);
-    assert!(size(&totals(0, 1)) - size(&totals(0, 0)) <= 32);
+    assert!(size(&report(2)) - size(&report(1)) <= 48);
+    assert!(size(&reply(2, 0)) - size(&reply(1, 0)) <= 48);
+    assert!(size(&reply(0, 1)) - size(&reply(0, 0)) <= 32);
 }
 
 #[test]
-fn limit_read_by_the_receivers_clock() {
+fn limit_read_in_receivers_clock() {
     let now = Duration::from_secs(50);
-    let news = LimitReport {
+    let report = LimitReport {
         observed: Observation {
             rate: Rate::new(1.2),
             at: Duration::from_secs(48),
         },
         wanted: 3,
     };
-    let told = EndpointLimit::new(now, run(), news);
-    let read = told.read(Duration::from_secs(9)).expect("a limit");
+    let sent = EndpointLimit::new(now, run(), report);
+    let read = sent.read(Duration::from_secs(9)).expect("a limit");
     assert_eq!(read.observed.at, Duration::from_secs(7));
     assert_eq!((read.observed.rate, read.wanted), (Rate::new(1.2), 3));
-    let told = EndpointLimit {
+    let invalid = EndpointLimit {
         rate: Some(f64::NAN),
-        ..told
+        ..sent
     };
-    assert_eq!(told.read(now), None, "no rate says nothing");
+    assert_eq!(invalid.read(now), None, "an invalid rate is ignored");
 }
--- a/crates/wire/tests/suspects.rs
+++ b/crates/wire/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! What it costs to tell of requests that crash their endpoints.
+//! Encoded size of messages about requests that crash their endpoints.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::demand::{
@@ -6,17 +6,17 @@
 };
 use serde::Serialize;
 
-/// What a daemon may spend on control, in bytes a second.
-const MOST: usize = 3_000;
+/// Budget of a daemon's control traffic, in bytes per second.
+const MAX_BYTES_PER_S: usize = 3_000;
 
 fn size(message: &impl Serialize) -> usize {
     rmp_serde::to_vec(message).expect("messages encode").len()
 }
 
-/// Requests under way at one engine, lost with it at one entry: told once, and less than
-/// two seconds' share.
+/// An entry loses 64 requests with one engine. Each loss is reported once, within two
+/// seconds' budget.
 #[test]
-fn told_losses_of_a_full_engine_small() {
+fn losses_of_full_engine_small() {
     let loss = |request: Fingerprint| RequestLoss {
         request: Fingerprint::MAX - request,
         workspace: u64::MAX,
@@ -25,30 +25,31 @@
         duration: Duration::from_millis(1_234),
         age: Duration::from_millis(160),
     };
-    let tell = DemandReport {
+    let report = DemandReport {
         losses: (0..64).map(loss).collect(),
         ..DemandReport::default()
     };
-    let more = size(&tell) - size(&DemandReport::default());
-    assert!(more <= 2 * MOST, "{more} bytes");
+    let more = size(&report) - size(&DemandReport::default());
+    assert!(more <= 2 * MAX_BYTES_PER_S, "{more} bytes");
 }
 
-/// Where all entries know the same, which is nearly always, nothing is told.
+/// Suspects are sent only to entries whose state differs, which is rare, so the occasional
+/// complete set may exceed the budget of a second.
 #[test]
-fn told_suspects_only_where_they_differ() {
-    let standing = |request: Fingerprint| SuspectRequest {
+fn suspects_of_256_requests_bounded() {
+    let suspect = |request: Fingerprint| SuspectRequest {
         request: Fingerprint::MAX - request,
         crashes: 3,
         remaining: Some(Duration::from_millis(599_123)),
     };
-    let told = |requests: Fingerprint| DemandReply {
+    let reply = |requests: Fingerprint| DemandReply {
         suspects: Some(Suspects {
             mark: u64::MAX,
-            requests: (0..requests).map(standing).collect(),
+            requests: (0..requests).map(suspect).collect(),
         }),
         ..DemandReply::default()
     };
-    let nothing = size(&DemandReply::default());
-    assert!(size(&told(8)) - nothing <= MOST / 10);
-    assert!(size(&told(256)) - nothing <= 3 * MOST);
+    let empty = size(&DemandReply::default());
+    assert!(size(&reply(8)) - empty <= MAX_BYTES_PER_S / 10);
+    assert!(size(&reply(256)) - empty <= 3 * MAX_BYTES_PER_S);
 }
