--- a/crates/core/src/text.rs
+++ b/crates/core/src/text.rs
@@ -364,7 +364,7 @@
             match element {
                 Value::StringLit(lit) => out.push(lit.value.to_string()),
                 _ => {
-                    self.report(key, "holds something else than text", "quote each item")
+                    self.report(key, "holds something else than text", "quote each item");
                 }
             }
         }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -59,8 +59,8 @@
 
 /// Validates the frames of one attempt as they arrive.
 ///
-/// After an [`AnswerError`], a refusal or the end, every further frame is an error, so that
-/// a late frame can't lengthen a finished answer.
+/// After an [`AnswerError`], a refusal or the end, every further frame is an error, so
+/// that a late frame can't lengthen a finished answer.
 #[derive(Debug)]
 pub struct Answer {
     attempt: AttemptId,
--- a/crates/wire/src/attempt.rs
+++ b/crates/wire/src/attempt.rs
@@ -43,7 +43,7 @@
     pub gap: Option<Duration>,
     /// Revision of the document under which the request was admitted.
     pub revision: Revision,
-    /// Fencing number of the agent's lease as last seen by the entry; 0 without leases.
+    /// Fencing token of the agent's lease as last seen by the entry; 0 without leases.
     pub fence: Fence,
     /// Whether the caller requested a streamed response.
     pub stream: bool,
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -30,11 +30,11 @@
 /// power fails quickly.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval of HTTP/2 pings on a connection with open streams. Together with
-/// [`PING_TIMEOUT`], a dead connection is replaced within the few seconds that an operator
-/// waits for an acknowledgement.
+/// [`PING_TIMEOUT`], a dead connection is replaced within the few seconds that an
+/// operator waits for an acknowledgement.
 const PING_INTERVAL: Duration = Duration::from_millis(700);
-/// A connection is closed if a ping is not answered within this time. Well above the round
-/// trip to a process that is limited to a tenth of a core.
+/// A connection is closed if a ping is not answered within this time. Well above the
+/// round trip to a process that is limited to a tenth of a core.
 const PING_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Largest answer accepted by [`PeerClient::call`], in bytes.
 const MAX_MESSAGE: usize = 64 * 1024 * 1024;
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -5,8 +5,8 @@
 use derive_more::{Display, Error};
 use std::collections::VecDeque;
 
-/// Largest encoded frame, in bytes. A chunk holds one read from the endpoint's connection,
-/// which hyper bounds well below this.
+/// Largest encoded frame, in bytes. A chunk holds one read from the endpoint's
+/// connection, which hyper bounds well below this.
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
 /// Size of the length prefix, in bytes: a big-endian `u32`.
 const PREFIX: usize = 4;
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -167,7 +167,7 @@
 /// Answer to [`Acquire`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseReply {
-    /// The sender holds the lease, under this fencing number.
+    /// The sender holds the lease, under this fencing token.
     Held(Fence),
     /// Another agent process holds the lease, for at most this long.
     Other(Duration),
--- a/crates/wire/src/demand.rs
+++ b/crates/wire/src/demand.rs
@@ -25,11 +25,11 @@
 
 /// The last [`Stamp`] of an instance, echoed by an entry.
 ///
-/// The instance subtracts `since` from the time elapsed since the stamp. The difference is
-/// a lower bound of the message's transit time, so the instance recognises a long-delayed
-/// message without a shared clock. `since` counts from the entry's request, not from the
-/// answer, so that the usual round trip contributes nothing: overestimated ages would make
-/// entries read the endpoint list themselves.
+/// The instance subtracts `since` from the time elapsed since the stamp. The difference
+/// is a lower bound of the message's transit time, so the instance recognises a
+/// long-delayed message without a shared clock. `since` counts from the entry's request,
+/// not from the answer, so that the usual round trip contributes nothing: overestimated
+/// ages would make entries read the endpoint list themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// The echoed stamp.
@@ -173,7 +173,8 @@
     /// Time of this answer.
     #[serde(default)]
     pub stamp: Stamp,
-    /// Requests suspected of crashing their endpoints; `None` if the entry has this state.
+    /// Requests suspected of crashing their endpoints; `None` if the entry has this
+    /// state.
     #[serde(default)]
     pub suspects: Option<Suspects>,
     /// Limits that endpoints announced; `None` if the entry has this state.
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -2,8 +2,8 @@
 //!
 //! A control instance answers a poll only after a majority confirmed, since the poll
 //! arrived, that the instance has applied every accepted change. A daemon that has seen a
-//! revision therefore never gets an older state from a lagging instance. While no instance
-//! answers, the daemon keeps the documents it has.
+//! revision therefore never gets an older state from a lagging instance. While no
+//! instance answers, the daemon keeps the documents it has.
 
 use crate::client::PeerClient;
 use crate::control::{
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Converts back to a report in the receiver's clock; `sent` is the time on that clock
-    /// at which `age` held. Returns `None` if the rate is invalid.
+    /// Converts back to a report in the receiver's clock; `sent` is the time on that
+    /// clock at which `age` held. Returns `None` if the rate is invalid.
     pub fn read(&self, sent: Duration) -> Option<LimitReport> {
         let rate = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -1,10 +1,10 @@
 //! Distribution of the endpoint list, complete or as differences.
 //!
 //! A few entries read the list from the platform; control instances pass it on to the
-//! others. A receiver without a recent list gets the complete list, any other receiver the
-//! changes since the list it has. While endpoints leave one by one, a list of 3,000
-//! endpoints changes twice a second: sending it complete to 300 entries would take
-//! 60 MB/s, whereas the changes are some hundred bytes per entry.
+//! others. A receiver without a recent list gets the complete list, any other receiver
+//! the changes since the list it has. While endpoints leave one by one, a list of 3,000
+//! endpoints changes twice a second: sending it complete to 300 entries would take 60
+//! MB/s, whereas the changes are some hundred bytes per entry.
 //!
 //! Invariants: changes are applied only to the list from which they were computed, and a
 //! result is rejected unless its [`Mark`] equals the announced one. Lost, duplicated or
@@ -53,8 +53,8 @@
     EMPTY.wrapping_add(sum(endpoints.iter()))
 }
 
-/// Sums the hashes of some endpoints. A sum, with wrap-around, lets [`ListChanges::apply`]
-/// update a mark without hashing the unchanged endpoints.
+/// Sums the hashes of some endpoints. A sum, with wrap-around, lets
+/// [`ListChanges::apply`] update a mark without hashing the unchanged endpoints.
 fn sum<'a>(endpoints: impl Iterator<Item = &'a EndpointRecord>) -> Mark {
     let one = |listed: &EndpointRecord| {
         let EndpointRecord {
@@ -88,9 +88,9 @@
     pub changes: Option<Arc<ListChanges>>,
 }
 
-/// A complete list, gzip-compressed. 3,000 endpoints take 270 KB uncompressed, and after a
-/// restart of all processes hundreds of entries request the list at once from one instance
-/// with a 100 Mbit/s link.
+/// A complete list, gzip-compressed. 3,000 endpoints take 270 KB uncompressed, and after
+/// a restart of all processes hundreds of entries request the list at once from one
+/// instance with a 100 Mbit/s link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedList(#[serde(with = "serde_bytes")] Vec<u8>);
 
@@ -129,8 +129,8 @@
 }
 
 impl ListChanges {
-    /// Computes the difference from `old`, whose mark is `from`, to `new`. Both lists must
-    /// be sorted by name and start.
+    /// Computes the difference from `old`, whose mark is `from`, to `new`. Both lists
+    /// must be sorted by name and start.
     pub fn between(from: Mark, old: &[EndpointRecord], new: &[EndpointRecord]) -> Self {
         let mut changes = Self {
             from,
@@ -252,8 +252,8 @@
     }
 
     /// Returns the newest list, read `age` ago in `took`, in the smallest form for a
-    /// receiver that has the list with mark `held`: nothing, changes or the complete list.
-    /// Changes are computed once for all receivers of the same list.
+    /// receiver that has the list with mark `held`: nothing, changes or the complete
+    /// list. Changes are computed once for all receivers of the same list.
     pub fn read_for(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
         let ListSnapshot { mark, endpoints } = self.newest.clone();
         let mut read = ListRead {
--- a/crates/wire/src/routes.rs
+++ b/crates/wire/src/routes.rs
@@ -16,8 +16,8 @@
 /// Largest piece, in bytes, whatever size was requested.
 pub const MAX_PIECE: usize = 256 * 1024;
 
-/// Requests the version of the newest route set. Answered once it exceeds `known` or after
-/// `wait`.
+/// Requests the version of the newest route set. Answered once it exceeds `known` or
+/// after `wait`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRoutes {
     /// Name of the requesting entry.
--- a/crates/wire/tests/list.rs
+++ b/crates/wire/tests/list.rs
@@ -49,8 +49,8 @@
     assert_eq!((read.whole, read.changes), (None, None));
 }
 
-/// While 2,998 endpoints leave one by one, 300 entries get each change, twice a second. The
-/// message for one change must be below a thousandth of the uncompressed list.
+/// While 2,998 endpoints leave one by one, 300 entries get each change, twice a second.
+/// The message for one change must be below a thousandth of the uncompressed list.
 #[test]
 fn read_for_one_change_of_thousands_small() {
     let mut history = ListHistory::default();
@@ -87,8 +87,8 @@
     }
 }
 
-/// A list is accepted only with the announced mark, and changes only on the list that they
-/// were computed from.
+/// A list is accepted only with the announced mark, and changes only on the list that
+/// they were computed from.
 #[test]
 fn resolve_requires_announced_mark() {
     let (old, new) = (list(0..9), list(1..12));
@@ -151,8 +151,8 @@
     }
 
     /// Lists change while messages are lost, duplicated and delayed and the sender
-    /// restarts. The receiver only ever has a list that existed, and one undisturbed exchange
-    /// brings it to the newest list.
+    /// restarts. The receiver only ever has a list that existed, and one undisturbed
+    /// exchange brings it to the newest list.
     #[test]
     fn receiver_converges(
         lists in proptest::collection::vec(any_list(), 1..20),
--- a/crates/wire/tests/suspects.rs
+++ b/crates/wire/tests/suspects.rs
@@ -33,8 +33,8 @@
     assert!(more <= 2 * MAX_BYTES_PER_S, "{more} bytes");
 }
 
-/// Suspects are sent only to entries whose state differs, which is rare, so the occasional
-/// complete set may exceed the budget of a second.
+/// Suspects are sent only to entries whose state differs, which is rare, so the
+/// occasional complete set may exceed the budget of a second.
 #[test]
 fn suspects_of_256_requests_bounded() {
     let suspect = |request: Fingerprint| SuspectRequest {
--- a/crates/wire/tests/usage.rs
+++ b/crates/wire/tests/usage.rs
@@ -31,10 +31,10 @@
     rmp_serde::to_vec(&reply).expect("encodes").len()
 }
 
-/// Each entry reports the counts that have grown twice a second. With 16 requests/s at each
-/// of 33 entries from 24 workspaces, or 31 requests/s at each of 450 entries from 2,100
-/// workspaces, up to 16 counts grow between reports; reports and replies together must
-/// stay under 1 KB/s.
+/// Each entry reports the counts that have grown twice a second. With 16 requests/s at
+/// each of 33 entries from 24 workspaces, or 31 requests/s at each of 450 entries from
+/// 2,100 workspaces, up to 16 counts grow between reports; reports and replies together
+/// must stay under 1 KB/s.
 #[test]
 fn report_grown_workspaces_under_1_kb_per_s() {
     let sizes = [report_size(8), report_size(16), reply_size()];
