--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -345,7 +345,7 @@
     /// What this entry met there since it told the others last, if anything.
     pub(crate) fn sight(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
-        self.view().record.take_sighting(now)
+        self.view().record.take_report(now)
     }
 
     /// All entries together see this of it, or nothing of note.
