--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -1,55 +1,54 @@
-//! Counts of how requests ended, per service and class, in one-minute
-//! buckets.
+//! Request outcomes per service and class in one-minute buckets, for burn rates.
 //!
-//! A daemon keeps one ring for each class it has seen. Rings are merged by
-//! adding buckets of the same minute, so a report over many daemons is exact
-//! and independent of the order in which they are read.
+//! A daemon keeps one ring for each class of which it has served requests. Rings of
+//! several daemons are merged by adding buckets of the same minute, so a report over many
+//! daemons is exact and independent of the order in which they are read.
 
 use crate::ids::{ClassId, ServiceId};
 use serde::{Deserialize, Serialize};
 use std::ops::AddAssign;
 
-/// Minutes that a ring remembers: the longest window of the report.
+/// Number of buckets in a ring, which is the longest window of the report in minutes.
 pub const MINUTES: usize = 60;
 
-/// What happened to requests.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Answered whole within the class's target.
+    /// Answered completely within the class's target.
     pub attained: u64,
-    /// Answered whole, later than the target.
+    /// Answered completely, but later than the target.
     pub missed: u64,
-    /// Refused because of limits or bounds.
+    /// Refused because of a limit or a full queue.
     pub shed: u64,
-    /// Not run for another reason, deadlines included.
+    /// Not run for any other reason, including deadlines.
     pub failed: u64,
-    /// Ended with an unknown outcome.
+    /// Ended with unknown outcome.
     pub unknown: u64,
-    /// Ended because the caller went away.
+    /// Ended because the caller disconnected.
     pub left: u64,
-    /// Tokens in whole answers.
+    /// Tokens in complete answers.
     pub tokens: u64,
-    /// Tokens in answers that broke off or whose caller went away.
+    /// Tokens in answers that broke off or whose caller disconnected.
     pub discarded: u64,
-    /// Tries that may have run beside the one that answered.
+    /// Attempts that may have run in addition to the one that answered.
     pub duplicated: u64,
 }
 
 impl Counts {
-    /// Requests that count for the objective: all but those whose caller
-    /// went away.
+    /// Number of requests that count for the objective: all except those whose caller
+    /// disconnected.
     pub fn eligible(&self) -> u64 {
         self.attained + self.missed + self.shed + self.failed + self.unknown
     }
 
-    /// Share of judged requests that met the target; `None` without any.
+    /// Share of eligible requests that met the target; `None` if there are none.
     pub fn attainment(&self) -> Option<f64> {
         let eligible = self.eligible();
         (eligible > 0).then(|| self.attained as f64 / eligible as f64)
     }
 
-    /// How fast the error budget burns: 1 is exactly as fast as the objective
-    /// allows (the burn rate of the Site Reliability Workbook, chapter 5).
+    /// Burn rate of the error budget, as in The Site Reliability Workbook, chapter 5: 1
+    /// is exactly the rate that the objective allows. `None` without eligible requests.
     pub fn burn_rate(&self, objective: f64) -> Option<f64> {
         let allowed = 1.0 - objective;
         self.attainment().map(|share| (1.0 - share) / allowed)
@@ -75,30 +74,30 @@
 pub struct Bucket {
     /// Minute since the Unix epoch.
     pub minute: u64,
-    /// Its counts.
+    /// Outcomes of requests that ended in the minute.
     pub counts: Counts,
 }
 
-/// Counts of one class: the last hour by the minute, and everything since the
-/// daemon started.
+/// Counts of one class: by minute for the last [`MINUTES`], and in total since the daemon
+/// started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ring {
-    /// Service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Class.
+    /// Name of the class.
     pub class: ClassId,
-    /// The class's objective, as last seen.
+    /// Objective of the class in the newest document seen.
     pub objective: f64,
-    /// The class's target, as text.
+    /// Target of the class, as text.
     pub target: String,
-    /// Buckets, oldest first.
+    /// Non-empty buckets, oldest first; at most [`MINUTES`].
     pub buckets: Vec<Bucket>,
-    /// Everything since start.
+    /// Counts since the daemon started.
     pub total: Counts,
 }
 
 impl Ring {
-    /// A ring without counts.
+    /// Creates an empty ring.
     pub fn new(service: ServiceId, class: ClassId) -> Self {
         Self {
             service,
@@ -110,7 +109,8 @@
         }
     }
 
-    /// Adds counts at `minute`.
+    /// Adds counts to the bucket of `minute` and drops the oldest buckets beyond
+    /// [`MINUTES`].
     pub fn add(&mut self, minute: u64, counts: Counts) {
         self.total += counts;
         let place = self.buckets.binary_search_by_key(&minute, |b| b.minute);
@@ -122,7 +122,8 @@
         self.buckets.drain(..excess);
     }
 
-    /// Adds another daemon's ring of the same class.
+    /// Adds the ring of another daemon for the same class. Objective and target are taken
+    /// from `other`.
     pub fn merge(&mut self, other: &Self) {
         let total = self.total;
         for bucket in &other.buckets {
@@ -134,7 +135,7 @@
         self.target.clone_from(&other.target);
     }
 
-    /// Sum over the `minutes` up to and including `now`.
+    /// Returns the sum over the last `minutes`, up to and including the minute `now`.
     pub fn window(&self, now: u64, minutes: u64) -> Counts {
         let mut sum = Counts::default();
         let first = (now + 1).saturating_sub(minutes);
--- a/crates/core/src/diagnostic.rs
+++ b/crates/core/src/diagnostic.rs
@@ -1,26 +1,26 @@
-//! Diagnostics found in text that people write, each with its remedy.
+//! Diagnostics for settings files and service documents.
 
 use derive_more::Display;
 use std::error::Error;
 use std::fmt;
 
-/// One fault in a settings file or service document.
+/// One error in a settings file or service document.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{file}:{line}: {key}: {problem}; {remedy}")]
 pub struct Diagnostic {
     /// Name of the file or document.
     pub file: String,
-    /// Line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
     /// Path of the key, such as `classes[1].priority`.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error, which continues the key: "is missing".
     pub problem: String,
-    /// What to write instead.
+    /// Description of valid input.
     pub remedy: String,
 }
 
-/// Every fault of one text, in order of line. Never empty when used as error.
+/// All errors of one text, sorted by line. Never empty when returned as an error.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -1,11 +1,9 @@
-//! The service document: the only way operators steer a service.
+//! The service document, by which operators configure a service.
 //!
-//! One document declares a service's classes, targets, workspaces and
-//! endpoints. It is parsed and checked as a whole by [`ServiceDocument::parse`];
-//! a value of this type that came from there satisfies every rule listed in
-//! `check`. Two documents with the same content compare equal whatever
-//! comments or layout their texts have, which is what makes a resent change
-//! recognisable.
+//! A document declares a service's classes, targets, workspaces and endpoints.
+//! [`ServiceDocument::parse`] parses and validates it as a whole, so that every parsed
+//! document satisfies the rules of `check`. Documents with the same content compare equal
+//! regardless of comments and layout, which identifies a change that is sent again.
 
 mod check;
 mod delta;
@@ -22,24 +20,24 @@
 
 pub use check::{MAX_CLASSES, MAX_ENDPOINTS, MAX_WORKSPACES};
 
-/// What stands behind a service.
+/// Kind of a service's endpoints.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Language-model engines.
     #[display("model")]
     Model,
-    /// Ordinary HTTP services.
+    /// HTTP services other than language models.
     #[display("plain")]
     Plain,
 }
 
-/// Whether a service takes new work.
+/// Whether a service accepts new requests.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// New work is taken.
+    /// New requests are accepted.
     #[display("active")]
     Active,
-    /// New work is refused with 410; admitted work finishes.
+    /// New requests are refused with status 410; admitted requests finish.
     #[display("retiring")]
     Retiring,
 }
@@ -55,24 +53,23 @@
     Never,
 }
 
-/// Latency target of a class. At least one part is set.
+/// Latency target of a class. At least one field is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Time to the first token or byte.
+    /// Longest time to the first token or byte.
     pub first_token: Option<Duration>,
-    /// Mean time between tokens after the first.
+    /// Longest mean time between tokens after the first.
     pub token_gap: Option<Duration>,
-    /// Time to the end of the answer.
+    /// Longest time to the end of the response.
     pub finish: Option<Duration>,
 }
 
-/// Which requests belong to a class when the caller names none. Every part
-/// that is set must match.
+/// Assigns requests that name no class to a class. Every field that is set must match.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rule {
-    /// HTTP method, in capitals.
+    /// HTTP method, in upper case.
     pub method: Option<String>,
-    /// Prefix of the path below the service, starting with a slash.
+    /// Prefix of the path within the service, starting with a slash.
     pub path: Option<String>,
     /// Header name, in lower case.
     pub header: Option<String>,
@@ -80,75 +77,75 @@
     pub value: Option<String>,
 }
 
-/// One class of requests.
+/// A class of requests with a common priority and latency target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Name, unique in the document.
     pub name: ClassId,
-    /// Tier: 0 is the most urgent.
+    /// Tier; 0 is the most urgent.
     pub priority: Tier,
     /// Latency target.
     pub target: Target,
-    /// Share of requests that must meet the target, such as 0.95.
+    /// Share of requests that must meet the target, between 0 and 1.
     pub objective: f64,
     /// Whether a request may be retried.
     pub repeat: Repeat,
-    /// Deadline of a request that names none.
+    /// Timeout of a request that specifies none.
     pub timeout: Duration,
-    /// Match rules; one that matches is enough.
+    /// Match rules, of which any one must match.
     pub rules: Vec<Rule>,
 }
 
-/// One workspace's share and limits.
+/// Share, limits and keys of a workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
     /// Name, unique in the document.
     pub name: WorkspaceId,
-    /// Relative share of capacity inside a class.
+    /// Relative share of the capacity within a class.
     pub weight: u32,
-    /// Most requests in flight, over all entries; `None` for no limit.
+    /// Limit of concurrent requests over all entries; `None` for no limit.
     pub in_flight: Option<u32>,
-    /// Most requests a second, over all entries; `None` for no limit.
+    /// Limit of requests per second over all entries; `None` for no limit.
     pub rate: Option<f64>,
-    /// Hashes of the keys that name this workspace.
+    /// Hashes of the keys that authenticate this workspace.
     pub keys: Vec<KeyHash>,
 }
 
-/// One endpoint with the agent beside it.
+/// An endpoint and its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     /// Name, unique in the document.
     pub name: EndpointId,
-    /// Address of the agent.
+    /// Address of the agent, which forwards requests to the endpoint.
     pub agent: SocketAddr,
     /// Address of the endpoint itself.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    /// Whether the endpoint checks fencing numbers itself.
+    /// Whether the endpoint itself rejects outdated fencing tokens.
     pub fenced: bool,
-    /// Whether the endpoint is being taken out of use.
+    /// Whether the endpoint is being drained.
     pub leaving: bool,
 }
 
-/// One service as its owners declare it.
+/// Declaration of a service by its owners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceDocument {
     /// Name of the service.
     pub service: ServiceId,
-    /// Version; each accepted change adds one.
+    /// Version; each accepted change increments it by one.
     pub version: Version,
     /// Team that may change the document.
     pub owner: TeamId,
-    /// What stands behind the service.
+    /// Kind of the endpoints.
     pub kind: Kind,
-    /// Whether new work is taken.
+    /// Whether new requests are accepted.
     pub state: State,
-    /// Service to use instead, when retiring.
+    /// Service that replaces a retiring one.
     pub successor: Option<ServiceId>,
     /// Class of a request that names none and matches no rule.
     pub default_class: ClassId,
-    /// How long a claim of a non-idempotent request is kept.
+    /// Time for which the claim of a non-idempotent request is retained.
     pub retention: Duration,
     /// Workspaces, sorted by name.
     pub workspaces: Vec<Workspace>,
@@ -159,7 +156,7 @@
 }
 
 impl ServiceDocument {
-    /// The class named `name`.
+    /// Looks up a class by name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         let at = self
             .classes
@@ -167,7 +164,7 @@
         at.ok().map(|i| &self.classes[i])
     }
 
-    /// The workspace named `name`.
+    /// Looks up a workspace by name.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         let at = self
             .workspaces
@@ -175,7 +172,7 @@
         at.ok().map(|i| &self.workspaces[i])
     }
 
-    /// The endpoint named `name`.
+    /// Looks up an endpoint by name.
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         let at = self
             .endpoints
--- a/crates/core/src/document/check.rs
+++ b/crates/core/src/document/check.rs
@@ -1,13 +1,13 @@
-//! Rules that span more than one field of a document.
+//! Validation rules that involve more than one field of a document.
 
 use super::*;
 use crate::text::Section;
 
-/// Most classes in one document.
+/// Largest number of classes in a document.
 pub const MAX_CLASSES: usize = 64;
-/// Most workspaces in one document; letter 1 names 2,100 in steady use.
+/// Largest number of workspaces in a document; a large deployment has 2,100.
 pub const MAX_WORKSPACES: usize = 10_000;
-/// Most endpoints in one document; letter 1 names 1,200 replicas.
+/// Largest number of endpoints in a document; a large deployment has 1,200 replicas.
 pub const MAX_ENDPOINTS: usize = 10_000;
 
 pub(super) fn document(s: &Section<'_, '_>, doc: &ServiceDocument) {
--- a/crates/core/src/document/delta.rs
+++ b/crates/core/src/document/delta.rs
@@ -1,14 +1,14 @@
-//! What one version of a document changed in another.
+//! Differences between two versions of a document.
 //!
-//! A change of a few endpoints or keys must not send thousands of workspaces
-//! to every daemon again. A delta names what was put in and what is gone, and
-//! `apply` of `between` gives exactly the newer document.
+//! A change of a few endpoints or keys must not transfer thousands of workspaces to every
+//! daemon again. A delta holds the new and changed items and the names of removed ones.
+//! Invariant: applying `Delta::between(old, new)` to `old` gives exactly `new`.
 
 use super::*;
 
-/// An item of a document that is known by its name.
+/// An item of a document that is identified by its name.
 pub trait Named: Clone + PartialEq {
-    /// The name, unique in its list.
+    /// The name, unique within the item's list.
     fn name(&self) -> &str;
 }
 
@@ -30,39 +30,43 @@
     }
 }
 
-/// Change of one list, sorted by name.
+/// Difference between two lists, each sorted by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta<T> {
-    /// Items that are new or changed.
-    put: Vec<T>,
-    /// Names of items that are gone.
-    gone: Vec<String>,
+    /// New and changed items, sorted by name.
+    updated: Vec<T>,
+    /// Names of removed items, sorted.
+    removed: Vec<String>,
 }
 
 impl<T: Named> ListDelta<T> {
     fn between(old: &[T], new: &[T]) -> Self {
-        let same = |item: &&T| find(old, item.name()) == Some(*item);
-        let left = |item: &&T| find(new, item.name()).is_none();
+        let is_unchanged = |item: &&T| find(old, item.name()) == Some(*item);
+        let is_removed = |item: &&T| find(new, item.name()).is_none();
         Self {
-            put: new.iter().filter(|item| !same(item)).cloned().collect(),
-            gone: old
+            updated: new
                 .iter()
-                .filter(left)
+                .filter(|item| !is_unchanged(item))
+                .cloned()
+                .collect(),
+            removed: old
+                .iter()
+                .filter(is_removed)
                 .map(|item| item.name().to_string())
                 .collect(),
         }
     }
 
     fn apply(&self, old: &[T]) -> Vec<T> {
-        let stays = |item: &&T| {
-            find(&self.put, item.name()).is_none()
+        let is_kept = |item: &&T| {
+            find(&self.updated, item.name()).is_none()
                 && self
-                    .gone
+                    .removed
                     .binary_search_by(|name| name.as_str().cmp(item.name()))
                     .is_err()
         };
-        let mut list: Vec<T> = old.iter().filter(stays).cloned().collect();
-        list.extend(self.put.iter().cloned());
+        let mut list: Vec<T> = old.iter().filter(is_kept).cloned().collect();
+        list.extend(self.updated.iter().cloned());
         list.sort_by(|a, b| a.name().cmp(b.name()));
         list
     }
@@ -73,44 +77,44 @@
     at.ok().map(|at| &list[at])
 }
 
-/// Change of a whole document.
+/// Difference between two versions of a document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The newer document with its lists empty.
-    rest: ServiceDocument,
+    /// The newer document with empty lists.
+    scalars: ServiceDocument,
     workspaces: ListDelta<Workspace>,
     classes: ListDelta<Class>,
     endpoints: ListDelta<Endpoint>,
 }
 
 impl Delta {
-    /// What `new` changed in `old`.
+    /// Computes the difference from `old` to `new`.
     pub fn between(old: &ServiceDocument, new: &ServiceDocument) -> Self {
         Self {
-            rest: rest(new),
+            scalars: scalars(new),
             workspaces: ListDelta::between(&old.workspaces, &new.workspaces),
             classes: ListDelta::between(&old.classes, &new.classes),
             endpoints: ListDelta::between(&old.endpoints, &new.endpoints),
         }
     }
 
-    /// Service that changed.
+    /// Service that the document belongs to.
     pub fn service(&self) -> &ServiceId {
-        &self.rest.service
+        &self.scalars.service
     }
 
-    /// The newer document, out of the older one.
+    /// Reconstructs the newer document from the older one.
     pub fn apply(&self, old: &ServiceDocument) -> ServiceDocument {
         ServiceDocument {
             workspaces: self.workspaces.apply(&old.workspaces),
             classes: self.classes.apply(&old.classes),
             endpoints: self.endpoints.apply(&old.endpoints),
-            ..self.rest.clone()
+            ..self.scalars.clone()
         }
     }
 }
 
-fn rest(document: &ServiceDocument) -> ServiceDocument {
+fn scalars(document: &ServiceDocument) -> ServiceDocument {
     ServiceDocument {
         service: document.service.clone(),
         version: document.version,
--- a/crates/core/src/document/parse.rs
+++ b/crates/core/src/document/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a service document from JSON with comments.
+//! Parsing of service documents from JSON with comments.
 
 use super::check;
 use super::*;
@@ -6,26 +6,26 @@
 use crate::text::{Section, Text};
 
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
-/// Deadline of a class that names none.
+/// Timeout of a class that specifies none.
 pub(super) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long claims are kept where the document does not say.
+/// Retention of claims if the document specifies none.
 const DEFAULT_RETENTION: Duration = DAY;
-/// Shortest retention: longer than any resend of a caller's client library.
+/// Shortest retention of claims; exceeds the time in which client libraries retry.
 const MIN_RETENTION: Duration = Duration::from_secs(60);
 /// Largest weight of a workspace.
 const MAX_WEIGHT: u64 = 10_000;
-/// Largest limit of requests in flight.
+/// Largest configurable limit of concurrent requests.
 const MAX_IN_FLIGHT: u64 = 1_000_000;
-/// Largest limit of requests a second.
+/// Largest configurable limit of requests per second.
 const MAX_RATE: f64 = 1_000_000.0;
 const MILLISECOND: Duration = Duration::from_millis(1);
 
 impl ServiceDocument {
-    /// Reads and checks a document. `file` names the text in messages.
+    /// Parses and validates a document. `file` identifies the text in diagnostics.
     ///
     /// # Errors
     ///
-    /// Every fault of the text, each with line, key and remedy.
+    /// All diagnostics of the text, each with line, key and remedy.
     pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, document)
     }
@@ -67,8 +67,8 @@
     s.has("successor").then(|| s.name("successor"))
 }
 
-/// The default class where none is named: the least urgent one, so that a
-/// caller gains no urgency by leaving the class out.
+/// Default class if the document names none: the least urgent retriable class, so that a
+/// caller gains no priority by omitting the class.
 fn least_urgent(classes: &[Class]) -> ClassId {
     classes
         .iter()
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,12 +1,12 @@
-//! Log lines: one event a line, as key=value pairs.
+//! Structured log lines of `key=value` pairs, one event per line.
 //!
-//! Every daemon logs through [`Event`] so that a line can be read by eye and
-//! taken apart by the simplest tools. Values with spaces, quotes or control
-//! characters are quoted, so a caller's text can't forge a second event.
+//! Values that contain spaces, quotes, equals signs, backslashes or non-ASCII or control
+//! characters are quoted and escaped, so that text from a caller can't forge a field or a
+//! second event.
 
 use std::fmt::{Display, Write};
 
-/// One event under construction.
+/// A log event under construction.
 #[derive(Debug)]
 pub struct Event {
     line: String,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Adds one field.
+    /// Appends a field, quoting `value` where necessary.
     #[must_use]
     pub fn field(mut self, key: &str, value: impl Display) -> Self {
         let text = value.to_string();
@@ -33,7 +33,7 @@
         self
     }
 
-    /// The line as it is logged.
+    /// Returns the line to be logged.
     pub fn line(&self) -> &str {
         &self.line
     }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,24 +1,24 @@
-//! Telling whether two requests ask for the same.
+//! Fingerprints that identify repetitions of a request.
 //!
-//! Each attempt of a caller has an id of its own, and headers that change from one to
-//! the next. What stays is the caller's workspace, the method, the target and the body.
+//! When a caller retries a request, its id and some headers change. The workspace,
+//! method, host, target and body stay the same and form the fingerprint.
 
 use crate::ids::WorkspaceId;
 use sha2::{Digest, Sha256};
 
-/// Digest of what a request asks, and of whose it is.
+/// Keyed 128-bit digest of a request's content and workspace.
 pub type Fingerprint = u128;
 
-/// Hexadecimal digits of a fingerprint that logs show: enough to find the attempts of one
-/// request, too few to test what a body may have been.
-const SHOWN_DIGITS: usize = 8;
+/// Number of hexadecimal digits of a fingerprint in logs: enough to find the attempts of
+/// a request, too few to verify a guess of its body.
+const SHORT_DIGITS: usize = 8;
 
-/// What a fingerprint is made of.
+/// The parts of a request that make up its fingerprint.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// Workspace of the caller, where callers have one.
+    /// Workspace of the caller; `None` if callers are not authenticated.
     pub workspace: Option<&'a WorkspaceId>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Host, without its port.
     pub host: &'a str,
@@ -28,32 +28,32 @@
     pub body: &'a [u8],
 }
 
-/// Makes fingerprints with a key that callers don't know, so that none of them can choose
-/// what its fingerprint is. Daemons with the same key make the same ones.
+/// Computes fingerprints with a secret key, so that callers can't produce a chosen
+/// fingerprint. Daemons with the same key compute the same fingerprints.
 #[derive(Clone, Debug)]
 pub struct Fingerprinter {
     keyed: Sha256,
 }
 
 impl Fingerprinter {
-    /// A maker with the key that the router's processes share.
+    /// Creates a fingerprinter with the key shared by the router's processes.
     pub fn new(key: &str) -> Self {
-        let mut maker = Self {
+        let mut fingerprinter = Self {
             keyed: Sha256::new(),
         };
-        part(&mut maker.keyed, key.as_bytes());
-        maker
+        hash_part(&mut fingerprinter.keyed, key.as_bytes());
+        fingerprinter
     }
 
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(&self, content: &RequestContent<'_>) -> Fingerprint {
         let mut hash = self.keyed.clone();
         hash.update([u8::from(content.workspace.is_some())]);
         let workspace = content.workspace.map_or("", String::as_str);
         for text in [workspace, content.method, content.host, content.target] {
-            part(&mut hash, text.as_bytes());
+            hash_part(&mut hash, text.as_bytes());
         }
-        part(&mut hash, content.body);
+        hash_part(&mut hash, content.body);
         let digest: [u8; 32] = hash.finalize().into();
         let mut half = [0; 16];
         half.copy_from_slice(&digest[..16]);
@@ -61,15 +61,16 @@
     }
 }
 
-/// Hashes one part with its length, so that no two lists of parts look alike.
-fn part(hash: &mut Sha256, bytes: &[u8]) {
+/// Hashes one part prefixed with its length, so that different sequences of parts never
+/// give the same input.
+fn hash_part(hash: &mut Sha256, bytes: &[u8]) {
     hash.update((bytes.len() as u64).to_be_bytes());
     hash.update(bytes);
 }
 
-/// The beginning of a fingerprint, for logs.
+/// Returns the leading digits of a fingerprint, for logs.
 pub fn short_form(fingerprint: Fingerprint) -> String {
     let mut text = format!("{fingerprint:032x}");
-    text.truncate(SHOWN_DIGITS);
+    text.truncate(SHORT_DIGITS);
     text
 }
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -1,44 +1,42 @@
-//! Which run of an endpoint's process is meant.
+//! Identification of a run of an endpoint's process.
 //!
-//! An endpoint that crashes may come back under the name it had. It then holds
-//! nothing of before: no prompts that were read, no requests that ran, no
-//! reason to be trusted or distrusted. So a name alone does not say which
-//! endpoint is meant; name and start together do.
+//! An endpoint that crashes may restart under the same name. The new process has none of
+//! the old one's state: no prefilled prompts, no running requests, no health history. A
+//! name alone is therefore ambiguous; name and start time together identify a run.
 //!
-//! Starts are told by the endpoint, by its own clock, and are compared only
-//! with other starts of the same name. No clock of an entry takes part, so a
-//! step of any clock but the endpoint's changes nothing.
+//! The endpoint reports its start time by its own clock. Start times are compared only
+//! between runs of the same name, never with the clock of an entry, so that clock steps
+//! on any other machine have no effect.
 
 use crate::ids::EndpointId;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// When an endpoint started, in milliseconds since the Unix epoch by its own
-/// clock.
+/// Start time of an endpoint, in milliseconds since the Unix epoch by its own clock.
 pub type StartTime = u64;
 
-/// One run of an endpoint's process; ordered by name, then start.
+/// One run of an endpoint's process. Ordered by name, then start time.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
     /// Name of the endpoint.
     pub id: EndpointId,
-    /// Its start; `None` where nobody told it.
+    /// Start time of the run; `None` if not reported.
     #[serde(default)]
     pub start: Option<StartTime>,
 }
 
 impl Incarnation {
-    /// The run of `id` that started at `start`.
+    /// Creates the identifier of the run of `id` that started at `start`.
     pub fn new(id: impl Into<EndpointId>, start: Option<StartTime>) -> Self {
         let id = id.into();
         Self { id, start }
     }
 
-    /// How the start of this run compares with `other`'s, of the same name. A
-    /// start that nobody told says nothing against the one that is known.
+    /// Compares the start time with that of `other`, a run of the same name. An unknown
+    /// start time equals every other.
     pub fn cmp_start(&self, other: &Self) -> Ordering {
         match (self.start, other.start) {
             (Some(own), Some(other)) => own.cmp(&other),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,13 @@
-//! Types that every other crate of the router shares.
+//! Types shared by all crates of the router.
 //!
-//! The crate exists so that the processes agree on one vocabulary: who sent a
-//! request (workspace), what it may cost (class), where it may run (endpoint)
-//! and how it ended (outcome). It holds no I/O and no clock. Two invariants
-//! hold throughout:
+//! The crate defines the common terms: the sender of a request (workspace), its latency
+//! target (class), where it runs (endpoint) and how it ended (outcome). It performs no
+//! I/O and reads no clock. Two invariants hold throughout:
 //!
-//! * text from people (settings and service documents) passes through
-//!   [`text`], which reports every fault at once with file, line, key and
-//!   remedy, and
-//! * an [`outcome::Outcome`] of `not-run` is only ever built where it is known
-//!   that no byte reached the endpoint.
+//! * settings and service documents are parsed by [`text`], which reports all errors at
+//!   once, each with file, line, key and remedy;
+//! * an [`outcome::Outcome`] of `not-run` is created only if it is certain that no byte
+//!   reached the endpoint.
 
 pub mod burn;
 pub mod diagnostic;
@@ -24,7 +22,7 @@
 pub mod text;
 pub mod usage;
 
-/// The names most modules need, for one import line.
+/// Re-exports of the names that most modules use.
 pub mod prelude {
     pub use crate::diagnostic::{Diagnostic, Diagnostics};
     pub use crate::document::{
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,25 +1,26 @@
-//! An endpoint's load, as its agent counts it.
+//! Load of an endpoint.
 
 use crate::ids::{Fence, Revision, TIERS};
 use serde::{Deserialize, Serialize};
 
-/// How loaded an endpoint is, as its agent counts it now.
+/// Current load of an endpoint, as counted by its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests started and not ended, whoever sent them.
+    /// Number of running requests from all entries.
     pub running: u32,
-    /// Most requests the agent lets run at once.
+    /// Concurrency limit of the agent.
     pub limit: u32,
-    /// Most requests that may run for one more of each tier to start.
+    /// For each tier, the number of running requests up to which one more request of the
+    /// tier may start.
     pub ceilings: [u32; TIERS],
-    /// Mean time between tokens lately, in microseconds; 0 where unknown.
+    /// Recent mean time between tokens, in microseconds; 0 if unknown.
     pub gap_us: u32,
-    /// Mean time to the first token lately, in microseconds; 0 where unknown.
+    /// Recent mean time to the first token, in microseconds; 0 if unknown.
     pub first_us: u32,
-    /// Whether the endpoint takes no new work.
+    /// Whether the endpoint is draining and accepts no new requests.
     pub leaving: bool,
-    /// Fencing number of the agent's lease; 0 where none is in use.
+    /// Fencing token of the agent's lease; 0 without leases.
     pub fence: Fence,
-    /// Highest revision of its service's document that the agent knows.
+    /// Highest revision of the service's document that the agent has.
     pub revision: Revision,
 }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,12 +1,12 @@
-//! How a request ended, as the caller is told.
+//! The outcome of a request, as reported to the caller.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The value of the `x-outcome` header.
+/// Value of the `x-outcome` header.
 ///
-/// `NotRun` is a promise: it may only be said when no byte of the request can
-/// have reached the endpoint. When in doubt the outcome is `Unknown`.
+/// `NotRun` is a guarantee and may be used only if no byte of the request can have
+/// reached an endpoint. In case of doubt the outcome is `Unknown`.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The endpoint ran the request and its answer was received.
@@ -15,7 +15,7 @@
     /// No byte of the request reached an endpoint.
     #[display("not-run")]
     NotRun,
-    /// The request may have run; it is not known whether it did.
+    /// The request may or may not have run.
     #[display("unknown")]
     Unknown,
 }
--- a/crates/core/src/text.rs
+++ b/crates/core/src/text.rs
@@ -1,10 +1,9 @@
-//! Checked reading of JSON with comments.
+//! Parsing of JSON with comments into typed values, with diagnostics.
 //!
-//! A [`Section`] hands out the fields of one object and collects a fault for
-//! each that is missing, unknown or out of range, so that a person sees every
-//! mistake at once instead of one for each try. A reader that met a fault
-//! still returns a value (a default), which must not be used: the caller asks
-//! `Text::finish` and gets either a value or all faults.
+//! A [`Section`] reads the fields of one object and collects a [`Diagnostic`] for each
+//! that is missing, unknown or out of range, so that all errors of a text are reported at
+//! once. On an error the accessor returns a default value to continue with;
+//! [`Text::read`] discards the result if there are any diagnostics.
 
 use crate::diagnostic::{Diagnostic, Diagnostics};
 use crate::ids::is_valid_name;
@@ -18,7 +17,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// One text being read, and the faults found so far.
+/// A text being parsed, with the diagnostics found so far.
 #[derive(Debug)]
 pub struct Text<'a> {
     file: &'a str,
@@ -27,11 +26,12 @@
 }
 
 impl<'a> Text<'a> {
-    /// Parses `source` and reads its top object with `read`.
+    /// Parses `source` and converts its top-level object with `read`. `file` identifies
+    /// the text in diagnostics.
     ///
     /// # Errors
     ///
-    /// Every fault of the text, sorted by line.
+    /// All diagnostics of the text, sorted by line.
     pub fn read<T>(
         file: &'a str,
         source: &'a str,
@@ -42,7 +42,7 @@
             source,
             diagnostics: RefCell::default(),
         };
-        let parsed = parse_to_ast(source, &CollectOptions::default(), &options());
+        let parsed = parse_to_ast(source, &CollectOptions::default(), &parse_options());
         let value = match parsed {
             Ok(result) => result.value,
             Err(error) => {
@@ -89,8 +89,8 @@
     }
 }
 
-/// JSON with comments and trailing commas, and no other leniency.
-fn options() -> ParseOptions {
+/// Accepts strict JSON extended by comments and trailing commas only.
+fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -105,13 +105,13 @@
     }
 }
 
-/// The fields of one object.
+/// Reader for the fields of one object.
 #[derive(Debug)]
 pub struct Section<'t, 'a> {
     text: &'t Text<'a>,
     path: String,
     object: &'t Object<'a>,
-    seen: Vec<String>,
+    requested: Vec<String>,
 }
 
 impl<'t, 'a> Section<'t, 'a> {
@@ -120,11 +120,11 @@
             text,
             path,
             object,
-            seen: Vec::new(),
+            requested: Vec::new(),
         }
     }
 
-    /// Path of `key` from the top of the text.
+    /// Returns the full path of `key`, starting at the top-level object.
     pub fn key(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Records a fault of `key`.
+    /// Adds a diagnostic for `key`, or for the object if `key` is absent.
     pub fn report(&self, key: &str, problem: &str, remedy: &str) {
         let position = self
             .object
@@ -145,7 +145,7 @@
     }
 
     fn value(&mut self, key: &str) -> Option<&'t Value<'a>> {
-        self.seen.push(key.to_string());
+        self.requested.push(key.to_string());
         let found = self
             .object
             .properties
@@ -156,16 +156,16 @@
             .filter(|value| !matches!(value, Value::NullKeyword(_)))
     }
 
-    /// Tells whether `key` is written.
+    /// Returns whether `key` is present with a value other than `null`.
     pub fn has(&mut self, key: &str) -> bool {
         self.value(key).is_some()
     }
 
-    fn missing(&self, key: &str, what: &str) {
-        self.report(key, "is missing", &format!("add {key} as {what}"));
+    fn report_missing(&self, key: &str, expected: &str) {
+        self.report(key, "is missing", &format!("add {key} as {expected}"));
     }
 
-    /// Optional text.
+    /// Reads an optional string.
     pub fn text_or(&mut self, key: &str, default: &str) -> String {
         match self.value(key) {
             None => default.to_string(),
@@ -177,25 +177,25 @@
         }
     }
 
-    /// Required text.
+    /// Reads a required string.
     pub fn text(&mut self, key: &str) -> String {
         if !self.has(key) {
-            self.missing(key, "text");
+            self.report_missing(key, "text");
             return String::new();
         }
         self.text_or(key, "")
     }
 
-    /// Required name; see [`is_valid_name`].
+    /// Reads a required name; see [`is_valid_name`].
     pub fn name(&mut self, key: &str) -> String {
         if !self.has(key) {
-            self.missing(key, "a name");
+            self.report_missing(key, "a name");
             return String::new();
         }
         self.name_or(key, "")
     }
 
-    /// Optional name.
+    /// Reads an optional name; see [`is_valid_name`]. `default` is not checked.
     pub fn name_or(&mut self, key: &str, default: &str) -> String {
         let name = self.text_or(key, default);
         if self.has(key) && !is_valid_name(&name) {
@@ -205,11 +205,11 @@
         name
     }
 
-    /// One word out of `words`; the index of the word.
+    /// Reads one of `words` and returns its index; required if `default` is `None`.
     pub fn word(&mut self, key: &str, words: &[&str], default: Option<usize>) -> usize {
         if !self.has(key) {
             if default.is_none() {
-                self.missing(key, &format!("one of {}", words.join(", ")));
+                self.report_missing(key, &format!("one of {}", words.join(", ")));
             }
             return default.unwrap_or(0);
         }
@@ -224,27 +224,27 @@
         }
     }
 
-    /// Whole number within `range`; required where `default` is `None`.
+    /// Reads an integer within `range`; required if `default` is `None`.
     pub fn count(
         &mut self,
         key: &str,
         range: RangeInclusive<u64>,
         default: Option<u64>,
     ) -> u64 {
-        self.numeral(key, "a whole number", range, default)
+        self.parse_number(key, "a whole number", range, default)
     }
 
-    /// Number within `range`; required where `default` is `None`.
+    /// Reads a number within `range`; required if `default` is `None`.
     pub fn number(
         &mut self,
         key: &str,
         range: RangeInclusive<f64>,
         default: Option<f64>,
     ) -> f64 {
-        self.numeral(key, "a number", range, default)
+        self.parse_number(key, "a number", range, default)
     }
 
-    fn numeral<N>(
+    fn parse_number<N>(
         &mut self,
         key: &str,
         kind: &str,
@@ -254,12 +254,12 @@
     where
         N: FromStr + PartialOrd + Copy + Display,
     {
-        let what = format!("{kind} from {} to {}", range.start(), range.end());
+        let expected = format!("{kind} from {} to {}", range.start(), range.end());
         let fallback = default.unwrap_or(*range.start());
         match self.value(key) {
             None => {
                 if default.is_none() {
-                    self.missing(key, &what);
+                    self.report_missing(key, &expected);
                 }
                 fallback
             }
@@ -267,18 +267,18 @@
                 Ok(number) if range.contains(&number) => number,
                 _ => {
                     let problem = format!("is {}", lit.value);
-                    self.report(key, &problem, &format!("write {what}"));
+                    self.report(key, &problem, &format!("write {expected}"));
                     fallback
                 }
             },
             Some(_) => {
-                self.report(key, "is not a number", &format!("write {what}"));
+                self.report(key, "is not a number", &format!("write {expected}"));
                 fallback
             }
         }
     }
 
-    /// Optional truth value.
+    /// Reads an optional boolean.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         match self.value(key) {
             None => default,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Duration such as `"250ms"` or `"24h"` within `range`; required where
+    /// Reads a duration such as `"250ms"` or `"24h"` within `range`; required if
     /// `default` is `None`.
     pub fn duration(
         &mut self,
@@ -300,11 +300,11 @@
     ) -> Duration {
         let low = humantime::format_duration(*range.start());
         let high = humantime::format_duration(*range.end());
-        let what = format!("a duration from \"{low}\" to \"{high}\"");
+        let expected = format!("a duration from \"{low}\" to \"{high}\"");
         let fallback = default.unwrap_or(*range.start());
         if !self.has(key) {
             if default.is_none() {
-                self.missing(key, &what);
+                self.report_missing(key, &expected);
             }
             return fallback;
         }
@@ -312,13 +312,13 @@
         match humantime::parse_duration(&text) {
             Ok(duration) if range.contains(&duration) => duration,
             _ => {
-                self.report(key, &format!("is {text:?}"), &format!("write {what}"));
+                self.report(key, &format!("is {text:?}"), &format!("write {expected}"));
                 fallback
             }
         }
     }
 
-    /// Optional duration without a default.
+    /// Reads an optional duration within `range`.
     pub fn duration_opt(
         &mut self,
         key: &str,
@@ -330,15 +330,15 @@
         Some(self.duration(key, range, None))
     }
 
-    /// Required socket address with IP number and port.
+    /// Reads a required socket address, an IP address with port.
     pub fn address(&mut self, key: &str) -> SocketAddr {
-        let none = SocketAddr::from(([127, 0, 0, 1], 0));
+        let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
         if !self.has(key) {
-            self.missing(key, "an address such as \"127.0.0.1:8080\"");
-            return none;
+            self.report_missing(key, "an address such as \"127.0.0.1:8080\"");
+            return placeholder;
         }
         let text = self.text_or(key, "");
-        self.parse_address(key, &text).unwrap_or(none)
+        self.parse_address(key, &text).unwrap_or(placeholder)
     }
 
     fn parse_address(&self, key: &str, text: &str) -> Option<SocketAddr> {
@@ -350,7 +350,7 @@
         parsed
     }
 
-    /// List of texts; an absent key is an empty list.
+    /// Reads a list of strings; empty if the key is absent.
     pub fn texts(&mut self, key: &str) -> Vec<String> {
         let Some(value) = self.value(key) else {
             return Vec::new();
@@ -371,7 +371,7 @@
         out
     }
 
-    /// List of socket addresses; an absent key is an empty list.
+    /// Reads a list of socket addresses; empty if the key is absent.
     pub fn addresses(&mut self, key: &str) -> Vec<SocketAddr> {
         let texts = self.texts(key);
         texts
@@ -380,7 +380,7 @@
             .collect()
     }
 
-    /// Reads an optional inner object.
+    /// Reads an optional nested object with `read`.
     pub fn section<T>(
         &mut self,
         key: &str,
@@ -397,7 +397,7 @@
         Some(out)
     }
 
-    /// Reads a list of objects; an absent key is an empty list.
+    /// Reads a list of objects with `read`; empty if the key is absent.
     pub fn sections<T>(
         &mut self,
         key: &str,
@@ -430,15 +430,15 @@
         out
     }
 
-    /// Records a fault for each key that was never asked for or stands twice.
+    /// Reports each key that no accessor has requested and each duplicate key.
     fn close(&self) {
         let mut names: Vec<&str> = Vec::new();
         for prop in &self.object.properties {
             let name = prop.name.as_str();
             let at = prop.range.start;
-            if !self.seen.iter().any(|seen| seen == name) {
-                let known = self.known();
-                let remedy = format!("remove it or use one of {known}");
+            if !self.requested.iter().any(|requested| requested == name) {
+                let known_keys = self.known_keys();
+                let remedy = format!("remove it or use one of {known_keys}");
                 self.text
                     .report(at, &self.key(name), "is an unknown key", &remedy);
             }
@@ -454,8 +454,8 @@
         }
     }
 
-    fn known(&self) -> String {
-        let mut names = self.seen.clone();
+    fn known_keys(&self) -> String {
+        let mut names = self.requested.clone();
         names.sort();
         names.dedup();
         names.join(", ")
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,30 +1,31 @@
-//! Usage: how many requests of each workspace endpoints began, window by window.
+//! Usage accounting: the number of requests begun per workspace and time window.
 //!
-//! Windows have one length and follow each other without a gap since the Unix epoch, in
-//! true time: the same for every instance, whatever its own clock says.
+//! Windows have a fixed length and cover the time since the Unix epoch without gaps. They
+//! are defined in true time, so that they are the same for every instance regardless of
+//! its local clock.
 
 use crate::ids::WorkspaceId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Number of a window: how many have ended before it since the Unix epoch.
+/// Index of a window, counted from the Unix epoch.
 pub type Window = u64;
 
-/// A point in true time: the duration since the Unix epoch.
+/// A point in true time, as the duration since the Unix epoch.
 pub type TrueTime = Duration;
 
-/// How windows are cut.
+/// Conversion between points in time and windows of a fixed length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Windows {
     length: Duration,
 }
 
 impl Windows {
-    /// Windows of `length`.
+    /// Creates windows of `length`.
     ///
     /// # Panics
     ///
-    /// Where `length` is under a millisecond; settings refuse that.
+    /// If `length` is less than one millisecond; the settings reject such a length.
     pub fn new(length: Duration) -> Self {
         assert!(
             length >= Duration::from_millis(1),
@@ -33,43 +34,43 @@
         Self { length }
     }
 
-    /// The window that `at` falls into.
+    /// Returns the window that contains `at`.
     pub fn at(&self, at: TrueTime) -> Window {
         (at.as_nanos() / self.length.as_nanos()) as Window
     }
 
-    /// When a window begins.
+    /// Start of a window, inclusive.
     pub fn start(&self, window: Window) -> TrueTime {
         let millis = self.length.as_millis() as u64;
         Duration::from_millis(window.saturating_mul(millis))
     }
 
-    /// When a window ends.
+    /// End of a window, exclusive.
     pub fn end(&self, window: Window) -> TrueTime {
         self.start(window.saturating_add(1))
     }
 }
 
-/// Requests of one workspace.
+/// Request count of one workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceCount {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: WorkspaceId,
-    /// Its requests that endpoints began.
+    /// Number of its requests that endpoints began to run.
     pub begun: u64,
 }
 
-/// The counts of one window.
+/// Request counts of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// The window.
+    /// Index of the window.
     pub window: Window,
-    /// Workspaces that had requests in it; sorted.
+    /// Counts of the workspaces with requests in the window, sorted by workspace.
     pub counts: Vec<WorkspaceCount>,
 }
 
 impl WindowCounts {
-    /// A window without requests.
+    /// Creates a window without requests.
     pub fn empty(window: Window) -> Self {
         Self {
             window,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The count of a workspace.
+    /// Returns the count of a workspace, inserting 0 if there is none.
     pub fn count_mut(&mut self, workspace: &str) -> &mut u64 {
         let found = self
             .counts
@@ -94,14 +95,14 @@
         &mut self.counts[at].begun
     }
 
-    /// Requests of all workspaces.
+    /// Number of requests of all workspaces.
     pub fn total(&self) -> u64 {
         self.counts.iter().map(|count| count.begun).sum()
     }
 }
 
-/// The counts of `window` in a list sorted by window; an empty one is added where there is
-/// none.
+/// Returns the counts of `window` in a list sorted by window, inserting an empty element
+/// if there is none.
 pub fn counts_of(windows: &mut Vec<WindowCounts>, window: Window) -> &mut WindowCounts {
     let found = windows.binary_search_by_key(&window, |counts| counts.window);
     let at = found.unwrap_or_else(|at| {
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -1,8 +1,8 @@
-//! Which requests count as the same.
+//! Which requests have the same fingerprint.
 
 use dogwoodhill_core::fingerprint::{Fingerprinter, RequestContent, short_form};
 
-const LETTER: RequestContent<'_> = RequestContent {
+const REQUEST: RequestContent<'_> = RequestContent {
     workspace: None,
     method: "POST",
     host: "desk.example",
@@ -11,58 +11,61 @@
 };
 
 #[test]
-fn of_same_content_at_any_daemon() {
+fn of_same_content_equal_at_any_daemon() {
     let (one, other) = (Fingerprinter::new("k"), Fingerprinter::new("k"));
-    assert_eq!(one.of(&LETTER), other.of(&LETTER));
-    assert_ne!(one.of(&LETTER), Fingerprinter::new("l").of(&LETTER));
+    assert_eq!(one.of(&REQUEST), other.of(&REQUEST));
+    assert_ne!(one.of(&REQUEST), Fingerprinter::new("l").of(&REQUEST));
 }
 
 #[test]
-fn of_each_part_counts() {
+fn of_each_part_matters() {
     let (desk, nobody) = ("desk".to_string(), String::new());
     let others = [
         RequestContent {
             workspace: Some(&desk),
-            ..LETTER
+            ..REQUEST
         },
         RequestContent {
             workspace: Some(&nobody),
-            ..LETTER
+            ..REQUEST
         },
         RequestContent {
             method: "PUT",
-            ..LETTER
+            ..REQUEST
         },
         RequestContent {
             host: "desk2.example",
-            ..LETTER
+            ..REQUEST
         },
         RequestContent {
             target: "/letters/2f?a",
-            ..LETTER
+            ..REQUEST
         },
         RequestContent {
             body: b"weather ",
-            ..LETTER
+            ..REQUEST
         },
-        // The same bytes, split in another place.
+        // The same bytes, split at another position.
         RequestContent {
             target: "/letters/2fw",
             body: b"eather",
-            ..LETTER
+            ..REQUEST
         },
     ];
-    let maker = Fingerprinter::new("k");
-    let mut all: Vec<_> = others.iter().map(|content| maker.of(content)).collect();
-    all.push(maker.of(&LETTER));
+    let fingerprinter = Fingerprinter::new("k");
+    let mut all: Vec<_> = others
+        .iter()
+        .map(|content| fingerprinter.of(content))
+        .collect();
+    all.push(fingerprinter.of(&REQUEST));
     all.sort_unstable();
     all.dedup();
     assert_eq!(all.len(), others.len() + 1);
 }
 
 #[test]
-fn shown_only_a_beginning() {
-    let fingerprint = Fingerprinter::new("k").of(&LETTER);
+fn short_form_is_prefix() {
+    let fingerprint = Fingerprinter::new("k").of(&REQUEST);
     assert!(format!("{fingerprint:032x}").starts_with(&short_form(fingerprint)));
     assert_eq!(short_form(fingerprint).len(), 8);
     assert_eq!(short_form(7), "00000000");
--- a/crates/core/tests/text.rs
+++ b/crates/core/tests/text.rs
@@ -1,4 +1,4 @@
-//! Text from people: any input gives a value or faults, never a panic.
+//! Parsing of user-written text: any input gives a value or diagnostics, never a panic.
 
 use dogwoodhill_core::document::Delta;
 use dogwoodhill_core::event::Event;
@@ -14,8 +14,9 @@
     "domain": "d" } ]
 }"#;
 
-/// A document whose lists hold what the numbers say.
-fn listed(version: u64, workspaces: &[u8], endpoints: &[u8]) -> ServiceDocument {
+/// Returns a document with workspaces and endpoints derived from the numbers: `n / 2`
+/// gives the name, `n % 2` a variant of the item.
+fn document(version: u64, workspaces: &[u8], endpoints: &[u8]) -> ServiceDocument {
     let mut document = ServiceDocument::parse("base", DOCUMENT).unwrap();
     document.version = version;
     let workspace = document.workspaces[0].clone();
@@ -56,35 +57,35 @@
     })]
 
     #[test]
-    fn parse_any_text_gives_faults(text in ".{0,200}") {
-        let faults = ServiceDocument::parse("any", &text).unwrap_err();
-        prop_assert!(!faults.0.is_empty());
+    fn parse_any_text_gives_diagnostics(text in ".{0,200}") {
+        let diagnostics = ServiceDocument::parse("any", &text).unwrap_err();
+        prop_assert!(!diagnostics.0.is_empty());
     }
 
     #[test]
-    fn parse_damaged_document_never_panics(at in 0usize..400, with in any::<char>()) {
+    fn parse_corrupt_document_never_panics(at in 0usize..400, with in any::<char>()) {
         let mut text: Vec<char> = DOCUMENT.chars().collect();
         let at = at % text.len();
         text[at] = with;
         let text: String = text.into_iter().collect();
-        if let Err(faults) = ServiceDocument::parse("damaged", &text) {
-            prop_assert!(faults.0.iter().all(|fault| !fault.remedy.is_empty()));
+        if let Err(diagnostics) = ServiceDocument::parse("damaged", &text) {
+            prop_assert!(diagnostics.0.iter().all(|item| !item.remedy.is_empty()));
         }
     }
 
     #[test]
-    fn delta_gives_newer_document(
+    fn delta_apply_gives_newer_document(
         old in proptest::collection::vec(any::<u8>(), 0..40),
         new in proptest::collection::vec(any::<u8>(), 0..40),
     ) {
-        let old = listed(1, &old, &new);
-        let new = listed(2, &new, &old.workspaces.iter().map(|w| w.weight as u8).collect::<Vec<_>>());
+        let old = document(1, &old, &new);
+        let new = document(2, &new, &old.workspaces.iter().map(|w| w.weight as u8).collect::<Vec<_>>());
         let delta = Delta::between(&old, &new);
         prop_assert_eq!(delta.apply(&old), new);
     }
 
     #[test]
-    fn event_stays_one_line(value in any::<String>()) {
+    fn event_any_value_is_one_line(value in any::<String>()) {
         let event = Event::new("test").field("value", value);
         prop_assert!(!event.line().contains('\n'));
         prop_assert!(event.line().starts_with("event=test value="));
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn ring_finds_by_whole_hash() {
+fn key_ring_finds_by_full_hash() {
     let one = KeyHash::of("one");
     let ring = KeyRing::new(vec![(KeyHash::of("two"), 2), (one, 1), (one, 3)]);
     let mut found: Vec<i32> = ring.find(&one).copied().collect();
--- a/crates/route/src/check.rs
+++ b/crates/route/src/check.rs
@@ -1,16 +1,16 @@
-//! What makes a route set unusable.
+//! Validation of route sets.
 
 use crate::set::{Route, RouteSet};
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 
-/// Why a set is refused as a whole.
+/// Why a route set is rejected. A set is accepted or rejected as a whole.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum InvalidRouteSet {
-    /// The text can't be read.
+    /// The text can't be decoded.
     #[display("the text can't be read: {problem}; send the whole set as one JSON object")]
     Unreadable {
-        /// What the reader says.
+        /// Error message of the decoder.
         problem: String,
     },
     /// A route names a service that the set does not list.
@@ -31,19 +31,19 @@
         /// The other.
         second: String,
     },
-    /// All weights of a route are 0.
+    /// A route has no target, or all of its targets have weight 0.
     #[display("route {route} has no target with a weight above 0; set one")]
     NoWeight {
         /// Route.
         route: String,
     },
-    /// A route has no time.
+    /// The timeout of a route is 0.
     #[display("route {route} has a timeout of 0; give it the longest wait of a caller")]
     NoTimeout {
         /// Route.
         route: String,
     },
-    /// A prefix is malformed.
+    /// A path prefix doesn't begin and end with a slash.
     #[display("route {route}: prefix {prefix} must begin and end with a slash")]
     Prefix {
         /// Route.
@@ -62,7 +62,7 @@
 }
 
 impl InvalidRouteSet {
-    /// A text that can't be read.
+    /// Creates [`InvalidRouteSet::Unreadable`] from a decoder's error.
     pub fn unreadable(problem: impl std::fmt::Display) -> Self {
         let problem = problem.to_string();
         Self::Unreadable { problem }
@@ -70,22 +70,23 @@
 }
 
 impl RouteSet {
-    /// Tells whether the set can be put in force.
+    /// Validates the set.
     ///
     /// # Errors
     ///
-    /// The first thing that makes it unusable.
+    /// The first violation found: of a route, then of the uniqueness of host and prefix,
+    /// then of the uniqueness of keys.
     pub fn check(&self) -> Result<(), InvalidRouteSet> {
         for route in &self.routes {
             self.check_route(route)?;
         }
-        self.check_places()?;
+        self.check_unique_prefixes()?;
         self.check_keys()
     }
 
     fn check_route(&self, route: &Route) -> Result<(), InvalidRouteSet> {
         let name = || route.name.clone();
-        if let Some(target) = route.targets.iter().find(|t| !self.lists(&t.service)) {
+        if let Some(target) = route.targets.iter().find(|t| !self.declares(&t.service)) {
             let service = target.service.clone();
             return Err(InvalidRouteSet::UnknownService {
                 route: name(),
@@ -108,21 +109,21 @@
         Ok(())
     }
 
-    fn lists(&self, service: &ServiceId) -> bool {
+    fn declares(&self, service: &ServiceId) -> bool {
         self.services.iter().any(|listed| listed == service)
     }
 
-    fn check_places(&self) -> Result<(), InvalidRouteSet> {
-        let mut places: Vec<(&str, &str, &str)> = self
+    fn check_unique_prefixes(&self) -> Result<(), InvalidRouteSet> {
+        let mut prefixes: Vec<(&str, &str, &str)> = self
             .routes
             .iter()
             .map(|route| (&*route.host, &*route.prefix, &*route.name))
             .collect();
-        places.sort_unstable();
+        prefixes.sort_unstable();
         let same = |pair: &&[(&str, &str, &str)]| {
             (pair[0].0, pair[0].1) == (pair[1].0, pair[1].1)
         };
-        match places.windows(2).find(same) {
+        match prefixes.windows(2).find(same) {
             None => Ok(()),
             Some(pair) => Err(InvalidRouteSet::DuplicateRoute {
                 first: pair[0].2.to_string(),
@@ -134,7 +135,9 @@
     fn check_keys(&self) -> Result<(), InvalidRouteSet> {
         let workspaces = self.workspaces.iter().flatten();
         let mut keys: Vec<(&str, &str)> = workspaces
-            .flat_map(|space| space.keys.iter().map(|key| (&**key, &*space.name)))
+            .flat_map(|workspace| {
+                workspace.keys.iter().map(|key| (&**key, &*workspace.name))
+            })
             .collect();
         keys.sort_unstable();
         let shared =
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,20 +1,19 @@
-//! Route sets: one versioned document over all services.
+//! Route sets: one versioned document with the routes of all services.
 //!
-//! A team that moves routes between services, or takes a key away, needs the
-//! change to be in force as a whole: half of it would send callers to a
-//! service that is not there. A [`set::RouteSet`] is therefore checked,
-//! accepted and replaced as one value. Its version is given from outside and
-//! may rise by any step; the highest version wins everywhere.
+//! A change that moves routes between services or revokes a key must take effect
+//! atomically: a part of it could route callers to a service that doesn't exist. A
+//! [`set::RouteSet`] is therefore validated, accepted and replaced as one value.
+//! Operators assign its version, which may increase by any step; the highest version is
+//! in force at every entry.
 //!
-//! This crate holds no I/O. [`set`] is the value, [`check`] tells what makes a
-//! set unusable, [`table`] is the form in which entries look routes and keys
-//! up.
+//! The crate performs no I/O. [`set`] defines the value, [`check`] its validation and
+//! [`table`] the index that entries use to look up routes and keys.
 
 pub mod check;
 pub mod set;
 pub mod table;
 
-/// The names most modules need, for one import line.
+/// Re-exports of the names that most modules use.
 pub mod prelude {
     pub use crate::check::InvalidRouteSet;
     pub use crate::set::{Events, Limits, Route, RouteSet, RouteWorkspace, Target};
--- a/crates/route/src/set.rs
+++ b/crates/route/src/set.rs
@@ -1,102 +1,102 @@
-//! A route set as a value.
+//! The route set and its decoding.
 
 use crate::check::InvalidRouteSet;
 use dogwoodhill_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Largest head of a request where a set names none, in bytes.
-const DEFAULT_HEAD: usize = 16 * 1024;
-/// Largest body of a request where a set names none, in bytes.
-const DEFAULT_BODY: usize = 4 * 1024 * 1024;
-/// Longest time for a request's head where a set names none.
+/// Default of [`Limits::head`], in bytes.
+const DEFAULT_MAX_HEAD: usize = 16 * 1024;
+/// Default of [`Limits::body`], in bytes.
+const DEFAULT_MAX_BODY: usize = 4 * 1024 * 1024;
+/// Default of [`Limits::head_timeout`].
 const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time a kept connection stays idle where a set names none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Default of [`Limits::idle`].
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Every route, under one version.
+/// All routes, limits and workspaces of a deployment under one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteSet {
-    /// Version; the highest one is in force.
+    /// Version of the set; the highest one is in force.
     pub version: Version,
-    /// Routes.
+    /// Routes; the pair of host and prefix is unique.
     pub routes: Vec<Route>,
-    /// Services that routes may name.
+    /// Services that targets may name.
     pub services: Vec<ServiceId>,
-    /// What callers may send.
+    /// Limits for all requests and connections.
     #[serde(default)]
     pub limits: Limits,
-    /// Workspaces with their keys; `None` where callers need no key.
+    /// Workspaces with their keys; `None` if callers need no key.
     #[serde(default)]
     pub workspaces: Option<Vec<RouteWorkspace>>,
 }
 
-/// Requests of one host and path prefix.
+/// Rules for the requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: String,
-    /// Host the caller names.
+    /// Host of the request, without port.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Prefix of the request path; begins and ends with a slash.
     pub prefix: String,
-    /// Services with their weights.
+    /// Services among which requests are divided.
     pub targets: Vec<Target>,
     /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// Set where the answer is a series of events.
+    /// Rules for event streams; `None` if the route's responses are not streams.
     #[serde(default)]
     pub events: Option<Events>,
-    /// Longest time a caller is kept waiting.
+    /// Time limit for the response to a request.
     pub timeout: Duration,
-    /// Time within which an answer counts in full.
+    /// Response time within which an answer counts in full.
     pub objective: Duration,
-    /// Urgency; 0 is the most urgent.
+    /// Priority tier; 0 is the most urgent.
     pub tier: Tier,
-    /// Most endpoints one request may be sent to.
+    /// Largest number of endpoints that one request may be sent to.
     pub tries: usize,
-    /// Whether it is open to callers without a key.
+    /// Whether callers need no key.
     #[serde(default)]
     pub public: bool,
 }
 
-/// One service of a route.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Service.
+    /// Name of the service.
     pub service: ServiceId,
     /// Share of the route's requests, relative to the other targets.
     pub weight: u32,
 }
 
-/// Rules of a streamed answer.
+/// Rules for responses that are event streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Events {
-    /// Whether a broken stream may go on at another endpoint.
+    /// Whether a broken stream may be resumed at another endpoint.
     pub resumable: bool,
-    /// Longest pause between events at which an answer is in time.
+    /// Longest pause between events that still meets the objective.
     pub pause: Duration,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub head: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub body: usize,
-    /// Longest time for a head.
+    /// Time limit for receiving a request head.
     pub head_timeout: Duration,
-    /// Longest time a kept connection stays idle.
+    /// Time after which an idle keep-alive connection is closed.
     pub idle: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: DEFAULT_HEAD,
-            body: DEFAULT_BODY,
+            head: DEFAULT_MAX_HEAD,
+            body: DEFAULT_MAX_BODY,
             head_timeout: DEFAULT_HEAD_TIMEOUT,
-            idle: DEFAULT_IDLE,
+            idle: DEFAULT_IDLE_TIMEOUT,
         }
     }
 }
@@ -104,26 +104,26 @@
 /// A workspace and its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteWorkspace {
-    /// Name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
-    /// Keys in clear, as the operator sends them.
+    /// Keys in plain text, as sent by the operator.
     pub keys: Vec<String>,
-    /// Urgency that goes before the route's.
+    /// Priority tier that overrides the route's.
     #[serde(default)]
     pub tier: Option<Tier>,
 }
 
-/// Reads the text of a route set: each operators' interface has its own form.
+/// Decoder for the text of a route set. Each operator interface has its own text format.
 pub trait SetFormat: Send + Sync + std::fmt::Debug {
-    /// Reads and checks a set.
+    /// Decodes and validates a set.
     ///
     /// # Errors
     ///
-    /// [`InvalidRouteSet`], which says what makes the set unusable.
+    /// [`InvalidRouteSet`] with the reason for the rejection.
     fn read(&self, source: &[u8]) -> Result<RouteSet, InvalidRouteSet>;
 }
 
-/// The router's own form: JSON with the names of [`RouteSet`].
+/// The router's native format: JSON with the field names of [`RouteSet`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JsonFormat;
 
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,4 +1,4 @@
-//! A route set in the form in which entries look things up.
+//! Lookup of routes and keys.
 
 use crate::set::{Limits, Route, RouteSet};
 use dogwoodhill_core::keys::{KeyHash, KeyRing};
@@ -6,65 +6,66 @@
 use dogwoodhill_policy::urgency::Rank;
 use std::sync::Arc;
 
-/// Routes sorted by host and prefix, and the workspaces' keys.
+/// Index of a route set, for lookups by request path and key.
 #[derive(Debug)]
 pub struct RouteTable {
     version: Version,
     routes: Vec<Arc<Route>>,
     limits: Limits,
     keys: Option<KeyRing<Holder>>,
-    /// Shortest and longest pause of each service's streams, sorted by service.
+    /// Shortest and longest pause that the routes to each service allow between events,
+    /// sorted by service.
     pauses: Vec<(ServiceId, Duration, Duration)>,
-    /// Every tier that requests can have, sorted.
+    /// All tiers of routes and workspaces, sorted and distinct.
     tiers: Vec<Tier>,
-    /// Every tier of a route, sorted.
-    orders: Vec<Tier>,
+    /// All tiers of routes, sorted and distinct.
+    route_tiers: Vec<Tier>,
 }
 
-/// Who holds a key.
+/// Workspace that holds a key.
 #[derive(Clone, Debug)]
 struct Holder {
     name: WorkspaceId,
     tier: Option<Tier>,
 }
 
-/// A request that may be served.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// The caller's workspace, where keys are in use.
+    /// Workspace of the caller; `None` without a valid key.
     pub workspace: Option<WorkspaceId>,
-    /// Its urgency: the workspace's where it has one, else the route's.
+    /// Tier of the workspace, or of the route if the workspace has none.
     pub tier: Tier,
-    /// Its place among all.
+    /// Rank of the request by the tiers of its route and workspace.
     pub rank: Rank,
 }
 
-/// Why a request is not served.
+/// Why a request is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// No route of this host and path.
+    /// No route matches host and path.
     Route,
-    /// The route needs a key that some workspace holds.
+    /// The route requires the key of a workspace.
     Key,
 }
 
 impl RouteTable {
-    /// Arranges a checked set.
+    /// Builds the index of a validated set. Keys are hashed.
     pub fn new(set: RouteSet) -> Self {
         let mut routes: Vec<Arc<Route>> = set.routes.into_iter().map(Arc::new).collect();
-        routes.sort_by(|a, b| place(a).cmp(&place(b)));
+        routes.sort_by(|a, b| match_key(a).cmp(&match_key(b)));
         let pauses = pauses(&routes);
-        let orders = distinct(routes.iter().map(|route| route.tier));
+        let route_tiers = distinct(routes.iter().map(|route| route.tier));
         let workspaces = set.workspaces.iter().flatten();
-        let own = workspaces.filter_map(|space| space.tier);
-        let tiers = distinct(own.chain(orders.iter().copied()));
+        let workspace_tiers = workspaces.filter_map(|workspace| workspace.tier);
+        let tiers = distinct(workspace_tiers.chain(route_tiers.iter().copied()));
         let keys = set.workspaces.map(|workspaces| {
-            let items = workspaces.into_iter().flat_map(|space| {
-                let (name, tier) = (space.name, space.tier);
+            let items = workspaces.into_iter().flat_map(|workspace| {
+                let (name, tier) = (workspace.name, workspace.tier);
                 let hashes: Vec<KeyHash> =
-                    space.keys.iter().map(|key| KeyHash::of(key)).collect();
+                    workspace.keys.iter().map(|key| KeyHash::of(key)).collect();
                 hashes.into_iter().map(move |hash| {
                     let name = name.clone();
                     (hash, Holder { name, tier })
@@ -78,7 +79,7 @@
             limits: set.limits,
             keys,
             tiers,
-            orders,
+            route_tiers,
             pauses,
         }
     }
@@ -88,12 +89,13 @@
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on requests and connections of callers.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Shortest and longest pause that streams of a service allow.
+    /// Shortest and longest pause that the routes to a service allow between events;
+    /// `None` if no route with event streams leads to it.
     pub fn pauses(&self, service: &str) -> Option<(Duration, Duration)> {
         let found = self
             .pauses
@@ -101,26 +103,27 @@
         found.ok().map(|at| (self.pauses[at].1, self.pauses[at].2))
     }
 
-    /// The route with the longest prefix of `path` under `host`.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let slashes = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/');
         slashes
             .map(|(at, _)| &path[..=at])
-            .find_map(|prefix| self.exact(host, prefix))
+            .find_map(|prefix| self.find_exact(host, prefix))
     }
 
-    fn exact(&self, host: &str, prefix: &str) -> Option<&Arc<Route>> {
+    fn find_exact(&self, host: &str, prefix: &str) -> Option<&Arc<Route>> {
         let at = self
             .routes
-            .binary_search_by(|route| place(route).cmp(&(host, prefix)));
+            .binary_search_by(|route| match_key(route).cmp(&(host, prefix)));
         at.ok().map(|at| &self.routes[at])
     }
 
-    /// Finds a request's route and the workspace of its caller.
+    /// Looks up the route of a request and the workspace of its key.
     ///
     /// # Errors
     ///
-    /// [`Denied`].
+    /// [`Denied::Route`] if no route matches, [`Denied::Key`] if the route is not public
+    /// and the key is missing or unknown. A set without workspaces requires no key.
     pub fn admit(
         &self,
         host: &str,
@@ -142,8 +145,10 @@
         let tier = holder.as_ref().and_then(|holder| holder.tier);
         let tier = tier.unwrap_or(route.tier);
         let rank = Rank {
-            route: self.orders.partition_point(|known| *known < route.tier),
-            routes: self.orders.len(),
+            route: self
+                .route_tiers
+                .partition_point(|known| *known < route.tier),
+            routes: self.route_tiers.len(),
             workspace: self.tiers.partition_point(|known| *known < tier),
             workspaces: self.tiers.len(),
         };
@@ -176,7 +181,7 @@
     all
 }
 
-/// Each value once, sorted.
+/// Sorts the values and removes duplicates.
 fn distinct(tiers: impl Iterator<Item = Tier>) -> Vec<Tier> {
     let mut tiers: Vec<Tier> = tiers.collect();
     tiers.sort_unstable();
@@ -184,6 +189,6 @@
     tiers
 }
 
-fn place(route: &Route) -> (&str, &str) {
+fn match_key(route: &Route) -> (&str, &str) {
     (&route.host, &route.prefix)
 }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -1,4 +1,4 @@
-//! Checks of route sets and look-ups in them.
+//! Validation of route sets, lookup of routes, and request ranks.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_route::prelude::*;
@@ -41,23 +41,23 @@
 }
 
 #[test]
-fn check_usable_set() {
+fn check_valid_set() {
     assert_eq!(set(vec![route("a", "/a/")]).check(), Ok(()));
 }
 
 #[test]
-fn check_each_fault() {
+fn check_invalid_routes_rejected() {
     let mut unknown = route("a", "/a/");
     unknown.targets[0].service = "other".to_string();
-    let mut weightless = route("a", "/a/");
-    weightless.targets[0].weight = 0;
-    let mut endless = route("a", "/a/");
-    endless.timeout = Duration::ZERO;
+    let mut no_weight = route("a", "/a/");
+    no_weight.targets[0].weight = 0;
+    let mut no_timeout = route("a", "/a/");
+    no_timeout.timeout = Duration::ZERO;
     let same = vec![route("a", "/a/"), route("b", "/a/")];
     for routes in [
         vec![unknown],
-        vec![weightless],
-        vec![endless],
+        vec![no_weight],
+        vec![no_timeout],
         same,
         vec![route("a", "/a")],
     ] {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn check_shared_key() {
+fn check_shared_key_rejected() {
     let mut shared = set(vec![route("a", "/a/")]);
     shared.workspaces = Some(vec![
         workspace("x", &["k"], None),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn admit_keys() {
+fn admit_by_key_and_public_route() {
     let mut keyed = set(vec![route("a", "/a/"), route("open", "/o/")]);
     keyed.routes[1].public = true;
     keyed.workspaces = Some(vec![workspace("x", &["k"], Some(0))]);
@@ -106,17 +106,17 @@
 }
 
 #[test]
-fn read_cut_text() {
-    let whole = serde_json::to_vec(&set(vec![route("a", "/a/")])).expect("encodes");
-    assert!(JsonFormat.read(&whole).is_ok());
-    assert!(JsonFormat.read(&whole[..whole.len() - 1]).is_err());
+fn read_truncated_text_rejected() {
+    let text = serde_json::to_vec(&set(vec![route("a", "/a/")])).expect("encodes");
+    assert!(JsonFormat.read(&text).is_ok());
+    assert!(JsonFormat.read(&text[..text.len() - 1]).is_err());
 }
 
-/// An engine knows ten levels. Where routes and workspaces together have more,
-/// a request must never share a level with one of another route: the engine
-/// would put back whichever is newer.
+/// An engine has ten priority levels. Even if routes and workspaces together have more
+/// tiers, requests of routes with different tiers must never share a level: within a
+/// level the engine preempts the newer request.
 #[test]
-fn level_keeps_routes_apart() {
+fn level_differs_between_routes() {
     for (routes, workspaces) in [(1, 3), (2, 3), (3, 3), (3, 5), (4, 4), (10, 4)] {
         let level = |route, workspace| {
             let rank = Rank {
@@ -140,8 +140,9 @@
     }
 }
 
-/// A cue of an ordinary workspace and a re-voice of an urgent one meet at an
-/// engine whose memory runs out: the re-voice gives way.
+/// The tier of the route takes precedence over that of the workspace: an engine that runs
+/// out of memory preempts a request of the less urgent route even if its workspace is
+/// more urgent.
 #[test]
 fn admit_rank_by_route_then_workspace() {
     let mut keyed = set(vec![route("cue", "/cue/"), route("revoice", "/revoice/")]);
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -24,7 +24,7 @@
     /// one may have run.
     #[display("repeated")]
     Repeated,
-    /// The attempt names another endpoint, service or fencing number.
+    /// The attempt names another endpoint, service or fencing token.
     #[display("misdirected")]
     Misdirected,
     /// Too little time was left until the deadline to start the request.
