--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -97,7 +97,7 @@
         };
         let mut relay = Self {
             attempt: attempt.attempt,
-            gap: attempt.gap,
+            gap: attempt.token_gap,
             gate,
             slot: Some(slot),
             source: Some(body),
--- a/crates/core/src/diagnostic.rs
+++ b/crates/core/src/diagnostic.rs
@@ -26,11 +26,11 @@
 
 impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, diagnostic) in self.0.iter().enumerate() {
+        for (i, fault) in self.0.iter().enumerate() {
             if i > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{diagnostic}")?;
+            write!(f, "{fault}")?;
         }
         Ok(())
     }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -144,7 +144,7 @@
         repeat: call.class.repeat,
         kind: call.service.document.kind,
         remaining: deadline.saturating_duration_since(Instant::now()),
-        gap: call.class.target.token_gap,
+        token_gap: call.class.target.token_gap,
         revision: call.service.revision,
         fence: place.fence(),
         stream: call.stream,
--- a/crates/wire/src/attempt.rs
+++ b/crates/wire/src/attempt.rs
@@ -29,8 +29,8 @@
     pub class: ClassId,
     /// Tier of that class.
     pub tier: Tier,
-    /// Whether this class has waited so long at the entry that it starts regardless of
-    /// its tier.
+    /// Whether the class is due by the entry's starvation limit. The agent then treats
+    /// the attempt as tier 0.
     pub due: bool,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
@@ -40,7 +40,7 @@
     /// because the clocks of two instances may differ.
     pub remaining: Duration,
     /// Target of the class for the mean time between tokens, if it has one.
-    pub gap: Option<Duration>,
+    pub token_gap: Option<Duration>,
     /// Revision of the document under which the request was admitted.
     pub revision: Revision,
     /// Fencing token of the agent's lease as last seen by the entry; 0 without leases.
@@ -59,7 +59,7 @@
 
 /// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1) and those
 /// that the router sets itself. Sorted, for binary search.
-const HOP_HEADERS: &[&str] = &[
+const STRIPPED_HEADERS: &[&str] = &[
     "authorization",
     "connection",
     "content-length",
@@ -82,7 +82,7 @@
 /// Returns the headers of `map` that are forwarded. Hop-by-hop headers, those listed in
 /// the `connection` header and those that the router sets itself are left out.
 pub fn end_to_end(map: &HeaderMap) -> Vec<Header> {
-    let listed: Vec<String> = map
+    let connection_headers: Vec<String> = map
         .get_all(http::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -90,8 +90,8 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
     map.iter()
-        .filter(|(name, _)| HOP_HEADERS.binary_search(&name.as_str()).is_err())
-        .filter(|(name, _)| !listed.iter().any(|hop| hop == name.as_str()))
+        .filter(|(name, _)| STRIPPED_HEADERS.binary_search(&name.as_str()).is_err())
+        .filter(|(name, _)| !connection_headers.iter().any(|hop| hop == name.as_str()))
         .map(|(name, value)| Header {
             name: name.as_str().to_string(),
             value: Bytes::copy_from_slice(value.as_bytes()),
