--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -215,15 +215,15 @@
         self.views[view].report(now, report, own);
     }
 
-    /// Drops requests whose caller is `gone`, expires those past their deadline and
-    /// retries placement of the rest. To be called periodically.
+    /// Drops requests whose caller is `disconnected`, expires those past their deadline
+    /// and retries placement of the rest. To be called periodically.
     pub fn tick(
         &mut self,
         now: Moment,
-        gone: impl Fn(&P) -> bool,
+        disconnected: impl Fn(&P) -> bool,
         random: &mut dyn Rng,
     ) -> Vec<Action<P>> {
-        self.queue.extract(|waiting| gone(&waiting.payload));
+        self.queue.extract(|waiting| disconnected(&waiting.payload));
         let past_deadline =
             |waiting: &Waiting<P>| waiting.item.deadline <= now + MIN_TIME_LEFT;
         let expired = self.queue.extract(past_deadline);
--- a/crates/policy/src/event_gap.rs
+++ b/crates/policy/src/event_gap.rs
@@ -32,8 +32,8 @@
 impl EventGap {
     /// Records an event that came `pause` after the previous one.
     pub fn record(&mut self, now: Duration, pause: Duration) {
-        let known = self.mean(now).unwrap_or(pause);
-        let kept = known.mul_f64(1.0 - SAMPLE_WEIGHT);
+        let previous = self.mean(now).unwrap_or(pause);
+        let kept = previous.mul_f64(1.0 - SAMPLE_WEIGHT);
         self.mean = Some(kept + pause.mul_f64(SAMPLE_WEIGHT));
         self.at = now;
     }
@@ -47,9 +47,9 @@
 
 /// Event gap above which an endpoint is slow, from the known means of all endpoints of a
 /// service.
-pub fn slow_threshold(known: impl Iterator<Item = Duration>) -> Duration {
-    let mut known: Vec<Duration> = known.collect();
-    known.sort_unstable();
-    let median = known.get(known.len() / 2);
+pub fn slow_threshold(means: impl Iterator<Item = Duration>) -> Duration {
+    let mut means: Vec<Duration> = means.collect();
+    means.sort_unstable();
+    let median = means.get(means.len() / 2);
     median.map_or(Duration::MAX, |median| median.mul_f64(SLOW_FACTOR))
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -3,8 +3,8 @@
 //! Endpoints disappear without closing connections, fail part of their requests while
 //! they report themselves healthy, or stop answering on all connections at once. An entry
 //! detects this from its own requests: their recent outcomes, and the time since it last
-//! received anything. The verdict of all entries together ([`crate::shared_health`]) is used
-//! as well, while it is fresh and own observations do not contradict it.
+//! received anything. The verdict of all entries together ([`crate::shared_health`]) is
+//! used as well, while it is fresh and own observations do not contradict it.
 
 use crate::shared_health::{HealthReport, RECENT_WINDOW, Verdict};
 use std::time::Duration;
@@ -73,7 +73,7 @@
     /// When a later run of the endpoint became known.
     superseded_at: Option<Duration>,
     /// Last verdict of all entries, and when it was received.
-    merged: Option<(Duration, Verdict)>,
+    shared_verdict: Option<(Duration, Verdict)>,
     /// Observations since the last call of [`HealthRecord::take_report`].
     observed: HealthReport,
 }
@@ -162,12 +162,12 @@
 
     /// Sets the verdict of all entries together; `None` if there is none.
     pub fn set_verdict(&mut self, now: Duration, verdict: Option<Verdict>) {
-        self.merged = verdict.map(|verdict| (now, verdict));
+        self.shared_verdict = verdict.map(|verdict| (now, verdict));
     }
 
     /// The verdict of all entries, unless it is old or contradicted by received bytes.
     fn verdict(&self, now: Duration) -> Option<Verdict> {
-        let (at, verdict) = self.merged?;
+        let (at, verdict) = self.shared_verdict?;
         let old = now.saturating_sub(at) >= VERDICT_LIFETIME;
         let contradicted = verdict == Verdict::Silent && self.received_at > at;
         (!old && !contradicted).then_some(verdict)
--- a/crates/policy/src/packing.rs
+++ b/crates/policy/src/packing.rs
@@ -24,7 +24,7 @@
 
 /// Number of endpoints, from the start of their order, that streams use. The `quick` ones
 /// that come first and are not slow are all used, and as many of the others as keep all
-/// of them together within [`FILL_TARGET`].
+/// of them together below three fifths of their slots.
 pub fn endpoints_used(
     endpoints: impl ExactSizeIterator<Item = Occupancy>,
     quick: usize,
