--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -33,7 +33,7 @@
     pub endpoint: EndpointId,
     /// Whether the start was due to the starvation limit of its class.
     pub due: bool,
-    /// Highest fencing number that the endpoint's agent has reported.
+    /// Highest fencing token that the endpoint's agent has reported.
     pub fence: Fence,
     /// The request with its payload.
     pub waiting: Waiting<P>,
@@ -77,6 +77,7 @@
     running: u32,
     /// Mean time between starts, in seconds.
     start_gap: f64,
+    /// When a request last started.
     last: Option<Moment>,
 }
 
@@ -106,18 +107,18 @@
     /// Replaces the set of endpoints by that of the document. Endpoints not in `listed`
     /// get no new work.
     pub fn set_endpoints(&mut self, listed: &[ListedEndpoint]) {
-        let mut wanted: Vec<&ListedEndpoint> = listed.iter().collect();
-        wanted.sort_by(|a, b| a.name.cmp(&b.name));
-        let mut known = vec![false; wanted.len()];
+        let mut sorted: Vec<&ListedEndpoint> = listed.iter().collect();
+        sorted.sort_by(|a, b| a.name.cmp(&b.name));
+        let mut matched = vec![false; sorted.len()];
         for view in &mut self.views {
-            let found = wanted.binary_search_by(|one| one.name.cmp(&view.name));
+            let found = sorted.binary_search_by(|one| one.name.cmp(&view.name));
             view.set_listed(found.is_ok());
             if let Ok(at) = found {
-                view.domain.clone_from(&wanted[at].domain);
-                known[at] = true;
+                view.domain.clone_from(&sorted[at].domain);
+                matched[at] = true;
             }
         }
-        let new = wanted.iter().zip(known).filter(|(_, known)| !known);
+        let new = sorted.iter().zip(matched).filter(|(_, matched)| !matched);
         for (endpoint, _) in new {
             self.add(endpoint);
         }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -105,14 +105,15 @@
 pub struct Queue<P> {
     bounds: Bounds,
     slab: Vec<Option<Waiting<P>>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     classes: Vec<ClassQueue>,
     /// Tickets of each tier by arrival, stale ones among them.
     arrivals: [Vec<Ticket>; TIERS],
     /// Waiting requests of each tier.
     live: [usize; TIERS],
     bytes: usize,
-    next: u64,
+    next_seq: u64,
+    /// Starts since the creation of the queue.
     starts: u64,
 }
 
@@ -122,12 +123,12 @@
         Self {
             bounds,
             slab: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             classes: Vec::new(),
             arrivals: Default::default(),
             live: [0; TIERS],
             bytes: 0,
-            next: 0,
+            next_seq: 0,
             starts: 0,
         }
     }
@@ -163,9 +164,7 @@
         self.enqueue(ticket, false);
         let mut shed = Vec::new();
         while self.exceeds_bounds() {
-            let newest = self
-                .newest()
-                .expect("a queue over its bounds holds something");
+            let newest = self.newest().expect("a queue over its bounds is not empty");
             shed.extend(self.remove(newest));
         }
         shed
@@ -213,7 +212,7 @@
             return None;
         }
         let waiting = entry.take()?;
-        self.free.push(ticket.slot);
+        self.free_slots.push(ticket.slot);
         let tier = usize::from(waiting.item.tier);
         self.live[tier] -= 1;
         self.bytes -= waiting.item.bytes;
@@ -238,8 +237,8 @@
 
     fn insert(&mut self, now: Moment, item: Item, payload: P) -> Ticket {
         let slot = self.slot();
-        let seq = self.next;
-        self.next += 1;
+        let seq = self.next_seq;
+        self.next_seq += 1;
         let ticket = Ticket { seq, slot };
         let waiting = Waiting {
             ticket,
@@ -252,7 +251,7 @@
     }
 
     fn slot(&mut self) -> usize {
-        self.free.pop().unwrap_or_else(|| {
+        self.free_slots.pop().unwrap_or_else(|| {
             self.slab.push(None);
             self.slab.len() - 1
         })
@@ -265,7 +264,7 @@
     }
 
     fn enqueue(&mut self, ticket: Ticket, first: bool) {
-        let waiting = self.slab[ticket.slot].as_ref().expect("held above");
+        let waiting = self.slab[ticket.slot].as_ref().expect("stored above");
         let item = &waiting.item;
         let found = self
             .classes
@@ -355,6 +354,6 @@
 }
 
 fn is_live<P>(slab: &[Option<Waiting<P>>], ticket: Ticket) -> bool {
-    let held = slab.get(ticket.slot).and_then(Option::as_ref);
-    held.is_some_and(|waiting| waiting.ticket == ticket)
+    let stored = slab.get(ticket.slot).and_then(Option::as_ref);
+    stored.is_some_and(|waiting| waiting.ticket == ticket)
 }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -137,7 +137,7 @@
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// Highest fencing number in any report.
+    /// Highest fencing token in any report.
     pub fn fence(&self) -> Fence {
         self.fence
     }
