--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -206,8 +206,8 @@
     }
 
     /// Runs an attempt up to the head of the endpoint's answer.
-    async fn start(&self, attempt: &mut Attempt) -> Result<Relay, Body> {
-        let slot = self.admit(attempt).map_err(Body::Refused)?;
+    async fn start(&self, attempt: &mut Attempt) -> Result<Relay, FrameBody> {
+        let slot = self.admit(attempt).map_err(FrameBody::Refused)?;
         // The endpoint is told the own number, whatever the entry knows.
         attempt.fence = self.gate.load().fence;
         let attempt = &*attempt;
@@ -225,13 +225,13 @@
                 Ok(Relay::new(attempt, response, gate, slot, most, started))
             }
             Ok(Err(SendError::Unreachable | SendError::Invalid)) => {
-                Err(Body::Refused(RefusalReason::Unreachable))
+                Err(FrameBody::Refused(RefusalReason::Unreachable))
             }
             Ok(Err(lost @ SendError::Lost)) => {
                 self.gate.saw_end(false);
-                Err(Body::Broken(lost.to_string()))
+                Err(FrameBody::Broken(lost.to_string()))
             }
-            Err(_) => Err(Body::Broken("the deadline passed".to_string())),
+            Err(_) => Err(FrameBody::Broken("the deadline passed".to_string())),
         }
     }
 
@@ -243,7 +243,7 @@
         }
     }
 
-    fn single(&self, attempt: AttemptId, body: Body) -> Bytes {
+    fn single(&self, attempt: AttemptId, body: FrameBody) -> Bytes {
         encode(&Frame {
             attempt,
             seq: 0,
@@ -373,9 +373,9 @@
     }
 }
 
-fn result_of(body: &Body) -> String {
+fn result_of(body: &FrameBody) -> String {
     match body {
-        Body::Refused(reason) => reason.to_string(),
+        FrameBody::Refused(reason) => reason.to_string(),
         _ => "broken".to_string(),
     }
 }
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -115,7 +115,7 @@
         } else {
             let status = head.status.as_u16();
             let headers = end_to_end(&head.headers);
-            relay.push(Body::Head { status, headers });
+            relay.push(FrameBody::Head { status, headers });
         }
         relay
     }
@@ -220,7 +220,7 @@
     fn chunk(&mut self, data: Bytes) {
         if !data.is_empty() {
             self.bytes += data.len() as u64;
-            self.push(Body::Chunk(data));
+            self.push(FrameBody::Chunk(data));
         }
     }
 
@@ -228,7 +228,7 @@
         let bytes = self.bytes;
         self.gate.saw_end(true);
         self.close();
-        self.push(Body::End { bytes, tokens });
+        self.push(FrameBody::End { bytes, tokens });
     }
 
     /// Ends an answer that the endpoint did not give whole.
@@ -239,7 +239,7 @@
 
     fn stop(&mut self, cause: &str) {
         self.close();
-        self.push(Body::Broken(cause.to_string()));
+        self.push(FrameBody::Broken(cause.to_string()));
     }
 
     /// Gives the slot back first, so that the last frame's load tells of the
@@ -249,8 +249,11 @@
         self.slot = None;
     }
 
-    fn push(&mut self, body: Body) {
-        let ends = matches!(body, Body::Head { .. } | Body::End { .. } | Body::Broken(_));
+    fn push(&mut self, body: FrameBody) {
+        let ends = matches!(
+            body,
+            FrameBody::Head { .. } | FrameBody::End { .. } | FrameBody::Broken(_)
+        );
         let load = ends.then(|| self.gate.load());
         let frame = Frame {
             attempt: self.attempt,
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -24,7 +24,7 @@
 use dogwoodhill_wire::codec::decode;
 use dogwoodhill_wire::control::{
     Acquire, ControlReply, ControlUnavailable, FINISH_PATH, FinishClaim, LEASE_PATH,
-    TAKE_PATH, TakeClaim, WATCH_PATH, Watch,
+    TAKE_PATH, TakeClaim, WATCH_PATH, WatchDocuments,
 };
 use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, DemandReport};
 use dogwoodhill_wire::routes::{FetchRoutes, PIECE_PATH, ROUTES_PATH, WatchRoutes};
@@ -186,7 +186,7 @@
 }
 
 async fn watch_documents(State(inside): State<Inside>, bytes: Bytes) -> Response {
-    serve(bytes, |message: Watch| async move {
+    serve(bytes, |message: WatchDocuments| async move {
         watch::answer(&inside.service, &inside.presence, message).await
     })
     .await
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -6,7 +6,8 @@
 use crate::state::Documents;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::control::{
-    AcceptedDocument, ControlReply, ControlUnavailable, DocumentChange, Update, Watch,
+    AcceptedDocument, ControlReply, ControlUnavailable, DocumentChange, DocumentsUpdate,
+    WatchDocuments,
 };
 use std::sync::Arc;
 use tokio::sync::watch::Receiver;
@@ -28,8 +29,8 @@
 pub async fn answer(
     service: &Service,
     presence: &Presence,
-    watch: Watch,
-) -> ControlReply<Update> {
+    watch: WatchDocuments,
+) -> ControlReply<DocumentsUpdate> {
     let _polling = watch.entry.then(|| presence.poll(&watch.daemon));
     service.confirm().await?;
     let mut applied = service.replica().applied.clone();
@@ -56,13 +57,13 @@
     }
 }
 
-fn changes(service: &Service, watch: &Watch, entries: u32) -> Update {
+fn changes(service: &Service, watch: &WatchDocuments, entries: u32) -> DocumentsUpdate {
     let documents = service.replica().documents.load();
     let changes = match watch.entry {
         true => documents.since(watch.revision, watch.service.as_deref()),
         false => own_part(&documents, watch),
     };
-    Update {
+    DocumentsUpdate {
         revision: documents.revision,
         changes,
         entries,
@@ -71,7 +72,7 @@
 
 /// What an agent needs of its service's document: everything but workspaces
 /// and the other endpoints.
-fn own_part(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
+fn own_part(documents: &Documents, watch: &WatchDocuments) -> Vec<DocumentChange> {
     let history = watch
         .service
         .as_ref()
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -94,7 +94,7 @@
 pub struct Reading {
     source: Incoming,
     frames: FrameReader,
-    check: Answer,
+    check: AnswerValidator,
     load: Option<Load>,
     deadline: Instant,
 }
@@ -176,7 +176,7 @@
     let mut answer = Reading {
         source: response.into_body(),
         frames: FrameReader::default(),
-        check: Answer::new(attempt.attempt),
+        check: AnswerValidator::new(attempt.attempt),
         load: None,
         deadline,
     };
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,7 +1,7 @@
 //! Validation of an agent's answer: it must belong to the attempt and be complete.
 
 use crate::attempt::Header;
-use crate::frame::{Body, Frame, RefusalReason};
+use crate::frame::{Frame, FrameBody, RefusalReason};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
@@ -62,14 +62,14 @@
 /// After an [`AnswerError`], a refusal or the end, every further frame is an error, so
 /// that a late frame can't lengthen a finished answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct AnswerValidator {
     attempt: AttemptId,
     stage: Stage,
     seq: u32,
     bytes: u64,
 }
 
-impl Answer {
+impl AnswerValidator {
     /// Creates a validator for the frames of `attempt`.
     pub fn new(attempt: AttemptId) -> Self {
         Self {
@@ -107,24 +107,24 @@
         }
         self.seq += 1;
         match (self.stage, frame.body) {
-            (Stage::Start, Body::Refused(reason)) => {
+            (Stage::Start, FrameBody::Refused(reason)) => {
                 self.stage = Stage::Done;
                 Ok(AnswerPart::Refused(reason))
             }
-            (Stage::Start, Body::Head { status, headers }) => {
+            (Stage::Start, FrameBody::Head { status, headers }) => {
                 self.stage = Stage::Body;
                 Ok(AnswerPart::Head { status, headers })
             }
-            (Stage::Body, Body::Chunk(bytes)) => {
+            (Stage::Body, FrameBody::Chunk(bytes)) => {
                 self.bytes += bytes.len() as u64;
                 Ok(AnswerPart::Chunk(bytes))
             }
-            (Stage::Body, Body::End { bytes, tokens }) if bytes == self.bytes => {
+            (Stage::Body, FrameBody::End { bytes, tokens }) if bytes == self.bytes => {
                 self.stage = Stage::Done;
                 Ok(AnswerPart::End { tokens })
             }
-            (Stage::Body, Body::End { .. }) => Err(AnswerError::Truncated),
-            (Stage::Start | Stage::Body, Body::Broken(cause)) => {
+            (Stage::Body, FrameBody::End { .. }) => Err(AnswerError::Truncated),
+            (Stage::Start | Stage::Body, FrameBody::Broken(cause)) => {
                 Err(AnswerError::Broken { cause })
             }
             _ => Err(AnswerError::Order),
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Path of [`Watch`].
+/// Path of [`WatchDocuments`].
 pub const WATCH_PATH: &str = "/internal/watch";
 /// Path of [`TakeClaim`].
 pub const TAKE_PATH: &str = "/internal/claims/take";
@@ -24,7 +24,7 @@
 /// Requests the documents accepted after `revision`. Answered at once if there are any,
 /// otherwise when one is accepted or after `wait`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Watch {
+pub struct WatchDocuments {
     /// Name of the requesting daemon.
     pub daemon: String,
     /// Whether the daemon is an entry. Entries are counted because they divide each
@@ -66,9 +66,9 @@
     },
 }
 
-/// Answer to [`Watch`].
+/// Answer to [`WatchDocuments`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Update {
+pub struct DocumentsUpdate {
     /// Revision the daemon has after applying `changes`. The control instance confirmed
     /// with a majority that no newer revision was accepted when the watch arrived.
     pub revision: Revision,
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -7,7 +7,8 @@
 
 use crate::client::PeerClient;
 use crate::control::{
-    AcceptedDocument, ControlReply, DocumentChange, Update, WATCH_PATH, Watch,
+    AcceptedDocument, ControlReply, DocumentChange, DocumentsUpdate, WATCH_PATH,
+    WatchDocuments,
 };
 use crate::control_client::ControlClient;
 use dogwoodhill_core::prelude::*;
@@ -27,7 +28,7 @@
 /// Upper bound of the retry delay, before jitter.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// An [`Update`] after [`DocumentCache::take`] applied its differences.
+/// An [`DocumentsUpdate`] after [`DocumentCache::take`] applied its differences.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedChanges {
     /// Revision up to which all accepted changes have been received.
@@ -48,7 +49,7 @@
 impl DocumentCache {
     /// Applies an update. Returns `None` if a difference is based on a document revision
     /// that is not cached; the caller must then request all documents again.
-    pub fn take(&mut self, update: Update) -> Option<AppliedChanges> {
+    pub fn take(&mut self, update: DocumentsUpdate) -> Option<AppliedChanges> {
         let mut changed = Vec::new();
         for change in update.changes {
             let accepted = match change {
@@ -125,7 +126,7 @@
             self.control.clone(),
             self.jitter_seed as usize,
         );
-        let mut request = Watch {
+        let mut request = WatchDocuments {
             daemon: self.daemon.clone(),
             entry: self.entry,
             revision: 0,
@@ -167,11 +168,15 @@
         }
     }
 
-    async fn poll(&self, control: &ControlClient, watch: &Watch) -> Option<Update> {
+    async fn poll(
+        &self,
+        control: &ControlClient,
+        watch: &WatchDocuments,
+    ) -> Option<DocumentsUpdate> {
         let address = control.instance()?;
         let call = self
             .client
-            .call::<_, ControlReply<Update>>(address, WATCH_PATH, watch);
+            .call::<_, ControlReply<DocumentsUpdate>>(address, WATCH_PATH, watch);
         let answered = timeout(POLL_TIMEOUT + ANSWER_GRACE, call)
             .await
             .ok()?
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -34,7 +34,7 @@
 
 /// Content of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum FrameBody {
     /// The agent will not run the attempt.
     Refused(RefusalReason),
     /// Status and headers of the endpoint's response.
@@ -67,5 +67,5 @@
     /// Load of the endpoint; sent with the first and the last frame.
     pub load: Option<Load>,
     /// Content of the frame.
-    pub body: Body,
+    pub body: FrameBody,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -8,7 +8,7 @@
 //! * every frame carries its attempt id and sequence number, so that a frame that is
 //!   foreign, repeated or missing is detected;
 //! * an answer is complete only if its `End` frame arrived with a byte count equal to the
-//!   bytes received ([`answer::Answer`]);
+//!   bytes received ([`answer::AnswerValidator`]);
 //! * no frame is longer than [`codec::MAX_FRAME`].
 
 pub mod answer;
@@ -28,8 +28,8 @@
 
 /// Re-exports of the names that most modules use.
 pub mod prelude {
-    pub use crate::answer::{Answer, AnswerError, AnswerPart};
+    pub use crate::answer::{AnswerError, AnswerPart, AnswerValidator};
     pub use crate::attempt::{Attempt, Header};
     pub use crate::codec::{FrameReader, encode};
-    pub use crate::frame::{Body, Frame, Load, RefusalReason};
+    pub use crate::frame::{Frame, FrameBody, Load, RefusalReason};
 }
--- a/crates/wire/src/usage.rs
+++ b/crates/wire/src/usage.rs
@@ -33,7 +33,7 @@
     /// Whether the instance is in contact with a majority and is not shutting down. If
     /// false, the entry must report to another instance.
     pub has_quorum: bool,
-    /// Windows before this one are final; 0 if none is.
+    /// Usage of windows before this one is committed; 0 if none is.
     pub next: Window,
     /// Internal address of the instance that holds the duty of reporting usage, if any.
     pub reporter: Option<SocketAddr>,
--- a/crates/wire/tests/answer.rs
+++ b/crates/wire/tests/answer.rs
@@ -7,7 +7,7 @@
 
 const OWN: u128 = 7;
 
-fn frame(attempt: u128, seq: u32, body: Body) -> Frame {
+fn frame(attempt: u128, seq: u32, body: FrameBody) -> Frame {
     Frame {
         attempt,
         seq,
@@ -16,8 +16,8 @@
     }
 }
 
-fn head() -> Body {
-    Body::Head {
+fn head() -> FrameBody {
+    FrameBody::Head {
         status: 200,
         headers: Vec::new(),
     }
@@ -29,10 +29,10 @@
     bodies.extend(
         chunks
             .iter()
-            .map(|chunk| Body::Chunk(Bytes::from(chunk.clone()))),
+            .map(|chunk| FrameBody::Chunk(Bytes::from(chunk.clone()))),
     );
     let bytes = chunks.iter().map(|chunk| chunk.len() as u64).sum();
-    bodies.push(Body::End { bytes, tokens: 1 });
+    bodies.push(FrameBody::End { bytes, tokens: 1 });
     let numbered = (0..).zip(bodies);
     numbered
         .map(|(seq, body)| frame(attempt, seq, body))
@@ -46,7 +46,7 @@
 }
 
 fn receive(sequence: Vec<Frame>) -> Received {
-    let mut answer = Answer::new(OWN);
+    let mut answer = AnswerValidator::new(OWN);
     let mut received = Received {
         bytes: Vec::new(),
         complete: false,
@@ -129,7 +129,7 @@
 #[test]
 fn accept_complete_then_late_chunk_dropped() {
     let mut sequence = frames(OWN, &[b"abc".to_vec()]);
-    sequence.push(frame(OWN, 3, Body::Chunk(Bytes::from_static(b"late"))));
+    sequence.push(frame(OWN, 3, FrameBody::Chunk(Bytes::from_static(b"late"))));
     let received = receive(sequence);
     assert!(received.complete);
     assert_eq!(received.bytes, b"abc");
@@ -137,9 +137,9 @@
 
 #[test]
 fn accept_end_with_other_count_truncated() {
-    let mut answer = Answer::new(OWN);
+    let mut answer = AnswerValidator::new(OWN);
     answer.accept(frame(OWN, 0, head())).unwrap();
-    let end = Body::End {
+    let end = FrameBody::End {
         bytes: 5,
         tokens: 0,
     };
--- a/crates/wire/tests/document_watch.rs
+++ b/crates/wire/tests/document_watch.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_core::document::Delta;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_wire::control::{AcceptedDocument, DocumentChange, Update};
+use dogwoodhill_wire::control::{AcceptedDocument, DocumentChange, DocumentsUpdate};
 use dogwoodhill_wire::document_watch::DocumentCache;
 use std::sync::Arc;
 
@@ -17,10 +17,10 @@
     ServiceDocument::parse("test", &text).unwrap()
 }
 
-fn update(news: DocumentChange) -> Update {
-    Update {
+fn update(change: DocumentChange) -> DocumentsUpdate {
+    DocumentsUpdate {
         revision: 9,
-        changes: vec![news],
+        changes: vec![change],
         entries: 1,
     }
 }
--- a/tests/all/broken_answers.rs
+++ b/tests/all/broken_answers.rs
@@ -43,7 +43,7 @@
     (address, calls)
 }
 
-fn frame(attempt: u128, seq: u32, body: Body) -> Vec<u8> {
+fn frame(attempt: u128, seq: u32, body: FrameBody) -> Vec<u8> {
     let frame = Frame {
         attempt,
         seq,
@@ -58,7 +58,7 @@
         name: "content-type".to_string(),
         value: Bytes::from_static(b"text/event-stream"),
     };
-    let body = Body::Head {
+    let body = FrameBody::Head {
         status: 200,
         headers: vec![kind],
     };
@@ -67,11 +67,11 @@
 
 fn chunk(attempt: u128, seq: u32) -> Vec<u8> {
     let event = Bytes::from_static(b"data: {\"choices\":[]}\n\n");
-    frame(attempt, seq, Body::Chunk(event))
+    frame(attempt, seq, FrameBody::Chunk(event))
 }
 
 fn end(attempt: u128, seq: u32, bytes: u64) -> Vec<u8> {
-    frame(attempt, seq, Body::End { bytes, tokens: 1 })
+    frame(attempt, seq, FrameBody::End { bytes, tokens: 1 })
 }
 
 const CHUNK: u64 = 22;
@@ -172,7 +172,8 @@
 
 #[tokio::test]
 async fn refused_everywhere_is_not_run() {
-    let script = |a: &Attempt| frame(a.attempt, 0, Body::Refused(RefusalReason::Full));
+    let script =
+        |a: &Attempt| frame(a.attempt, 0, FrameBody::Refused(RefusalReason::Full));
     let (address, calls) = fake(script).await;
     let alone = Alone::start(address).await;
     let headers = [("x-request-timeout", "300ms")];
@@ -187,7 +188,7 @@
 async fn repeated_refusal_is_no_not_run() {
     // The agent knows the attempt already: an earlier delivery may have run.
     let script =
-        |a: &Attempt| frame(a.attempt, 0, Body::Refused(RefusalReason::Repeated));
+        |a: &Attempt| frame(a.attempt, 0, FrameBody::Refused(RefusalReason::Repeated));
     let (address, _) = fake(script).await;
     let alone = Alone::start(address).await;
     let class = [("x-service-class", "order")];
@@ -315,7 +316,7 @@
 #[tokio::test]
 async fn idempotent_lost_twice_is_given_up() {
     let script =
-        |a: &Attempt| frame(a.attempt, 0, Body::Broken("it broke off".to_string()));
+        |a: &Attempt| frame(a.attempt, 0, FrameBody::Broken("it broke off".to_string()));
     let (address, calls) = fake(script).await;
     let alone = Alone::start(address).await;
     let got = alone.chat(&[], &chat("x", 3, false)).await;
