--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -168,14 +168,14 @@
         self.attempts.with_label_values(&[result]).inc();
     }
 
-    fn admit(&self, attempt: &Attempt) -> Result<Slot, Reason> {
+    fn admit(&self, attempt: &Attempt) -> Result<Slot, RefusalReason> {
         let own = attempt.service == self.settings.service
             && attempt.endpoint == self.settings.endpoint;
         if !own {
-            return Err(Reason::Misdirected);
+            return Err(RefusalReason::Misdirected);
         }
         if attempt.remaining.is_zero() {
-            return Err(Reason::Late);
+            return Err(RefusalReason::Late);
         }
         self.entitled(attempt)?;
         let ask = AdmissionRequest {
@@ -184,14 +184,14 @@
             due: attempt.due,
         };
         self.gate.admit(&ask).map_err(|refusal| match refusal {
-            Refusal::Full => Reason::Full,
-            Refusal::Leaving => Reason::Leaving,
-            Refusal::Repeated => Reason::Repeated,
+            Refusal::Full => RefusalReason::Full,
+            Refusal::Leaving => RefusalReason::Leaving,
+            Refusal::Repeated => RefusalReason::Repeated,
         })
     }
 
     /// Checks the lease.
-    fn entitled(&self, attempt: &Attempt) -> Result<(), Reason> {
+    fn entitled(&self, attempt: &Attempt) -> Result<(), RefusalReason> {
         self.holding.superseded(attempt.fence);
         match (
             self.holding.right(std::time::Instant::now()),
@@ -201,13 +201,13 @@
                 self.gate.set_fence(fence);
                 Ok(())
             }
-            _ => Err(Reason::Misdirected),
+            _ => Err(RefusalReason::Misdirected),
         }
     }
 
     /// Runs an attempt up to the head of the endpoint's answer.
-    async fn start(&self, attempt: &mut Attempt) -> Result<Relay, Body> {
-        let slot = self.admit(attempt).map_err(Body::Refused)?;
+    async fn start(&self, attempt: &mut Attempt) -> Result<Relay, FrameBody> {
+        let slot = self.admit(attempt).map_err(FrameBody::Refused)?;
         // The endpoint is told the own number, whatever the entry knows.
         attempt.fence = self.gate.load().fence;
         let attempt = &*attempt;
@@ -225,13 +225,13 @@
                 Ok(Relay::new(attempt, response, gate, slot, most, started))
             }
             Ok(Err(SendError::Unreachable | SendError::Invalid)) => {
-                Err(Body::Refused(Reason::Unreachable))
+                Err(FrameBody::Refused(RefusalReason::Unreachable))
             }
             Ok(Err(lost @ SendError::Lost)) => {
                 self.gate.saw_end(false);
-                Err(Body::Broken(lost.to_string()))
+                Err(FrameBody::Broken(lost.to_string()))
             }
-            Err(_) => Err(Body::Broken("the deadline passed".to_string())),
+            Err(_) => Err(FrameBody::Broken("the deadline passed".to_string())),
         }
     }
 
@@ -243,7 +243,7 @@
         }
     }
 
-    fn single(&self, attempt: AttemptId, body: Body) -> Bytes {
+    fn single(&self, attempt: AttemptId, body: FrameBody) -> Bytes {
         encode(&Frame {
             attempt,
             seq: 0,
@@ -373,9 +373,9 @@
     }
 }
 
-fn result_of(body: &Body) -> String {
+fn result_of(body: &FrameBody) -> String {
     match body {
-        Body::Refused(reason) => reason.to_string(),
+        FrameBody::Refused(reason) => reason.to_string(),
         _ => "broken".to_string(),
     }
 }
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -8,14 +8,14 @@
 use crate::command::Action;
 use crate::service::Service;
 use crate::state::Quarantined;
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
 use dogwoodhill_policy::quarantine::{
     LostRequest, NewQuarantine, Quarantine, SuspectNotice,
 };
 use dogwoodhill_policy::shared_health::RECENT_WINDOW;
-use dogwoodhill_wire::demand::{RequestStanding, Suspects, TellDemand};
+use dogwoodhill_wire::demand::{DemandReport, SuspectRequest, Suspects};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -63,7 +63,7 @@
         &self,
         now: Duration,
         under_way: Duration,
-        tell: &TellDemand,
+        tell: &DemandReport,
         heard: &[Incarnation],
     ) -> Vec<NewQuarantine> {
         let mut state = self.state();
@@ -80,7 +80,7 @@
                 workspace: loss.workspace,
                 run: loss.run.clone(),
                 domain: loss.domain,
-                sent: at.saturating_sub(loss.lasted),
+                sent: at.saturating_sub(loss.duration),
                 at,
             };
             quarantine.record_loss(now, teller, &loss);
@@ -105,10 +105,10 @@
         if news == mark {
             return None;
         }
-        let requests = told.iter().map(|told| RequestStanding {
+        let requests = told.iter().map(|told| SuspectRequest {
             request: told.request,
             crashes: told.status.crashes as u32,
-            left: told.status.remaining,
+            remaining: told.status.remaining,
         });
         Some(Suspects {
             mark: news,
@@ -173,6 +173,6 @@
         sleep(KEEP_PAUSE).await;
     }
     Event::new("quarantine-not-logged")
-        .field("content", shown(found.request))
+        .field("content", short_form(found.request))
         .warn();
 }
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -78,7 +78,7 @@
                 RunAge::Newer
             }
             Ordering::Equal => {
-                known.run.born = known.run.born.or(run.born);
+                known.run.start = known.run.start.or(run.start);
                 known.leaving |= leaving;
                 known.listed = now;
                 RunAge::Current
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,15 +1,13 @@
 //! Decisions on the path of a request, as state machines without I/O.
 //!
-//! Everything here is driven by events and a `now` that the caller passes in;
-//! randomness comes from a source that is passed in as well. That makes each
-//! decision testable without sockets, replayable, and cheap to measure. The
-//! parts, from the caller's side to the endpoint's:
+//! Callers pass in events, the current time and a source of randomness, so every decision
+//! can be tested without sockets and replayed. From the caller's side to the endpoint's:
 //!
-//! * [`quota`]: a workspace's limits on requests in flight and per second;
-//! * [`queue`]: requests that wait in the entry, ordered by tier, slack and
-//!   workspace share, bounded in count and bytes;
-//! * [`view`]: what an entry believes of one endpoint's load;
-//! * [`subset`]: which endpoints an entry uses at all;
+//! * [`quota`]: limits of a workspace on requests in flight and per second;
+//! * [`queue`]: requests that wait in the entry, ordered by tier, slack and workspace
+//!   share, bounded in count and bytes;
+//! * [`view`]: the estimated load of one endpoint;
+//! * [`subset`]: the endpoints that an entry uses;
 //! * [`placement`]: the choice of an endpoint;
 //! * [`dispatch`]: the three above joined into one machine per service;
 //! * [`budget`]: how many retries a service may add to its load;
@@ -35,8 +33,8 @@
 //! * [`gate`]: the agent's decision to start or refuse, with [`limit`], the
 //!   number of requests its endpoint can run at once, learned from token gaps.
 //!
-//! Times are durations since a start that the caller fixes (its own clock),
-//! since only differences matter.
+//! Times are durations since a start that the caller fixes (its own clock), since only
+//! differences matter.
 
 pub mod affinity;
 pub mod backlog;
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -29,7 +29,7 @@
 mod suspect;
 
 use crash::{Candidate, Crash, contains};
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use std::cmp::Reverse;
 use suspect::Suspect;
@@ -124,7 +124,7 @@
     /// The log event for operators.
     pub fn event(&self) -> Event {
         Event::new("request-quarantined")
-            .field("content", shown(self.request))
+            .field("content", short_form(self.request))
             .field("crashes", self.crashes)
             .field("times", self.times)
             .field("for_s", quarantine_period(self.times).as_secs())
--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(millis)
 }
 
-fn run(id: usize, born: Option<Born>) -> Incarnation {
+fn run(id: usize, born: Option<StartTime>) -> Incarnation {
     Incarnation::new(format!("i-{id}"), born)
 }
 
--- a/crates/policy/tests/shared_health.rs
+++ b/crates/policy/tests/shared_health.rs
@@ -119,7 +119,7 @@
         Health::Failing,
         "counts in the own record"
     );
-    assert_eq!(record.take_sighting(ms(200)), None);
+    assert_eq!(record.take_report(ms(200)), None);
 }
 
 #[test]
