--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -96,7 +96,7 @@
     /// kept.
     pub fn forget(&mut self, now: Duration) {
         self.runs.retain(|known| {
-            let retention = known.run.born.map_or(Duration::ZERO, |_| RETENTION);
+            let retention = known.run.start.map_or(Duration::ZERO, |_| RETENTION);
             now.saturating_sub(known.listed) <= retention
         });
         let excess = self.runs.len().saturating_sub(MAX_ENDPOINTS);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,29 +9,29 @@
 //! * [`view`]: the estimated load of one endpoint;
 //! * [`subset`]: the endpoints that an entry uses;
 //! * [`placement`]: the choice of an endpoint;
-//! * [`dispatch`]: the three above joined into one machine per service;
-//! * [`budget`]: how many retries a service may add to its load;
-//! * [`affinity`]: the choice of an endpoint for a prompt whose beginning other
-//!   requests share;
-//! * [`interference`]: whether streams with short pauses are kept apart at all;
-//! * [`reservation`]: which endpoints are kept free of long prompts;
-//! * [`packing`]: how many endpoints streams with short pauses are packed on;
-//! * [`prefill_rate`]: the rate at which endpoints prefill prompts;
+//! * [`dispatch`]: queue, views and placement of one service combined;
+//! * [`budget`]: the retries that a service may add to its load;
+//! * [`backlog`] and [`queue_wait`]: the time until a prompt is prefilled;
+//! * [`affinity`]: the choice of an endpoint for a prompt with a shared prefix;
+//! * [`interference`]: whether latency-sensitive streams need endpoints of their own;
+//! * [`reservation`]: how many endpoints are reserved for latency-sensitive streams;
+//! * [`packing`]: how many of the reserved endpoints are used;
+//! * [`event_gap`]: which endpoints are too slow for latency-sensitive streams;
+//! * [`prefill_rate`]: the prefill rate of endpoints;
 //! * [`incarnations`]: the newest run of each endpoint;
-//! * [`list_reads`]: when an entry reads the list of endpoints itself;
-//! * [`backoff`]: endpoints that ask to be left alone for a while;
-//! * [`permits`]: rate limits that endpoints announce, enforced across all entries;
-//! * [`shared_health`]: endpoint health as observed by all entries together;
-//! * [`quarantine`]: requests that crash endpoints, and are not forwarded;
-//! * [`served`]: recently served requests;
-//! * [`transfer`]: fetching a large text in pieces from several sources;
-//! * [`true_time`]: true time, estimated from many wall clocks;
-//! * [`urgency`]: who goes first at an endpoint;
-//! * [`usage`]: counts of requests per workspace and window of time, and the lease
-//!   of the duty that finalizes them;
-//! * [`health`]: which endpoints an entry may use after what came back lately;
-//! * [`gate`]: the agent's decision to start or refuse, with [`limit`], the
-//!   number of requests its endpoint can run at once, learned from token gaps.
+//! * [`list_reads`]: when an entry reads the list of endpoints by itself;
+//! * [`backoff`]: endpoints that request a pause before the next request;
+//! * [`permits`]: limits on the request rate that endpoints announce;
+//! * [`shared_health`]: the state of each endpoint as all entries together observe it;
+//! * [`quarantine`]: requests that crash endpoints and are no longer sent;
+//! * [`served`]: requests that were served recently;
+//! * [`transfer`]: fetching a large text that several sources hold;
+//! * [`true_time`]: the current time, from many wall clocks;
+//! * [`urgency`]: the priority of a request at an endpoint;
+//! * [`usage`]: requests of each workspace that began in a window of time;
+//! * [`health`]: the endpoints that an entry may use after recent outcomes;
+//! * [`gate`]: the agent's decision to start or refuse a request, with [`limit`], the
+//!   concurrency of its endpoint, learned from token gaps.
 //!
 //! Times are durations since a start that the caller fixes (its own clock), since only
 //! differences matter.
--- a/crates/policy/tests/incarnations.rs
+++ b/crates/policy/tests/incarnations.rs
@@ -8,15 +8,15 @@
     Duration::from_millis(millis)
 }
 
-fn run(id: usize, born: Option<StartTime>) -> Incarnation {
-    Incarnation::new(format!("i-{id}"), born)
+fn run(id: usize, start: Option<StartTime>) -> Incarnation {
+    Incarnation::new(format!("i-{id}"), start)
 }
 
-fn newest(runs: &Incarnations, id: usize) -> (Option<Born>, bool) {
+fn newest(runs: &Incarnations, id: usize) -> (Option<StartTime>, bool) {
     let (run, leaving) = runs
         .newest(&format!("i-{id}"))
         .expect("the endpoint was listed");
-    (run.born, leaving)
+    (run.start, leaving)
 }
 
 /// A later start under the same name is a new run that inherits nothing from the earlier
@@ -112,31 +112,31 @@
         ),
     ) {
         let mut runs = Incarnations::default();
-        let mut starts: [Option<Option<Born>>; 3] = [None; 3];
+        let mut starts: [Option<Option<StartTime>>; 3] = [None; 3];
         let mut leaving_runs = [false; 3];
-        for (at, (id, born, leaving)) in listings.into_iter().enumerate() {
-            let age = runs.record(ms(at as u64), &run(id, born), leaving);
+        for (at, (id, start, leaving)) in listings.into_iter().enumerate() {
+            let age = runs.record(ms(at as u64), &run(id, start), leaving);
             let known = starts[id];
-            let expected = match (known, born) {
+            let expected = match (known, start) {
                 (None, _) => RunAge::Newer,
-                (Some(Some(known)), Some(born)) if born > known => RunAge::Newer,
-                (Some(Some(known)), Some(born)) if born < known => RunAge::Older,
+                (Some(Some(known)), Some(start)) if start > known => RunAge::Newer,
+                (Some(Some(known)), Some(start)) if start < known => RunAge::Older,
                 _ => RunAge::Current,
             };
             prop_assert_eq!(age, expected);
             match age {
                 RunAge::Newer => {
-                    starts[id] = Some(born);
+                    starts[id] = Some(start);
                     leaving_runs[id] = leaving;
                 }
                 RunAge::Current => {
-                    starts[id] = Some(known.flatten().or(born));
+                    starts[id] = Some(known.flatten().or(start));
                     leaving_runs[id] |= leaving;
                 }
                 RunAge::Older => {}
             }
             runs.forget(ms(at as u64));
-            if born.is_some() {
+            if start.is_some() {
                 prop_assert_eq!(
                     newest(&runs, id),
                     (starts[id].flatten(), leaving_runs[id])
--- a/crates/policy/tests/shared_health.rs
+++ b/crates/policy/tests/shared_health.rs
@@ -249,20 +249,20 @@
 #[test]
 fn report_sent_once() {
     let mut record = HealthRecord::default();
-    assert_eq!(record.take_sighting(ms(900)), None, "nothing was observed");
+    assert_eq!(record.take_report(ms(900)), None, "nothing was observed");
     record.received(ms(1_000));
     record.record_outcome(ms(1_000), true);
     let report = record
-        .take_sighting(ms(1_100))
+        .take_report(ms(1_100))
         .expect("a response was recorded");
     assert_eq!((report.alive, report.answered, report.failed), (true, 1, 1));
-    let report = record.take_sighting(ms(1_200));
+    let report = record.take_report(ms(1_200));
     assert_eq!(report, Some(ALIVE));
-    assert_eq!(record.take_sighting(ms(1_300)), None);
+    assert_eq!(record.take_report(ms(1_300)), None);
     record.connect_timed_out(ms(2_000));
     record.replaced();
     let report = record
-        .take_sighting(ms(2_010))
+        .take_report(ms(2_010))
         .expect("the endpoint was lost");
     assert!(report.unreached && report.replaced && !report.alive);
 }
@@ -315,7 +315,7 @@
             due[entry] = now + 500;
             let reports = records[entry].iter_mut().enumerate();
             let reports = reports.filter_map(|(at, record)| {
-                Some((at as u32, record.take_sighting(ms(now))?))
+                Some((at as u32, record.take_report(ms(now))?))
             });
             let reports: Vec<_> = reports.collect();
             shared.record(ms(now), entry as u64, reports.into_iter());
