--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -24,7 +24,7 @@
 use dogwoodhill_wire::codec::decode;
 use dogwoodhill_wire::control::{
     Acquire, ControlReply, ControlUnavailable, FINISH_PATH, FinishClaim, LEASE_PATH,
-    TAKE_PATH, TakeClaim, WATCH_PATH, Watch,
+    TAKE_PATH, TakeClaim, WATCH_PATH, WatchDocuments,
 };
 use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, DemandReport};
 use dogwoodhill_wire::routes::{FetchRoutes, PIECE_PATH, ROUTES_PATH, WatchRoutes};
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -94,7 +94,7 @@
 pub struct Reading {
     source: Incoming,
     frames: FrameReader,
-    check: Answer,
+    check: AnswerValidator,
     load: Option<Load>,
     deadline: Instant,
 }
@@ -144,7 +144,7 @@
         repeat: call.class.repeat,
         kind: call.service.document.kind,
         remaining: deadline.saturating_duration_since(Instant::now()),
-        gap: call.class.target.token_gap,
+        token_gap: call.class.target.token_gap,
         revision: call.service.revision,
         fence: place.fence(),
         stream: call.stream,
@@ -176,7 +176,7 @@
     let mut answer = Reading {
         source: response.into_body(),
         frames: FrameReader::default(),
-        check: Answer::new(attempt.attempt),
+        check: AnswerValidator::new(attempt.attempt),
         load: None,
         deadline,
     };
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -5,8 +5,8 @@
 use derive_more::{Display, Error};
 use std::collections::VecDeque;
 
-/// Largest encoded frame, in bytes. A chunk holds one read from the endpoint's connection,
-/// which hyper bounds well below this.
+/// Largest encoded frame, in bytes. A chunk holds one read from the endpoint's
+/// connection, which hyper bounds well below this.
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
 /// Size of the length prefix, in bytes: a big-endian `u32`.
 const PREFIX: usize = 4;
@@ -55,7 +55,7 @@
     /// further.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), CodecError> {
         self.buffer.extend_from_slice(bytes);
-        while let Some(length) = self.announced()? {
+        while let Some(length) = self.frame_length()? {
             if self.buffer.len() < PREFIX + length {
                 break;
             }
@@ -73,7 +73,7 @@
         self.frames.pop_front()
     }
 
-    fn announced(&self) -> Result<Option<usize>, CodecError> {
+    fn frame_length(&self) -> Result<Option<usize>, CodecError> {
         let Some(prefix) = self.buffer.first_chunk::<PREFIX>() else {
             return Ok(None);
         };
