--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -186,7 +186,7 @@
 }
 
 async fn watch_documents(State(api): State<InternalApi>, bytes: Bytes) -> Response {
-    handle(bytes, |message: Watch| async move {
+    handle(bytes, |message: WatchDocuments| async move {
         watch::answer(&api.service, &api.presence, message).await
     })
     .await
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -73,7 +73,7 @@
 
 /// The part of the service's document that an agent needs: workspaces and the endpoints
 /// of other agents are left out.
-fn agent_view(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
+fn agent_view(documents: &Documents, watch: &WatchDocuments) -> Vec<DocumentChange> {
     let history = watch
         .service
         .as_ref()
