--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -1,12 +1,12 @@
-//! An instance without a disk: it keeps nothing, and sends others on.
+//! An instance without a disk: it stores nothing and forwards requests.
 //!
-//! A deployment may run the control program on more instances than have a
-//! disk. Such an instance must not take part: what it agreed to would be gone
-//! with its process. But it may be all that others know, since seeds name any
-//! instance that runs the program. Those that keep the log therefore announce
-//! themselves to every seed that is no member, and this instance passes that
-//! on: operators are redirected, entries are told where to ask, and an
-//! instance that lost its disk finds its cluster again.
+//! A deployment may run the control program on more instances than have a disk. Such an
+//! instance must not vote, since its state would be lost with its process. It may however
+//! be the only address that others have, because seeds can name any instance that runs
+//! the program. Instances that keep the log therefore announce themselves to every seed
+//! that is not a member, and this instance passes their addresses on: operators are
+//! redirected, entries receive the addresses of the control instances, and an instance
+//! that lost its disk finds its cluster again.
 
 use crate::internal::{self, CLUSTER_PATH, JOIN_PATH, MEMBER_PATH};
 use crate::settings::Settings;
@@ -20,9 +20,9 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::health;
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_wire::client::Caller;
-use dogwoodhill_wire::control::{Answered, Unable};
-use dogwoodhill_wire::routes::{FollowRoutes, ROUTES_PATH, RoutesNews};
+use dogwoodhill_wire::client::PeerClient;
+use dogwoodhill_wire::control::{ControlReply, ControlUnavailable};
+use dogwoodhill_wire::routes::{ROUTES_PATH, RoutesStatus, WatchRoutes};
 use http::{HeaderValue, StatusCode, header};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -32,96 +32,97 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Path of [`Announced`].
+/// Path on which instances send [`Announcement`].
 pub const ANNOUNCE_PATH: &str = "/internal/announce";
-/// How long an instance is named that does not announce itself any more; a few
-/// of its intervals.
-const KEPT: Duration = Duration::from_secs(4);
-/// Longest wait for an instance that a message is passed on to.
-const PASS_ON: Duration = Duration::from_millis(900);
-/// Shortest time between two answers to one entry that has no routes.
-const PACE: Duration = Duration::from_millis(50);
-
-/// An instance that keeps the log, as it announces itself.
+/// How long an instance counts after its last announcement; a few announcement intervals.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(4);
+/// Time-out for a forwarded message.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
+/// Shortest time between two responses to an entry that has no routes.
+const MIN_RESPONSE_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Announcement of an instance that keeps the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Announced {
-    /// Its cluster.
+pub struct Announcement {
+    /// Id of its cluster.
     pub cluster: u128,
     /// Its internal address.
     pub internal: SocketAddr,
-    /// Its address for operators.
+    /// Address of its operator API.
     pub operators: SocketAddr,
 }
 
-/// Instances that announced themselves lately. Clones share them.
+/// Instances with a recent announcement. Clones share them.
 #[derive(Clone, Debug)]
-struct Known {
-    seen: Arc<Mutex<Vec<(Announced, Instant)>>>,
+struct AnnouncedInstances {
+    seen: Arc<Mutex<Vec<(Announcement, Instant)>>>,
     next: Arc<AtomicUsize>,
-    heard: watch::Sender<()>,
-    caller: Caller,
+    updated: watch::Sender<()>,
+    client: PeerClient,
     secret: Arc<String>,
 }
 
-impl Known {
-    fn lock(&self) -> MutexGuard<'_, Vec<(Announced, Instant)>> {
+impl AnnouncedInstances {
+    fn lock(&self) -> MutexGuard<'_, Vec<(Announcement, Instant)>> {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn hear(&self, announced: Announced) {
+    fn record(&self, announcement: Announcement) {
         let mut seen = self.lock();
         let fresh = !seen
             .iter()
-            .any(|(known, _)| known.internal == announced.internal);
-        seen.retain(|(known, _)| known.internal != announced.internal);
-        seen.push((announced, Instant::now()));
+            .any(|(known, _)| known.internal == announcement.internal);
+        seen.retain(|(known, _)| known.internal != announcement.internal);
+        seen.push((announcement, Instant::now()));
         drop(seen);
         if fresh {
-            self.heard.send_replace(());
+            self.updated.send_replace(());
             Event::new("control-announced")
-                .field("internal", announced.internal)
-                .field("operators", announced.operators)
+                .field("internal", announcement.internal)
+                .field("operators", announcement.operators)
                 .info();
         }
     }
 
-    fn all(&self) -> Vec<Announced> {
+    fn all(&self) -> Vec<Announcement> {
         let mut seen = self.lock();
-        seen.retain(|(_, at)| at.elapsed() < KEPT);
-        seen.iter().map(|(announced, _)| *announced).collect()
+        seen.retain(|(_, at)| at.elapsed() < ANNOUNCEMENT_TTL);
+        seen.iter().map(|(announcement, _)| *announcement).collect()
     }
 
-    /// Waits until there is one, `most` at the longest.
-    async fn some(&self, most: Duration) {
-        let mut heard = self.heard.subscribe();
+    /// Waits up to `most` until at least one instance is known.
+    async fn wait_for_any(&self, most: Duration) {
+        let mut updated = self.updated.subscribe();
         if self.all().is_empty() {
-            // Whether one came or not, the caller looks again.
-            let _ = timeout(most, heard.changed()).await;
+            // After a time-out the caller finds the list still empty.
+            let _ = timeout(most, updated.changed()).await;
         }
     }
 
-    /// One of them, a different one each time.
-    fn pick(&self) -> Option<Announced> {
+    /// Picks an instance in round-robin order.
+    fn next_instance(&self) -> Option<Announcement> {
         let all = self.all();
         let at = self.next.fetch_add(1, Ordering::Relaxed);
         all.get(at % all.len().max(1)).copied()
     }
 
-    /// Passes a message on until an instance answers it.
-    async fn pass_on<M, A>(&self, path: &str, message: &M) -> Answered<A>
+    /// Forwards a message to each instance in turn until one answers.
+    async fn forward<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
         A: DeserializeOwned,
     {
-        for announced in self.all() {
-            let call =
-                self.caller
-                    .call::<M, Answered<A>>(announced.internal, path, message);
-            if let Ok(Ok(Ok(answer))) = timeout(PASS_ON, call).await {
+        for announcement in self.all() {
+            let call = self.client.call::<M, ControlReply<A>>(
+                announcement.internal,
+                path,
+                message,
+            );
+            if let Ok(Ok(Ok(answer))) = timeout(FORWARD_TIMEOUT, call).await {
                 return Ok(answer);
             }
         }
-        Err(Unable::NoMajority)
+        Err(ControlUnavailable::NoMajority)
     }
 }
 
@@ -129,81 +130,84 @@
 ///
 /// # Errors
 ///
-/// Text that says why the instance can't run.
+/// A message that names the address that can't be bound.
 pub async fn run(settings: Settings, drain: Drain) -> Result<(), String> {
     let bind = |address| async move {
         let bound = Listener::bind(address).await;
         bound.map_err(|error| format!("{error:#}"))
     };
-    let outside = bind(settings.listen).await?;
-    let inside = bind(settings.internal).await?;
+    let operator_listener = bind(settings.listen).await?;
+    let internal_listener = bind(settings.internal).await?;
     Event::new("control-forwards")
         .field("name", &settings.name)
-        .field("operators", outside.address())
-        .field("internal", inside.address())
+        .field("operators", operator_listener.address())
+        .field("internal", internal_listener.address())
         .field("reason", "no-disk")
         .info();
-    let known = Known {
+    let instances = AnnouncedInstances {
         seen: Arc::default(),
         next: Arc::new(AtomicUsize::new(usize::from(settings.listen.port()))),
-        heard: watch::Sender::new(()),
-        caller: Caller::new(settings.secret.clone()),
+        updated: watch::Sender::new(()),
+        client: PeerClient::new(settings.secret.clone()),
         secret: Arc::new(settings.secret),
     };
     let metrics = Metrics::default();
     let health = health::routes(&drain, &metrics, Arc::new(|| true));
-    let public = Router::new().fallback(redirect).with_state(known.clone());
-    let private = internal::ending_polls(private(known), drain.clone());
-    let private = private.merge(health.clone());
+    let public = Router::new()
+        .fallback(redirect)
+        .with_state(instances.clone());
+    let internal_routes = internal::end_polls(internal_routes(instances), drain.clone());
+    let internal_routes = internal_routes.merge(health.clone());
     tokio::join!(
-        outside.serve(public.merge(health), drain.clone(), settings.linger),
-        inside.serve(private, drain, settings.linger),
+        operator_listener.serve(public.merge(health), drain.clone(), settings.linger),
+        internal_listener.serve(internal_routes, drain, settings.linger),
     );
     Event::new("control-stopped").info();
     Ok(())
 }
 
-/// Routes for the router's own processes. Every one needs the cluster key.
-fn private(known: Known) -> Router {
-    let secret = Arc::clone(&known.secret);
+/// Routes for other processes of the router; all require the cluster key.
+fn internal_routes(instances: AnnouncedInstances) -> Router {
+    let secret = Arc::clone(&instances.secret);
     let routes = Router::new()
         .route(ANNOUNCE_PATH, post(announce))
         .route(CLUSTER_PATH, post(cluster))
         .route(ROUTES_PATH, post(routes))
         .route(JOIN_PATH, post(join))
         .route(MEMBER_PATH, post(member))
-        .with_state(known);
-    internal::guarded(routes, secret)
+        .with_state(instances);
+    internal::require_key(routes, secret)
 }
 
-async fn announce(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |announced: Announced| async move {
-        known.hear(announced);
+async fn announce(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |announcement: Announcement| async move {
+        instances.record(announcement);
     })
     .await
 }
 
-async fn cluster(State(known): State<Known>) -> Response {
-    match known.pick() {
-        Some(announced) => internal::write(&announced.cluster),
+async fn cluster(State(instances): State<AnnouncedInstances>) -> Response {
+    match instances.next_instance() {
+        Some(announcement) => internal::encode_reply(&announcement.cluster),
         None => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-/// Tells an entry where to ask.
-async fn routes(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |follow: FollowRoutes| async move {
-        if follow.known.is_some() {
-            sleep(follow.wait).await;
+/// Returns the addresses of the control instances to an entry.
+async fn routes(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |watch: WatchRoutes| async move {
+        if watch.known.is_some() {
+            sleep(watch.wait).await;
         } else {
-            sleep(PACE).await;
-            known.some(follow.wait).await;
+            sleep(MIN_RESPONSE_INTERVAL).await;
+            instances.wait_for_any(watch.wait).await;
         }
-        let control: Vec<SocketAddr> = known.all().iter().map(|a| a.internal).collect();
+        let control: Vec<SocketAddr> =
+            instances.all().iter().map(|a| a.internal).collect();
         if control.is_empty() {
-            return Err(Unable::NoMajority);
+            return Err(ControlUnavailable::NoMajority);
         }
-        Ok(RoutesNews {
+        Ok(RoutesStatus {
             newest: None,
             control,
             entries: 0,
@@ -212,30 +216,33 @@
     .await
 }
 
-async fn join(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |member: Member| async move {
-        let answer: Answered<()> = known.pass_on(JOIN_PATH, &member).await;
+async fn join(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |member: Member| async move {
+        let answer: ControlReply<()> = instances.forward(JOIN_PATH, &member).await;
         answer
     })
     .await
 }
 
-async fn member(State(known): State<Known>, bytes: Bytes) -> Response {
-    internal::serve(bytes, |id: NodeId| async move {
-        let answer: Answered<bool> = known.pass_on(MEMBER_PATH, &id).await;
+async fn member(State(instances): State<AnnouncedInstances>, bytes: Bytes) -> Response {
+    internal::handle(bytes, |id: NodeId| async move {
+        let answer: ControlReply<bool> = instances.forward(MEMBER_PATH, &id).await;
         answer
     })
     .await
 }
 
-async fn redirect(State(known): State<Known>, request: Request) -> Response {
+async fn redirect(
+    State(instances): State<AnnouncedInstances>,
+    request: Request,
+) -> Response {
     let path = request
         .uri()
         .path_and_query()
         .map_or("/", |path| path.as_str());
-    let location = known
-        .pick()
-        .map(|announced| format!("http://{}{path}", announced.operators));
+    let location = instances
+        .next_instance()
+        .map(|announcement| format!("http://{}{path}", announcement.operators));
     let value = location.and_then(|text| HeaderValue::from_str(&text).ok());
     match value {
         Some(value) => {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control instance.
+//! Settings of a control instance and their parsing from JSON with comments.
 
 use crate::reporter::{CALL_TIMEOUT, DUTY, UsageSettings};
 use dogwoodhill_core::keys::KeyHash;
@@ -9,98 +9,91 @@
 use tokio::sync::watch;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Entries in the log after which it is compacted.
-const DEFAULT_COMPACT: u64 = 2_000;
-/// How long connections are still accepted after a drain began.
+const DEFAULT_COMPACT_AFTER: u64 = 2_000;
 const DEFAULT_LINGER: Duration = Duration::from_secs(1);
 
-/// Lease of a duty.
 const DEFAULT_LEASE: Duration = Duration::from_secs(3);
-/// Time after a lease in which its holder may still act on it.
+/// Time after its lease for which a holder that was suspended may still act on it.
 const DEFAULT_SLACK: Duration = Duration::from_millis(300);
-/// Calls to the platform in a second: far more than a report a window.
+/// A holder sends one report per usage window, so the limit only matters for catching up.
 const DEFAULT_CALLS: f64 = 10.0;
 
-/// A team of operators.
+/// A team of operators and the keys that authenticate it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Name, as documents' `owner` writes it.
+    /// Matched against `owner` in service documents.
     pub name: TeamId,
-    /// Hashes of its keys.
+    /// A request with any of these keys acts for the team.
     pub keys: Vec<KeyHash>,
 }
 
-/// How an instance without state comes to be.
+/// How an instance finds or creates its cluster at start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Start {
-    /// It has state already.
+    /// Restarts with the state in its data folder.
     #[default]
-    Again,
-    /// It is the first one of a new cluster.
+    Existing,
+    /// Creates a new cluster with itself as the first member.
     Bootstrap,
-    /// It joins the cluster its peers belong to.
+    /// Joins the cluster that its peers belong to.
     Join,
-    /// The seeds decide: see [`Seeds`].
+    /// Creates or joins a cluster as [`Seeds`] describes.
     Seeded,
 }
 
-/// Addresses that every instance is given alike, for deployments in which
-/// nobody names the first instance.
+/// Addresses that are configured identically on every instance, for deployments in which
+/// no instance is designated as the first.
 ///
-/// While the deployment starts for the first time, the instance with the
-/// lowest of the seeds' addresses founds the cluster and the others join it.
-/// Two can't found, since all are given the same seeds. Later an instance
-/// without state joins through whichever seed answers, and takes the place of
-/// one that is gone.
+/// During the first start of a deployment, the instance with the lowest seed address
+/// creates the cluster and the others join it. Since all instances have the same seeds,
+/// no two of them create a cluster. Later, an instance without state joins through any
+/// seed that answers and takes the place of a failed member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seeds {
-    /// Internal addresses of some instances; may name this one.
+    /// Internal addresses of some instances; may include this one.
     pub addresses: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time.
+    /// Whether the whole deployment is starting for the first time.
     pub founding: bool,
 }
 
 /// Settings of a control instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the instance; a replacement of a lost one has the same.
+    /// Name of the instance; a replacement for a failed instance reuses it.
     pub name: String,
-    /// Address for operators.
+    /// Address of the operator API.
     pub listen: SocketAddr,
-    /// Address for the router's own processes.
+    /// Address for calls from other processes of the router.
     pub internal: SocketAddr,
     /// Internal addresses of the other control instances.
     pub peers: Vec<SocketAddr>,
-    /// Seeds, in place of peers.
+    /// Used in place of `peers`.
     pub seeds: Seeds,
-    /// Losses at the same time that no acknowledged change may be lost by.
-    /// Changes are refused until twice as many voters and one more are there.
-    /// Default 0.
-    pub losses: usize,
-    /// Data folder; empty on an instance without a disk, which only sends
-    /// others on.
+    /// Number of simultaneous instance losses that acknowledged changes survive. Changes
+    /// are refused while there are fewer than `2 * losses + 1` voters. Default 0.
+    pub tolerated_losses: usize,
+    /// Data folder; empty on an instance without a disk, which only forwards requests.
     pub data: PathBuf,
-    /// Key shared by the router's processes.
+    /// Cluster key, shared by all processes of the router.
     pub secret: String,
     /// Teams that may change documents.
     pub teams: Vec<Team>,
-    /// Log entries after which the log is compacted. Default 2,000: replaying
-    /// them takes a fraction of a second, and a snapshot is written seldom.
-    pub compact: u64,
-    /// How long connections are still accepted after a drain began. Default
-    /// 1 s.
+    /// Log entries after which the log is compacted. With the default of 2,000, replay
+    /// takes a fraction of a second and snapshots are rare.
+    pub compact_after: u64,
+    /// How long connections are still accepted after a drain has begun. Default 1 s.
     pub linger: Duration,
-    /// How usage is reported, where that is one of the instance's duties.
+    /// Usage reporting; `None` where it is not among the instance's duties.
     pub usage: Option<UsageSettings>,
-    /// How an instance without state comes to be; from the command line.
+    /// Set on the command line.
     pub start: Start,
-    /// Addresses of other instances, as they change while the instance runs;
-    /// `None` where they don't.
-    pub known: Option<watch::Receiver<Vec<SocketAddr>>>,
+    /// Addresses of other instances as they change at run time; `None` where they are
+    /// fixed.
+    pub address_updates: Option<watch::Receiver<Vec<SocketAddr>>>,
 }
 
 impl Settings {
-    /// Settings with defaults, on free ports of loopback.
+    /// Default settings, with listeners on free loopback ports.
     pub fn new(name: String, data: PathBuf) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
@@ -109,30 +102,30 @@
             internal: free,
             peers: Vec::new(),
             seeds: Seeds::default(),
-            losses: 0,
+            tolerated_losses: 0,
             data,
             secret: String::new(),
             teams: Vec::new(),
-            compact: DEFAULT_COMPACT,
+            compact_after: DEFAULT_COMPACT_AFTER,
             linger: DEFAULT_LINGER,
             usage: None,
-            start: Start::Again,
-            known: None,
+            start: Start::Existing,
+            address_updates: None,
         }
     }
 
-    /// Addresses of other instances, as they change.
-    pub(crate) fn known(&self) -> watch::Receiver<Vec<SocketAddr>> {
-        let fixed = || watch::channel(crate::control::addresses(self)).1;
-        self.known.clone().unwrap_or_else(fixed)
+    /// Addresses of other instances as they change at run time.
+    pub(crate) fn peer_addresses(&self) -> watch::Receiver<Vec<SocketAddr>> {
+        let fixed = || watch::channel(crate::control::configured_addresses(self)).1;
+        self.address_updates.clone().unwrap_or_else(fixed)
     }
 
-    /// Reads settings from JSON with comments.
+    /// Parses settings from JSON with comments.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
-    pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
+    /// All faults of the text, not only the first.
+    pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
 }
@@ -144,15 +137,19 @@
         internal: s.address("internal"),
         peers: s.addresses("peers"),
         seeds: Seeds::default(),
-        losses: s.count("losses", 0..=2, Some(0)) as usize,
+        tolerated_losses: s.count("losses", 0..=2, Some(0)) as usize,
         data: PathBuf::from(s.text("data")),
         secret: s.text("cluster_key"),
         teams: s.sections("teams", team),
-        compact: s.count("compact_after", 16..=1_000_000, Some(DEFAULT_COMPACT)),
+        compact_after: s.count(
+            "compact_after",
+            16..=1_000_000,
+            Some(DEFAULT_COMPACT_AFTER),
+        ),
         linger: s.duration("linger", Duration::ZERO..=60 * SECOND, Some(DEFAULT_LINGER)),
         usage: usage(s),
-        start: Start::Again,
-        known: None,
+        start: Start::Existing,
+        address_updates: None,
     };
     settings.seeds = seeds(s);
     if !settings.seeds.addresses.is_empty() {
@@ -160,12 +157,13 @@
     }
     if settings.peers.contains(&settings.internal) {
         let remedy = "list only the other instances";
-        s.fault("peers", "name this instance itself", remedy);
+        s.report("peers", "name this instance itself", remedy);
     }
     settings
 }
 
-/// The duties and how they are done. One that is not known is left to whoever knows it.
+/// Reads the duties and their settings. An unknown duty is logged and skipped, since
+/// another program may perform it.
 fn usage(s: &mut Section<'_, '_>) -> Option<UsageSettings> {
     let duties = s.texts("duties");
     for duty in duties.iter().filter(|duty| *duty != DUTY) {
@@ -175,45 +173,41 @@
             .warn();
     }
     let settings = s.section("usage", usage_settings);
-    let owed = duties.iter().any(|duty| duty == DUTY);
-    if owed && settings.is_none() {
-        s.fault(
+    let required = duties.iter().any(|duty| duty == DUTY);
+    if required && settings.is_none() {
+        s.report(
             "usage",
             "is missing",
             "say how usage is reported, or drop the duty",
         );
     }
-    settings.filter(|_| owed)
+    settings.filter(|_| required)
 }
 
 fn usage_settings(s: &mut Section<'_, '_>) -> UsageSettings {
     let window = s.duration("window", SECOND / 10..=86_400 * SECOND, None);
-    let within = s.duration("within", SECOND..=86_400 * SECOND, Some(2 * window));
+    let deadline = s.duration("within", SECOND..=86_400 * SECOND, Some(2 * window));
     let lease = s.duration("lease", SECOND / 10..=3_600 * SECOND, Some(DEFAULT_LEASE));
     let slack = s.duration("slack", Duration::ZERO..=60 * SECOND, Some(DEFAULT_SLACK));
-    // Where fencing numbers are not checked, a call may be carried out for as long as
-    // somebody waits for its answer.
-    let checked = s.flag("fenced", false);
-    let late = if checked {
-        Duration::ZERO
-    } else {
-        CALL_TIMEOUT
-    };
+    // A platform that does not check fencing tokens may still process a call until the
+    // caller stops waiting for its response.
+    let fenced = s.flag("fenced", false);
+    let call_time = if fenced { Duration::ZERO } else { CALL_TIMEOUT };
     let calls = s.number("calls_per_second", 0.01..=10_000.0, Some(DEFAULT_CALLS));
     UsageSettings {
         reporter: s.name("reporter"),
         platform: s.address("platform"),
         windows: Windows::new(window),
-        within,
+        deadline,
         lease,
-        slack: slack + late,
-        spacing: Duration::from_secs_f64(1.0 / calls),
+        slack: slack + call_time,
+        call_interval: Duration::from_secs_f64(1.0 / calls),
     }
 }
 
 fn seeds(s: &mut Section<'_, '_>) -> Seeds {
     let mut addresses = s.addresses("seeds");
-    // 0: the seeds' own ports.
+    // 0 keeps the ports given in `seeds`.
     let port = s.count("seed_port", 0..=65_535, Some(0)) as u16;
     for address in addresses.iter_mut().filter(|_| port > 0) {
         address.set_port(port);
@@ -229,7 +223,7 @@
     let keys: Vec<KeyHash> = texts.iter().filter_map(|t| KeyHash::parse(t)).collect();
     if keys.len() != texts.len() || keys.is_empty() {
         let remedy = "list at least one as sha256: and 64 hexadecimal digits";
-        s.fault("keys", "are not hashed keys", remedy);
+        s.report("keys", "are not hashed keys", remedy);
     }
     Team {
         name: s.name("name"),
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -1,11 +1,12 @@
-//! The replicated state: documents, claims, leases.
+//! The replicated state: documents, claims, leases and quarantined requests.
 
 use dogwoodhill_control::command::{Action, Command, Put, PutError, Reply};
 use dogwoodhill_control::state::{Quarantined, State};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_policy::quarantine::term;
+use dogwoodhill_policy::quarantine::quarantine_period;
 use dogwoodhill_wire::control::{
-    Acquire, ClaimKey, Ended, Finish, Lease, Recorded, Take, Taken,
+    Acquire, ClaimEnd, ClaimKey, ClaimReply, FinishClaim, LeaseReply, RecordedResponse,
+    TakeClaim,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -31,7 +32,7 @@
         self.index += 1;
         let command = Command {
             now: self.now,
-            wall: 0,
+            wall_ms: 0,
             action,
         };
         self.state.apply(self.index, &command)
@@ -47,12 +48,12 @@
         }))
     }
 
-    fn take(&mut self, key: &str, digest: u8, holder: u128) -> Taken {
-        let take = Take {
+    fn take(&mut self, key: &str, digest: u8, holder: u128) -> ClaimReply {
+        let take = TakeClaim {
             claim: claim(key),
             digest: [digest; 32],
             holder,
-            lasting: 10 * SECOND,
+            duration: 10 * SECOND,
             retention: 100 * SECOND,
         };
         match self.apply(Action::Take(take)) {
@@ -61,21 +62,21 @@
         }
     }
 
-    fn finish(&mut self, key: &str, holder: u128, ended: Ended) {
+    fn finish(&mut self, key: &str, holder: u128, ended: ClaimEnd) {
         let claim = claim(key);
-        self.apply(Action::Finish(Finish {
+        self.apply(Action::Finish(FinishClaim {
             claim,
             holder,
             ended,
         }));
     }
 
-    fn acquire(&mut self, holder: u128, lasting: Duration) -> Lease {
+    fn acquire(&mut self, holder: u128, duration: Duration) -> LeaseReply {
         let acquire = Acquire {
             service: "svc".to_string(),
             endpoint: "e".to_string(),
             holder,
-            lasting,
+            duration,
         };
         match self.apply(Action::Acquire(acquire)) {
             Reply::Lease(lease) => lease,
@@ -102,8 +103,8 @@
     )
 }
 
-fn recorded() -> Ended {
-    Ended::Ran(Recorded {
+fn recorded() -> ClaimEnd {
+    ClaimEnd::Ran(RecordedResponse {
         status: 200,
         headers: Vec::new(),
         body: None,
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn put_resend_answered_alike_after_later_versions() {
+fn put_resend_repeats_the_reply_after_later_versions() {
     let mut cluster = Cluster::new();
     let first = cluster.put("team", 1, "a");
     assert!(matches!(first, Reply::Put(Ok(_))));
@@ -119,11 +120,11 @@
     cluster.put("team", 3, "c");
     assert_eq!(cluster.put("team", 1, "a"), first);
     let now = cluster.state.documents.service("svc").unwrap();
-    assert_eq!(now.document.version, 3, "nothing reverts");
+    assert_eq!(now.document.version, 3, "the newest version stays");
 }
 
 #[test]
-fn put_race_one_wins_other_is_told_who() {
+fn put_race_loser_gets_the_winner() {
     let mut cluster = Cluster::new();
     cluster.put("team", 1, "a");
     let raced = cluster.put("team", 1, "b");
@@ -142,40 +143,46 @@
 }
 
 #[test]
-fn take_second_holder_waits_then_gets_answer() {
+fn take_by_second_holder_gets_the_outcome() {
     let mut cluster = Cluster::new();
-    assert_eq!(cluster.take("k", 1, 1), Taken::Granted);
-    assert_eq!(cluster.take("k", 1, 2), Taken::InProgress);
-    assert_eq!(cluster.take("k", 2, 2), Taken::Reused);
+    assert_eq!(cluster.take("k", 1, 1), ClaimReply::Granted);
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::InProgress);
+    assert_eq!(cluster.take("k", 2, 2), ClaimReply::Reused);
     assert_eq!(
         cluster.take("k", 1, 1),
-        Taken::Granted,
-        "the same delivery again"
+        ClaimReply::Granted,
+        "repeated by the holder"
     );
     cluster.finish("k", 1, recorded());
-    assert_eq!(cluster.take("k", 1, 2), Taken::Ended(recorded()));
-    assert_eq!(cluster.take("k", 1, 1), Taken::Ended(recorded()));
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::Ended(recorded()));
+    assert_eq!(cluster.take("k", 1, 1), ClaimReply::Ended(recorded()));
 }
 
 #[test]
 fn take_after_not_run_granted_again() {
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
-    cluster.finish("k", 1, Ended::NotRun);
-    assert_eq!(cluster.take("k", 1, 2), Taken::Granted);
+    cluster.finish("k", 1, ClaimEnd::NotRun);
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::Granted);
 }
 
 #[test]
-fn take_unreported_becomes_unknown_then_is_forgotten() {
+fn take_unreported_is_unknown_then_expires() {
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
     cluster.now = 11 * SECOND;
-    assert_eq!(cluster.take("k", 1, 2), Taken::Ended(Ended::Unknown));
-    assert_eq!(cluster.take("k", 1, 1), Taken::Ended(Ended::Unknown));
+    assert_eq!(
+        cluster.take("k", 1, 2),
+        ClaimReply::Ended(ClaimEnd::Unknown)
+    );
+    assert_eq!(
+        cluster.take("k", 1, 1),
+        ClaimReply::Ended(ClaimEnd::Unknown)
+    );
     cluster.now = 111 * SECOND;
     assert_eq!(
         cluster.take("k", 1, 2),
-        Taken::Granted,
+        ClaimReply::Granted,
         "after its retention"
     );
 }
@@ -184,64 +191,90 @@
 fn finish_by_other_holder_ignored() {
     let mut cluster = Cluster::new();
     cluster.take("k", 1, 1);
-    cluster.finish("k", 9, Ended::NotRun);
-    assert_eq!(cluster.take("k", 1, 2), Taken::InProgress);
+    cluster.finish("k", 9, ClaimEnd::NotRun);
+    assert_eq!(cluster.take("k", 1, 2), ClaimReply::InProgress);
 }
 
 #[test]
-fn acquire_numbers_only_rise() {
+fn acquire_fences_only_increase() {
     let mut cluster = Cluster::new();
-    assert_eq!(cluster.acquire(1, 20 * SECOND), Lease::Held(1));
+    assert_eq!(cluster.acquire(1, 20 * SECOND), LeaseReply::Held(1));
     cluster.now = 5 * SECOND;
-    assert_eq!(cluster.acquire(1, 20 * SECOND), Lease::Held(1), "prolonged");
-    assert_eq!(cluster.acquire(2, 20 * SECOND), Lease::Other(20 * SECOND));
+    assert_eq!(
+        cluster.acquire(1, 20 * SECOND),
+        LeaseReply::Held(1),
+        "renewed"
+    );
+    assert_eq!(
+        cluster.acquire(2, 20 * SECOND),
+        LeaseReply::Other(20 * SECOND)
+    );
     cluster.now = 25 * SECOND;
-    assert_eq!(cluster.acquire(2, 20 * SECOND), Lease::Held(2));
-    assert_eq!(cluster.acquire(1, 20 * SECOND), Lease::Other(20 * SECOND));
+    assert_eq!(cluster.acquire(2, 20 * SECOND), LeaseReply::Held(2));
+    assert_eq!(
+        cluster.acquire(1, 20 * SECOND),
+        LeaseReply::Other(20 * SECOND)
+    );
     cluster.acquire(2, Duration::ZERO);
     assert_eq!(
         cluster.acquire(1, 20 * SECOND),
-        Lease::Held(3),
-        "given back"
+        LeaseReply::Held(3),
+        "released"
     );
 }
 
 #[test]
-fn time_never_goes_back() {
+fn time_never_decreases() {
     let mut cluster = Cluster::new();
     cluster.now = 50 * SECOND;
     cluster.acquire(1, 20 * SECOND);
     cluster.now = Duration::ZERO;
-    assert_eq!(cluster.acquire(2, SECOND), Lease::Other(20 * SECOND));
+    assert_eq!(cluster.acquire(2, SECOND), LeaseReply::Other(20 * SECOND));
     assert_eq!(cluster.state.now, 50 * SECOND);
 }
 
-/// A request is quarantined for a time of the cluster's clock, and the command may come twice.
+/// A quarantine lasts for a period of cluster time, and its command may be applied twice.
 #[test]
-fn quarantine_lasts_its_term() {
+fn quarantine_expires() {
     let mut cluster = Cluster::new();
-    let held = |times| Quarantined {
+    let quarantined = |times| Quarantined {
         request: 7,
         workspace: 1,
         times,
     };
     let mut put = |seconds: u64, times| {
         cluster.now = seconds as u32 * SECOND;
-        let reply = cluster.apply(Action::Quarantine(held(times)));
+        let reply = cluster.apply(Action::Quarantine(quarantined(times)));
         assert_eq!(reply, Reply::Quarantined);
         cluster.state.quarantined()
     };
-    assert_eq!(put(100, 1), [(held(1), term(1))]);
-    assert_eq!(put(101, 1), [(held(1), term(1) - SECOND)], "twice");
-    assert_eq!(put(700, 2), [(held(2), term(2))], "found again");
-    assert_eq!(put(701, 1), [(held(2), term(2) - SECOND)], "an old one");
+    assert_eq!(put(100, 1), [(quarantined(1), quarantine_period(1))]);
+    assert_eq!(
+        put(101, 1),
+        [(quarantined(1), quarantine_period(1) - SECOND)],
+        "applied twice"
+    );
+    assert_eq!(
+        put(700, 2),
+        [(quarantined(2), quarantine_period(2))],
+        "quarantined again"
+    );
+    assert_eq!(
+        put(701, 1),
+        [(quarantined(2), quarantine_period(2) - SECOND)],
+        "an older command"
+    );
     let other = Quarantined {
         request: 8,
-        ..held(1)
+        ..quarantined(1)
     };
-    cluster.now += term(2);
+    cluster.now += quarantine_period(2);
     cluster.apply(Action::Quarantine(other));
-    assert_eq!(cluster.state.quarantined(), [(other, term(1))], "over");
+    assert_eq!(
+        cluster.state.quarantined(),
+        [(other, quarantine_period(1))],
+        "expired"
+    );
 }
 
 #[test]
@@ -254,13 +287,13 @@
             times: 1,
         }));
     }
-    let kept = cluster.state.quarantined();
-    assert_eq!(kept.len(), 1_024);
-    assert_eq!(kept.last().expect("the newest").0.request, 2_999);
+    let quarantined = cluster.state.quarantined();
+    assert_eq!(quarantined.len(), 1_024);
+    assert_eq!(quarantined.last().expect("the newest").0.request, 2_999);
 }
 
-/// Whatever is sent, and sent again, a key runs under one holder at most,
-/// unless that one said that it did not run.
+/// For any sequence of commands, including resends, a key is granted to at most one
+/// holder unless that holder reports that the request did not run.
 #[test]
 fn claim_granted_once() {
     let step = (0u8..3, 1u128..5, 0u8..4, 0u64..4);
@@ -280,19 +313,23 @@
                 break;
             }
             let name = key.to_string();
-            let slot = &mut granted[usize::from(key)];
+            let current_holder = &mut granted[usize::from(key)];
             match what {
                 0 => {
-                    cluster.finish(&name, holder, Ended::NotRun);
-                    if *slot == Some(holder) && !finished(&mut cluster, &name) {
-                        *slot = None;
+                    cluster.finish(&name, holder, ClaimEnd::NotRun);
+                    if *current_holder == Some(holder)
+                        && !is_finished(&mut cluster, &name)
+                    {
+                        *current_holder = None;
                     }
                 }
                 1 => cluster.finish(&name, holder, recorded()),
                 _ => {
-                    if cluster.take(&name, 1, holder) == Taken::Granted {
-                        prop_assert!(slot.is_none() || *slot == Some(holder));
-                        *slot = Some(holder);
+                    if cluster.take(&name, 1, holder) == ClaimReply::Granted {
+                        prop_assert!(
+                            current_holder.is_none() || *current_holder == Some(holder)
+                        );
+                        *current_holder = Some(holder);
                     }
                 }
             }
@@ -302,13 +339,13 @@
     result.unwrap();
 }
 
-/// Whether a key's end is recorded: a stranger is told so.
-fn finished(cluster: &mut Cluster, key: &str) -> bool {
-    const STRANGER: u128 = 99;
-    match cluster.take(key, 1, STRANGER) {
-        Taken::Ended(_) => true,
-        Taken::Granted => {
-            cluster.finish(key, STRANGER, Ended::NotRun);
+/// Whether an outcome is recorded for a key, determined by a claim of another holder.
+fn is_finished(cluster: &mut Cluster, key: &str) -> bool {
+    const OTHER_HOLDER: u128 = 99;
+    match cluster.take(key, 1, OTHER_HOLDER) {
+        ClaimReply::Ended(_) => true,
+        ClaimReply::Granted => {
+            cluster.finish(key, OTHER_HOLDER, ClaimEnd::NotRun);
             false
         }
         _ => true,
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -15,15 +15,15 @@
 pub use endpoint::{Endpoint, Sent};
 pub use standing::Standing;
 
-use crate::dialect::{Listed, Prompt};
+use crate::dialect::{EndpointRecord, Prompt};
 use arc_swap::ArcSwap;
 use demand::Demand;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
-use dogwoodhill_policy::incarnations::{Age, Incarnations};
-use dogwoodhill_policy::pace;
+use dogwoodhill_policy::event_gap;
+use dogwoodhill_policy::health::Health;
+use dogwoodhill_policy::incarnations::{Incarnations, RunAge};
 use dogwoodhill_policy::packing;
-use dogwoodhill_policy::trust::Trust;
 use endpoint::Look;
 use limits::ControlContact;
 use rand::RngExt;
@@ -77,7 +77,7 @@
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// How far it is trusted.
-    pub trust: Trust,
+    pub trust: Health,
     /// Endpoints of the service that are not leaving.
     pub known: usize,
     /// Those of them that are kept free of long prompts.
@@ -111,7 +111,7 @@
     /// started again is another endpoint. Of several entries with one name the one
     /// with the latest start counts, and among equal ones the one in use, or the
     /// first.
-    pub fn update(&self, listed: Vec<Listed>) {
+    pub fn update(&self, listed: Vec<EndpointRecord>) {
         let snapshot = self.snapshot.load();
         let old = &snapshot.all;
         let endpoints = self.arrange(old, listed);
@@ -135,23 +135,23 @@
     fn arrange(
         &self,
         old: &[Arc<Endpoint>],
-        mut listed: Vec<Listed>,
+        mut listed: Vec<EndpointRecord>,
     ) -> Vec<Arc<Endpoint>> {
         let now = self.start.elapsed();
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         for listed in &listed {
-            if runs.told(now, &listed.run, listed.leaving) == Age::Older {
+            if runs.record(now, &listed.run, listed.leaving) == RunAge::Older {
                 log_change("endpoint-outdated", &listed.run, &listed.service);
             }
         }
         runs.forget(now);
-        let in_use = |listed: &Listed| {
+        let in_use = |listed: &EndpointRecord| {
             let known = find(old, &listed.run.id);
             known.is_some_and(|known| known.is_listed_as(listed))
         };
         listed.sort_by_cached_key(|listed| {
             let id = listed.run.id.clone();
-            (id, Reverse(listed.run.born), !in_use(listed))
+            (id, Reverse(listed.run.start), !in_use(listed))
         });
         listed.dedup_by(|a, b| a.run.id == b.run.id);
         let endpoints = listed.into_iter().filter_map(|listed| {
@@ -166,7 +166,7 @@
                 Some(known) => Arc::clone(known),
                 None => self.begin(old, run, listed),
             };
-            endpoint.learn_start(run.born);
+            endpoint.learn_start(run.start);
             endpoint.mark(leaving);
             Some(endpoint)
         });
@@ -178,7 +178,7 @@
         &self,
         old: &[Arc<Endpoint>],
         run: &Incarnation,
-        listed: Listed,
+        listed: EndpointRecord,
     ) -> Arc<Endpoint> {
         if !old.is_empty() {
             log_change("endpoint-listed", run, &listed.service);
@@ -221,7 +221,7 @@
         };
         let own = self.looks(want, group, own);
         // The other lane is looked at only where a sound endpoint is missing.
-        let sound = own.iter().any(|look| look.trust == Trust::Sound);
+        let sound = own.iter().any(|look| look.trust == Health::Sound);
         let others = if sound {
             Vec::new()
         } else {
@@ -233,20 +233,20 @@
         // A short prompt disturbs nobody, wherever it goes.
         let turns = match want.lane {
             Lane::Other => [
-                (Trust::Sound, &own),
-                (Trust::Failing, &own),
-                (Trust::Silent, &own),
-                (Trust::Sound, &others),
-                (Trust::Failing, &others),
-                (Trust::Silent, &others),
+                (Health::Sound, &own),
+                (Health::Failing, &own),
+                (Health::Silent, &own),
+                (Health::Sound, &others),
+                (Health::Failing, &others),
+                (Health::Silent, &others),
             ],
             Lane::Fragile => [
-                (Trust::Sound, &own),
-                (Trust::Sound, &others),
-                (Trust::Failing, &own),
-                (Trust::Failing, &others),
-                (Trust::Silent, &own),
-                (Trust::Silent, &others),
+                (Health::Sound, &own),
+                (Health::Sound, &others),
+                (Health::Failing, &own),
+                (Health::Failing, &others),
+                (Health::Silent, &own),
+                (Health::Silent, &others),
             ],
         };
         turns.into_iter().find_map(|(trust, looks)| {
@@ -272,9 +272,9 @@
         let key = request as u64;
         let order = |endpoint: &&Arc<Endpoint>| {
             let doubt = match endpoint.trust() {
-                Trust::Sound => 0,
-                Trust::Failing => 1,
-                Trust::Silent => 2,
+                Health::Sound => 0,
+                Health::Failing => 1,
+                Health::Silent => 2,
             };
             (doubt, Reverse(affinity::mix(key ^ endpoint.hash)))
         };
@@ -341,13 +341,13 @@
         let now = self.start.elapsed();
         let snapshot = self.snapshot.load();
         let known = snapshot.group(want.service).map_or(0, Group::len);
-        let all = known as f64 * self.rate(want.service).per_ms() * 1_000.0;
+        let all = known as f64 * self.rate(want.service).tokens_per_ms() * 1_000.0;
         let least = all * LEAST_SHARE / f64::from(entries.max(1));
         let backlog = Arc::clone(&Demand::of(&mut self.demand(), want.service).backlog);
         let (wait, hopeful) = {
             let backlog = backlog.lock().unwrap_or_else(PoisonError::into_inner);
-            let hopeful = backlog.hopeful(now, rank, least, objective);
-            (backlog.wait(now, rank, least), hopeful)
+            let hopeful = backlog.can_meet_objective(now, rank, least, objective);
+            (backlog.predicted_wait(now, rank, least), hopeful)
         };
         Standing {
             backlog: Some(backlog),
@@ -377,11 +377,11 @@
 /// one is taken: entries that all took the first with room would all take the
 /// same one.
 fn packed<'a>(mut looks: Vec<&Look<'a>>) -> Option<&'a Arc<Endpoint>> {
-    let slow_from = pace::slow_from(looks.iter().filter_map(|look| look.pace));
+    let slow_from = event_gap::slow_threshold(looks.iter().filter_map(|look| look.pace));
     looks.sort_by_key(|look| look.pace.is_some_and(|pace| pace > slow_from));
     let quick =
         looks.partition_point(|look| look.pace.is_none_or(|pace| pace <= slow_from));
-    let most = packing::used(looks.iter().map(|look| look.packing), quick);
+    let most = packing::endpoints_used(looks.iter().map(|look| look.packing), quick);
     let mut random = rand::rng();
     let mut draw = || (most > 0).then(|| looks[random.random_range(0..most)]);
     let (a, b) = (draw()?, draw()?);
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/lists.rs
@@ -1,14 +1,16 @@
 //! The list of endpoints as an entry knows it, from its own reads and from those
 //! of other entries.
 
-use crate::dialect::Listed;
+use crate::dialect::EndpointRecord;
 use crate::directory::{Directory, Endpoint};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_policy::reads::{CONNECT_TIMEOUT, Doubt, LEAVING_WITHIN, Reads, STALE};
-use dogwoodhill_policy::sightings::Verdict;
-use dogwoodhill_wire::demand::{EndpointSight, EndpointVerdict, Totals};
-use dogwoodhill_wire::list::{Content, Contents, ListRead, Mark};
+use dogwoodhill_policy::list_reads::{
+    CONNECT_TIMEOUT, DEFAULT_LEAVING_WITHIN, ListReads, STALE_AFTER, ShrinkGuard,
+};
+use dogwoodhill_policy::shared_health::Verdict;
+use dogwoodhill_wire::demand::{DemandReply, EndpointObservation, EndpointVerdict};
+use dogwoodhill_wire::list::{ListHistory, ListRead, ListSnapshot, Mark};
 use std::pin::pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -44,10 +46,10 @@
 
 #[derive(Debug, Default)]
 struct State {
-    reads: Reads,
-    doubt: Doubt,
+    reads: ListReads,
+    doubt: ShrinkGuard,
     /// The list in use, and earlier ones.
-    contents: Contents,
+    contents: ListHistory,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
     /// not used.
     places: Vec<Option<Arc<Endpoint>>>,
@@ -69,7 +71,7 @@
 
 impl Default for Lists {
     fn default() -> Self {
-        Self::new(LEAVING_WITHIN)
+        Self::new(DEFAULT_LEAVING_WITHIN)
     }
 }
 
@@ -77,7 +79,7 @@
     /// No list is known yet; endpoints that leave may be sent requests for `within`.
     pub fn new(within: Duration) -> Self {
         let state = State {
-            reads: Reads::new(within),
+            reads: ListReads::new(within),
             ..State::default()
         };
         Self {
@@ -110,10 +112,10 @@
         directory: &Directory,
         asked: Duration,
         took: Duration,
-        endpoints: Vec<Listed>,
+        endpoints: Vec<EndpointRecord>,
     ) {
         let mut state = self.state();
-        let content = Content::new(endpoints);
+        let content = ListSnapshot::new(endpoints);
         let mark = content.mark;
         if state.reads.take(self.at(asked), took) {
             log_taken(
@@ -132,16 +134,21 @@
     }
 
     /// Control answered a question that was sent at `asked`.
-    pub fn heard(&self, directory: &Directory, asked: Duration, totals: &mut Totals) {
+    pub fn heard(
+        &self,
+        directory: &Directory,
+        asked: Duration,
+        totals: &mut DemandReply,
+    ) {
         let mut state = self.state();
-        if totals.reader && !state.reads.reader() {
+        if totals.reader && !state.reads.is_reader() {
             self.appointed.notify_one();
         }
-        state.reads.appoint(totals.reader);
+        state.reads.set_reader(totals.reader);
         let Some(list) = totals.list.take() else {
             let now = self.now();
             state.control = None;
-            state.reads.awaited(now);
+            state.reads.defer_to_readers(now);
             return;
         };
         state.control = Some(list.mark);
@@ -154,7 +161,7 @@
             state.hear(&totals.verdicts);
             return;
         }
-        let Some(content) = state.contents.heard(&list) else {
+        let Some(content) = state.contents.resolve(&list) else {
             if !std::mem::replace(&mut state.lost, true) {
                 Event::new("list-changes-unusable")
                     .field("told", format!("{:016x}", list.mark))
@@ -165,7 +172,7 @@
         let before = state.contents.newest().endpoints.len();
         let now = self.now();
         let after = content.endpoints.len();
-        if state.doubt.believes(now, before, after) && state.reads.take(read, list.took) {
+        if state.doubt.accepts(now, before, after) && state.reads.take(read, list.took) {
             log_taken(
                 &state,
                 &content,
@@ -181,7 +188,7 @@
 
     /// What this entry met at endpoints since it was asked last: news by place in the
     /// list that it has, and the places that it heard from lately, a bit each.
-    pub fn sights(&self) -> (Vec<EndpointSight>, Vec<u8>) {
+    pub fn sights(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
         let mut sights = Vec::new();
         let mut heard = vec![0; state.places.len().div_ceil(8)];
@@ -190,12 +197,12 @@
             else {
                 continue;
             };
-            if sight.heard {
+            if sight.alive {
                 heard[place / 8] |= 1 << (place % 8);
             }
             if sight.replaced || sight.unreached || sight.answered > 0 {
-                sights.push(EndpointSight {
-                    place: place as u32,
+                sights.push(EndpointObservation {
+                    list_index: place as u32,
                     replaced: sight.replaced,
                     unreached: sight.unreached,
                     answered: sight.answered,
@@ -228,7 +235,7 @@
             };
             ListRead {
                 mark: own.mark,
-                ..contents.told(known, age, own.took)
+                ..contents.read_for(known, age, own.took)
             }
         });
         (if *lost { 0 } else { mark }, read)
@@ -237,7 +244,7 @@
     /// How long until this entry reads by itself, if nothing is heard until then.
     pub fn due(&self, interval: Duration, spread: f64) -> Duration {
         let now = self.now();
-        self.state().reads.due(now, interval, spread)
+        self.state().reads.next_read_delay(now, interval, spread)
     }
 
     /// Age of the list in use: how long ago the read that it comes from was asked for, as
@@ -282,17 +289,17 @@
 
     /// Whether any read of the list is known.
     pub fn known(&self) -> bool {
-        self.state().reads.known()
+        self.state().reads.has_read()
     }
 
     /// Whether this entry reads for the others.
     pub fn reader(&self) -> bool {
-        self.state().reads.reader()
+        self.state().reads.is_reader()
     }
 
-    /// A time as reads are measured: from [`STALE`] before the entry's start.
+    /// A time as reads are measured: from [`STALE_AFTER`] before the entry's start.
     fn at(&self, uptime: Duration) -> Duration {
-        (uptime + STALE).saturating_sub(self.start)
+        (uptime + STALE_AFTER).saturating_sub(self.start)
     }
 
     fn now(&self) -> Duration {
@@ -317,7 +324,13 @@
 
 /// Logs a list that is put in use, where it is another one than before: what was
 /// believed when, and how old it was then.
-fn log_taken(state: &State, content: &Content, by: &str, age: Duration, took: Duration) {
+fn log_taken(
+    state: &State,
+    content: &ListSnapshot,
+    by: &str,
+    age: Duration,
+    took: Duration,
+) {
     let before = state.contents.newest().mark;
     if before != content.mark {
         Event::new("list-taken")
@@ -333,7 +346,7 @@
 
 impl State {
     /// Puts a list in use.
-    fn put(&mut self, directory: &Directory, content: Content) {
+    fn put(&mut self, directory: &Directory, content: ListSnapshot) {
         directory.update(Vec::clone(&content.endpoints));
         let listed = content.endpoints.iter();
         let places = listed.map(|listed| directory.running(&listed.run));
@@ -346,7 +359,7 @@
     fn hear(&self, verdicts: &[EndpointVerdict]) {
         let mut told = vec![None; self.places.len()];
         for verdict in verdicts {
-            if let Some(place) = told.get_mut(verdict.place as usize) {
+            if let Some(place) = told.get_mut(verdict.list_index as usize) {
                 *place = Some(Verdict::from(verdict.verdict));
             }
         }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,51 +1,51 @@
-//! What makes an answer whole and one's own.
+//! Validation of an agent's answer: it must belong to the attempt and be complete.
 
 use crate::attempt::Header;
-use crate::frame::{Body, Frame, Reason};
+use crate::frame::{Frame, FrameBody, RefusalReason};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 
-/// A part of the answer that may be passed on.
+/// A validated part of an answer, which may be forwarded to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum AnswerPart {
     /// The attempt was not run.
-    Refused(Reason),
-    /// Status and headers.
+    Refused(RefusalReason),
+    /// Status and headers of the endpoint's response.
     Head {
         /// HTTP status.
         status: u16,
         /// End-to-end headers.
         headers: Vec<Header>,
     },
-    /// Part of the body.
+    /// Part of the response body.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// Tokens in the answer.
         tokens: u32,
     },
 }
 
-/// Why an answer can't be completed. The request may have run.
+/// Why an answer can't become complete. The request may have run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum Flaw {
-    /// A frame of another attempt.
+pub enum AnswerError {
+    /// A frame of another attempt arrived.
     #[display("a frame of another attempt arrived")]
-    Crossed,
+    ForeignFrame,
     /// A frame is missing or came twice.
     #[display("a frame is missing or came twice")]
     Sequence,
-    /// The end mark does not agree with what arrived.
+    /// The byte count of the `End` frame differs from the bytes received.
     #[display("the end mark does not agree with the bytes received")]
-    Short,
-    /// Frames in an order that no answer has.
+    Truncated,
+    /// The kind of the frame is not valid at this point of an answer.
     #[display("frames came in an impossible order")]
     Order,
-    /// The agent says that the answer broke off.
+    /// The agent reported that the endpoint's response broke off.
     #[display("the endpoint's answer broke off: {cause}")]
     Broken {
-        /// What the agent saw.
+        /// The agent's description of the failure.
         cause: String,
     },
 }
@@ -57,20 +57,20 @@
     Done,
 }
 
-/// Checks the frames of one attempt as they arrive.
+/// Validates the frames of one attempt as they arrive.
 ///
-/// After a [`Flaw`] or the end nothing more is accepted, so that a late frame
-/// can't lengthen a finished answer.
+/// After an [`AnswerError`], a refusal or the end, every further frame is an error, so
+/// that a late frame can't lengthen a finished answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct AnswerValidator {
     attempt: AttemptId,
     stage: Stage,
     seq: u32,
     bytes: u64,
 }
 
-impl Answer {
-    /// Expects the frames of `attempt`.
+impl AnswerValidator {
+    /// Creates a validator for the frames of `attempt`.
     pub fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
@@ -80,17 +80,17 @@
         }
     }
 
-    /// Tells whether the answer ended, whole or refused.
+    /// Returns whether the answer is over: complete, refused or invalid.
     pub fn ended(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Checks the next frame.
+    /// Validates the next frame.
     ///
     /// # Errors
     ///
-    /// [`Flaw`] where the answer can no longer become whole.
-    pub fn accept(&mut self, frame: Frame) -> Result<Piece, Flaw> {
+    /// Any [`AnswerError`]; the answer can no longer become complete.
+    pub fn accept(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
         let piece = self.check(frame);
         if piece.is_err() {
             self.stage = Stage::Done;
@@ -98,36 +98,36 @@
         piece
     }
 
-    fn check(&mut self, frame: Frame) -> Result<Piece, Flaw> {
+    fn check(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
         if frame.attempt != self.attempt {
-            return Err(Flaw::Crossed);
+            return Err(AnswerError::ForeignFrame);
         }
         if frame.seq != self.seq {
-            return Err(Flaw::Sequence);
+            return Err(AnswerError::Sequence);
         }
         self.seq += 1;
         match (self.stage, frame.body) {
-            (Stage::Start, Body::Refused(reason)) => {
+            (Stage::Start, FrameBody::Refused(reason)) => {
                 self.stage = Stage::Done;
-                Ok(Piece::Refused(reason))
+                Ok(AnswerPart::Refused(reason))
             }
-            (Stage::Start, Body::Head { status, headers }) => {
+            (Stage::Start, FrameBody::Head { status, headers }) => {
                 self.stage = Stage::Body;
-                Ok(Piece::Head { status, headers })
+                Ok(AnswerPart::Head { status, headers })
             }
-            (Stage::Body, Body::Chunk(bytes)) => {
+            (Stage::Body, FrameBody::Chunk(bytes)) => {
                 self.bytes += bytes.len() as u64;
-                Ok(Piece::Chunk(bytes))
+                Ok(AnswerPart::Chunk(bytes))
             }
-            (Stage::Body, Body::End { bytes, tokens }) if bytes == self.bytes => {
+            (Stage::Body, FrameBody::End { bytes, tokens }) if bytes == self.bytes => {
                 self.stage = Stage::Done;
-                Ok(Piece::End { tokens })
+                Ok(AnswerPart::End { tokens })
             }
-            (Stage::Body, Body::End { .. }) => Err(Flaw::Short),
-            (Stage::Start | Stage::Body, Body::Broken(cause)) => {
-                Err(Flaw::Broken { cause })
+            (Stage::Body, FrameBody::End { .. }) => Err(AnswerError::Truncated),
+            (Stage::Start | Stage::Body, FrameBody::Broken(cause)) => {
+                Err(AnswerError::Broken { cause })
             }
-            _ => Err(Flaw::Order),
+            _ => Err(AnswerError::Order),
         }
     }
 }
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -1,15 +1,17 @@
-//! What a reader of the list of endpoints tells the other entries, by way of a
-//! control instance: the whole list to who has none, and what changed to the others.
+//! Distribution of the endpoint list, complete or as differences.
 //!
-//! While endpoints leave one by one, a list of 3,000 endpoints changes twice a second.
-//! Told whole to 300 entries it is 60 MB a second; what changed is some hundred bytes
-//! for each of them.
+//! A few entries read the list from the platform; control instances pass it on to the
+//! others. A receiver without a recent list gets the complete list, any other receiver
+//! the changes since the list it has. While endpoints leave one by one, a list of 3,000
+//! endpoints changes twice a second: sending it complete to 300 entries would take 60
+//! MB/s, whereas the changes are some hundred bytes per entry.
 //!
-//! Invariant: changes are applied only to the list that they were worked out from, and
-//! nothing is taken whose mark is not the one that was told; so a change that was lost,
-//! doubled or damaged leads to the whole list, never to a wrong one.
+//! Invariants: changes are applied only to the list from which they were computed, and a
+//! result is rejected unless its [`Mark`] equals the announced one. Lost, duplicated or
+//! corrupt changes therefore lead to a transfer of the complete list, never to a wrong
+//! list.
 
-use crate::pack::{pack, unpack};
+use crate::compress::{compress, decompress};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{hash, mix};
 use serde::{Deserialize, Serialize};
@@ -18,42 +20,44 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Earlier lists that are remembered. A list is read once a second and asked for twice, so
-/// that this is a few seconds: who fell behind further gets the whole.
-const REMEMBERED: usize = 8;
+/// Number of earlier lists from which changes can be computed. The list is read once and
+/// requested twice a second, so this covers a few seconds; a receiver further behind gets
+/// the complete list.
+const MAX_EARLIER: usize = 8;
 
-/// One endpoint, as the list has it.
+/// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
-    /// Its name and start.
+pub struct EndpointRecord {
+    /// Name and start time.
     pub run: Incarnation,
-    /// Service.
+    /// Service that the endpoint runs.
     pub service: ServiceId,
-    /// Address.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    /// Requests it can run at once.
+    /// Number of requests that the endpoint can run concurrently.
     pub slots: u32,
-    /// Whether it is about to stop.
+    /// Whether the endpoint is draining and will stop.
     pub leaving: bool,
 }
 
-/// Names a list: the same for the same endpoints in any order. 0 stands for no list.
+/// Content hash of a list, independent of the order of its endpoints. 0 means no list.
 pub type Mark = u64;
 
-/// Mark of the list without endpoints.
+/// Mark of a list without endpoints; differs from 0, which means no list.
 const EMPTY: Mark = 1;
 
-/// The mark of a list.
-pub fn mark(endpoints: &[Listed]) -> Mark {
+/// Computes the mark of a list.
+pub fn mark(endpoints: &[EndpointRecord]) -> Mark {
     EMPTY.wrapping_add(sum(endpoints.iter()))
 }
 
-/// What some endpoints add to the mark of their list.
-fn sum<'a>(endpoints: impl Iterator<Item = &'a Listed>) -> Mark {
-    let one = |listed: &Listed| {
-        let Listed {
+/// Sums the hashes of some endpoints. A sum, with wrap-around, lets
+/// [`ListChanges::apply`] update a mark without hashing the unchanged endpoints.
+fn sum<'a>(endpoints: impl Iterator<Item = &'a EndpointRecord>) -> Mark {
+    let one = |listed: &EndpointRecord| {
+        let EndpointRecord {
             run,
             service,
             address,
@@ -67,63 +71,67 @@
     endpoints.map(one).fold(0, u64::wrapping_add)
 }
 
-/// One read of the list.
+/// A read of the list, as sent to a receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListRead {
-    /// The same for the same content.
+    /// Mark of the list.
     pub mark: Mark,
-    /// How long ago it was asked for.
+    /// Time since the list was requested from the platform.
     pub age: Duration,
-    /// How long the read took.
+    /// Duration of the read.
     #[serde(default)]
     pub took: Duration,
-    /// The whole list; left out where the receiver has this content.
-    pub whole: Option<Arc<PackedList>>,
-    /// What changed since a list that the receiver has, in place of the whole.
+    /// The complete list; `None` if the receiver has the list or gets `changes`.
+    pub whole: Option<Arc<CompressedList>>,
+    /// Changes since the receiver's list, in place of `whole`.
     #[serde(default)]
     pub changes: Option<Arc<ListChanges>>,
 }
 
-/// A whole list, packed: 3,000 endpoints are 270 KB as they are, and hundreds of entries
-/// ask for them at once after all were killed, of one instance on 100 Mbit/s.
+/// A complete list, gzip-compressed. 3,000 endpoints take 270 KB uncompressed, and after
+/// a restart of all processes hundreds of entries request the list at once from one
+/// instance with a 100 Mbit/s link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedList(#[serde(with = "serde_bytes")] Vec<u8>);
+pub struct CompressedList(#[serde(with = "serde_bytes")] Vec<u8>);
 
-impl PackedList {
-    /// Packs a list.
+impl CompressedList {
+    /// Encodes and compresses a list.
     ///
     /// # Panics
     ///
     /// Never: a list holds nothing that can't be encoded.
-    pub fn of(endpoints: &[Listed]) -> Self {
-        Self(pack(&rmp_serde::to_vec(endpoints).expect("lists encode")))
+    pub fn of(endpoints: &[EndpointRecord]) -> Self {
+        Self(compress(
+            &rmp_serde::to_vec(endpoints).expect("lists encode"),
+        ))
     }
 
-    /// Bytes that it takes on its way.
+    /// Compressed size in bytes.
     pub fn size(&self) -> usize {
         self.0.len()
     }
 
-    /// The list, if it can be read.
-    pub fn read(&self) -> Option<Vec<Listed>> {
-        rmp_serde::from_slice(&unpack(&self.0).ok()?).ok()
+    /// Decompresses and decodes the list. Returns `None` if the bytes are corrupt.
+    pub fn read(&self) -> Option<Vec<EndpointRecord>> {
+        rmp_serde::from_slice(&decompress(&self.0).ok()?).ok()
     }
 }
 
-/// What makes one list into another.
+/// The difference between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListChanges {
-    /// The list that it is worked out from.
+    /// Mark of the older list, to which the difference applies.
     pub from: Mark,
-    /// Places there of endpoints that are gone or changed; they rise.
-    pub gone: Vec<u32>,
-    /// Endpoints that are new or changed; sorted by name and start.
-    pub told: Vec<Listed>,
+    /// Indices in the older list of removed and changed endpoints, in ascending order.
+    pub removed: Vec<u32>,
+    /// New and changed endpoints, sorted by name and start.
+    pub updated: Vec<EndpointRecord>,
 }
 
 impl ListChanges {
-    /// What makes `old`, whose mark is `from`, into `new`; both sorted by name and start.
-    pub fn between(from: Mark, old: &[Listed], new: &[Listed]) -> Self {
+    /// Computes the difference from `old`, whose mark is `from`, to `new`. Both lists
+    /// must be sorted by name and start.
+    pub fn between(from: Mark, old: &[EndpointRecord], new: &[EndpointRecord]) -> Self {
         let mut changes = Self {
             from,
             ..Self::default()
@@ -138,13 +146,13 @@
             let same = order == Ordering::Equal && old[at] == rest[0];
             if order != Ordering::Greater {
                 if !same {
-                    changes.gone.push(at as u32);
+                    changes.removed.push(at as u32);
                 }
                 at += 1;
             }
             if order != Ordering::Less {
                 if !same {
-                    changes.told.push(rest[0].clone());
+                    changes.updated.push(rest[0].clone());
                 }
                 rest = &rest[1..];
             }
@@ -152,44 +160,50 @@
         changes
     }
 
-    /// The list that it makes `old` into. Only what changed is hashed anew.
-    pub fn apply(&self, old: &Content) -> Content {
-        let stays = |place: &(u32, &Listed)| self.gone.binary_search(&place.0).is_err();
+    /// Applies the difference to `old`. Only removed and updated endpoints are hashed.
+    pub fn apply(&self, old: &ListSnapshot) -> ListSnapshot {
+        let stays = |place: &(u32, &EndpointRecord)| {
+            self.removed.binary_search(&place.0).is_err()
+        };
         let old_list = old.endpoints.as_slice();
         let kept = (0..).zip(old_list).filter(stays).map(|(_, listed)| listed);
-        let mut list: Vec<Listed> = kept.chain(&self.told).cloned().collect();
+        let mut list: Vec<EndpointRecord> = kept.chain(&self.updated).cloned().collect();
         list.sort_by(|a, b| a.run.cmp(&b.run));
-        let gone = self.gone.iter().filter_map(|at| old_list.get(*at as usize));
+        let gone = self
+            .removed
+            .iter()
+            .filter_map(|at| old_list.get(*at as usize));
         let mark = old.mark.wrapping_sub(sum(gone));
-        Content {
-            mark: mark.wrapping_add(sum(self.told.iter())),
+        ListSnapshot {
+            mark: mark.wrapping_add(sum(self.updated.iter())),
             endpoints: Arc::new(list),
         }
     }
 
-    /// Endpoints that it names, as its size goes.
+    /// Number of removed and updated endpoints, a measure of the encoded size. A changed
+    /// endpoint counts twice.
     pub fn len(&self) -> usize {
-        self.gone.len() + self.told.len()
+        self.removed.len() + self.updated.len()
     }
 
-    /// Whether nothing changed.
+    /// Returns whether the two lists are equal.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A list and its mark.
+/// A list with its mark.
 #[derive(Clone, Debug, Default)]
-pub struct Content {
-    /// Its mark; 0 for none.
+pub struct ListSnapshot {
+    /// Mark of the list; 0 for no list.
     pub mark: Mark,
-    /// Its endpoints, sorted by name and start.
-    pub endpoints: Arc<Vec<Listed>>,
+    /// The endpoints, sorted by name and start.
+    pub endpoints: Arc<Vec<EndpointRecord>>,
 }
 
-impl Content {
-    /// A list in any order.
-    pub fn new(mut endpoints: Vec<Listed>) -> Self {
+impl ListSnapshot {
+    /// Sorts `endpoints`, given in any order, and computes their mark.
+    pub fn new(mut endpoints: Vec<EndpointRecord>) -> Self {
         endpoints.sort_by(|a, b| a.run.cmp(&b.run));
         let mark = mark(&endpoints);
         let endpoints = Arc::new(endpoints);
@@ -197,50 +211,51 @@
     }
 }
 
-/// An earlier list, and what has changed since, once anybody asked.
+/// An earlier list and its difference to the newest one, computed on first use.
 #[derive(Clone, Debug)]
-struct Earlier {
-    content: Content,
+struct EarlierList {
+    snapshot: ListSnapshot,
     changes: Option<Arc<ListChanges>>,
 }
 
-/// The newest list, and what changed since some earlier ones.
+/// The newest list and the differences from a few earlier ones.
 #[derive(Clone, Debug, Default)]
-pub struct Contents {
-    newest: Content,
-    /// The newest list packed, once anybody asked for it.
-    whole: Option<Arc<PackedList>>,
-    earlier: VecDeque<Earlier>,
+pub struct ListHistory {
+    newest: ListSnapshot,
+    /// The compressed newest list, computed on first use.
+    whole: Option<Arc<CompressedList>>,
+    earlier: VecDeque<EarlierList>,
 }
 
-impl Contents {
+impl ListHistory {
     /// The newest list.
-    pub fn newest(&self) -> &Content {
+    pub fn newest(&self) -> &ListSnapshot {
         &self.newest
     }
 
-    /// Puts a list in place of the newest one.
-    pub fn put(&mut self, newest: Content) {
-        let content = std::mem::replace(&mut self.newest, newest);
+    /// Replaces the newest list and keeps the old one as an earlier list.
+    pub fn put(&mut self, newest: ListSnapshot) {
+        let snapshot = std::mem::replace(&mut self.newest, newest);
         self.whole = None;
         self.earlier
-            .retain(|earlier| earlier.content.mark != content.mark);
+            .retain(|earlier| earlier.snapshot.mark != snapshot.mark);
         for earlier in &mut self.earlier {
             earlier.changes = None;
         }
-        if content.mark != 0 {
+        if snapshot.mark != 0 {
             let changes = None;
-            self.earlier.push_back(Earlier { content, changes });
+            self.earlier.push_back(EarlierList { snapshot, changes });
         }
-        if self.earlier.len() > REMEMBERED {
+        if self.earlier.len() > MAX_EARLIER {
             self.earlier.pop_front();
         }
     }
 
-    /// The newest list, read `age` ago within `took`, for a receiver that has the list of
-    /// `held`. What changed is worked out once for all that have the same list.
-    pub fn told(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
-        let Content { mark, endpoints } = self.newest.clone();
+    /// Returns the newest list, read `age` ago in `took`, in the smallest form for a
+    /// receiver that has the list with mark `held`: nothing, changes or the complete
+    /// list. Changes are computed once for all receivers of the same list.
+    pub fn read_for(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
+        let ListSnapshot { mark, endpoints } = self.newest.clone();
         let mut read = ListRead {
             mark,
             age,
@@ -251,29 +266,30 @@
         if held == mark {
             return read;
         }
-        let found = self.earlier.iter_mut().find(|e| e.content.mark == held);
+        let found = self.earlier.iter_mut().find(|e| e.snapshot.mark == held);
         let changes = found.map(|earlier| {
-            let Earlier { content, changes } = earlier;
-            let between = || ListChanges::between(held, &content.endpoints, &endpoints);
+            let EarlierList { snapshot, changes } = earlier;
+            let between = || ListChanges::between(held, &snapshot.endpoints, &endpoints);
             Arc::clone(changes.get_or_insert_with(|| Arc::new(between())))
         });
-        // Half of the list in changes is more than the list itself.
+        // Changes are not compressed: beyond half of the list they are larger than the
+        // complete list.
         match changes.filter(|changes| changes.len() * 2 < endpoints.len()) {
             Some(changes) => read.changes = Some(changes),
             None => {
-                let pack = || Arc::new(PackedList::of(&endpoints));
-                read.whole = Some(Arc::clone(self.whole.get_or_insert_with(pack)));
+                let compressed = || Arc::new(CompressedList::of(&endpoints));
+                read.whole = Some(Arc::clone(self.whole.get_or_insert_with(compressed)));
             }
         }
         read
     }
 
-    /// The list that `read` tells to a receiver that has these. `None` where it tells no
-    /// content, changes of a list that is not the newest here, or a content whose mark is
-    /// another one.
-    pub fn heard(&self, read: &ListRead) -> Option<Content> {
-        let content = match (&read.whole, &read.changes) {
-            (Some(whole), _) => Content::new(whole.read()?),
+    /// Reconstructs the list from a received `read`. Returns `None` if `read` carries no
+    /// list, if its changes don't apply to the newest list here, or if the result doesn't
+    /// have the announced mark.
+    pub fn resolve(&self, read: &ListRead) -> Option<ListSnapshot> {
+        let snapshot = match (&read.whole, &read.changes) {
+            (Some(whole), _) => ListSnapshot::new(whole.read()?),
             (None, Some(changes))
                 if changes.from == self.newest.mark && changes.from != 0 =>
             {
@@ -281,6 +297,6 @@
             }
             _ => return None,
         };
-        (content.mark == read.mark).then_some(content)
+        (snapshot.mark == read.mark).then_some(snapshot)
     }
 }
