--- a/crates/direct/src/agree.rs
+++ b/crates/direct/src/agree.rs
@@ -1,11 +1,11 @@
-//! Agreeing with the other entries on what comes for each service, on what the list of
-//! endpoints says, and on which of them are lost or fail.
+//! Exchanging state with control: demand per service, the endpoint list, and endpoints
+//! that are lost or failing.
 //!
-//! Twice a second an entry tells one control instance what came and what it met, and is
-//! told the sums over all entries, the newest read of the list, and what all of them see
-//! of its endpoints. An entry that has read the list tells at once, and one that has lost
-//! an endpoint soon. All entries ask the same instance as long as it answers: the first
-//! by address of those that they were told of, or of those in their settings until then.
+//! Twice a second, an entry reports its demand and observations to one control instance,
+//! and receives the sums over all entries, the newest read of the list, and verdicts on
+//! its endpoints. It reports at once after reading the list, and soon after losing an
+//! endpoint. All entries use the same instance while it responds: the first by address of
+//! the instances that control announced, or of those in the settings until then.
 
 use crate::follow::Follower;
 use crate::request::Shared;
@@ -20,29 +20,28 @@
 use std::sync::atomic::Ordering;
 use tokio::time::{sleep, timeout};
 
-/// Interval at which an entry tells. A burst is known everywhere within two of
-/// them.
+/// Interval between reports. A burst is known to all entries within two intervals.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// The same until an entry that starts knows of the list. It has nothing to serve with
-/// until then, and a hundred of them may start at once.
+/// Interval until an entry that starts has the endpoint list. It cannot serve until then,
+/// and a hundred entries may start at once.
 const FIRST_INTERVAL: Duration = Duration::from_millis(100);
-/// How soon an entry tells that it has lost an endpoint. What it loses within that time
-/// is told together: where thirty are lost at once, each entry tells six times a second
-/// instead of for each of them.
+/// Delay of the report after an endpoint was lost; losses within it are reported
+/// together. Where thirty endpoints are lost at once, each entry reports six times a
+/// second instead of once per endpoint.
 const SOON: Duration = Duration::from_millis(150);
-/// Spread of the interval, so that entries do not tell in step.
+/// Jitter of the interval, so that entries do not report in step.
 const SPREAD: std::ops::Range<f64> = 0.8..1.2;
-/// Longest wait for the sums.
+/// Timeout of a report.
 const PATIENCE: Duration = Duration::from_millis(300);
-/// The same while the entry has no list: it is told the whole then, which takes a second
-/// where hundreds of entries start at once and ask one instance on 100 Mbit/s. Giving up
-/// sooner would ask for the same again while it is under way.
+/// Timeout while the entry has no list. The response carries the whole list then, which
+/// takes a second where hundreds of entries start at once and use one instance on 100
+/// Mbit/s. A shorter timeout would request the list again while it is in transit.
 const FIRST_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Instances that are asked at one time before the next interval: one more than may be lost
-/// at once where five keep the log.
+/// Control instances tried per interval: one more than may fail at once where five
+/// instances replicate the log.
 const TRIES: usize = 3;
 
-/// Tells and listens, for ever.
+/// Exchanges state with control in an endless loop.
 pub async fn run(follower: Arc<Follower>, shared: Arc<Shared>) {
     let mut agreed = false;
     let mut stamps = Stamps::default();
@@ -68,7 +67,7 @@
         }
         match answered {
             Ok(totals) => shared.directory.agree(&totals),
-            // Without the others, it goes by what it met itself.
+            // Without control, the entry relies on its own observations.
             Err(_) => {
                 shared.suspects.unheard();
                 let entries = shared.entries.load(Ordering::Relaxed);
@@ -78,7 +77,7 @@
     }
 }
 
-/// Why an entry heard nothing, from the instance that it asked last.
+/// Why the exchange failed, at the instance tried last.
 #[derive(Debug, Display)]
 enum Unheard {
     #[display("no control instance is known")]
@@ -89,12 +88,12 @@
     Failed(CallError),
 }
 
-/// The last stamp of each control instance, and when it was asked for.
+/// The last stamp of each control instance, with the time of the request for it.
 #[derive(Debug, Default)]
 struct Stamps(Vec<(SocketAddr, Stamp, Duration)>);
 
 impl Stamps {
-    /// Most instances that are remembered: more than are ever asked.
+    /// Capacity; larger than the number of instances ever contacted.
     const MOST: usize = 16;
 
     fn heard(&mut self, address: SocketAddr, stamp: Stamp, asked: Duration) {
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -1,7 +1,7 @@
-//! The words of callers, endpoints and the list of endpoints, behind traits.
+//! Traits that adapt the headers of callers and endpoints and the endpoint list.
 //!
-//! Whoever deploys the router has headers and lists of their own. They are
-//! read once, here, into types whose fields say what they hold.
+//! Each deployment has its own headers and list format. They are parsed once, at this
+//! boundary, into typed structs.
 
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
@@ -13,131 +13,132 @@
 use std::fmt::Debug;
 use std::pin::Pin;
 
-/// What a caller asks beside method, path and body.
+/// Metadata of a caller's request, parsed from its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ask {
-    /// Identifier of this try of the caller.
+    /// Identifies this attempt; a caller's retry has another one.
     pub id: RequestId,
-    /// How long the caller will wait from now.
+    /// How long the caller waits, from the time of parsing.
     pub patience: Option<Duration>,
-    /// Key of its workspace, in clear.
+    /// Workspace key, in clear text.
     pub key: Option<String>,
-    /// Last event it has, where it resumes a stream.
+    /// Last event received by the caller, where it resumes a stream.
     pub resume: Option<EventId>,
-    /// What its prompt consists of.
+    /// Properties of the prompt, for placement.
     pub prompt: Prompt,
 }
 
-/// Number of an event in its stream; it rises.
+/// Event number, increasing within a stream.
 pub type EventId = u64;
 
-/// A prompt, as far as placement needs to know it.
+/// Size and shared prefix of a prompt, for placement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
-    /// Hash of the beginning that other requests share; `None` without one.
+    /// Hash of the prefix shared with other requests; `None` without one.
     pub shared: Option<u64>,
-    /// Tokens of that beginning.
+    /// Length of that prefix, in tokens.
     pub shared_tokens: u32,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub tokens: u32,
-    /// Most tokens that may be generated.
+    /// Upper bound on generated tokens.
     pub output: u32,
 }
 
-/// How callers speak.
+/// Parses the headers of callers' requests.
 pub trait CallerDialect: Send + Sync + Debug {
-    /// Reads a request's head.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// [`Malformed`] where the head can't be read as a request.
+    /// [`Malformed`] if a required header is missing or has an invalid value.
     fn read(&self, headers: &HeaderMap) -> Result<Ask, Malformed>;
 }
 
-/// A request's head is not one.
+/// A required header is missing or invalid.
 #[derive(Clone, Debug, Display, Error)]
 #[display("header {name} is missing or malformed; send it as the interface says")]
 pub struct Malformed {
-    /// The header.
+    /// Name of the header.
     #[error(not(source))]
     pub name: String,
 }
 
-/// What an endpoint is told beside method, path and body.
+/// Metadata sent to an endpoint along with the method, path and body.
 #[derive(Clone, Debug)]
 pub struct Tell<'a> {
-    /// How much longer the answer is waited for.
+    /// Time left until the entry gives the request up.
     pub left: Duration,
-    /// The endpoint that is meant.
+    /// Identity of the intended endpoint, so that another one can refuse the request.
     pub endpoint: &'a str,
-    /// The caller's workspace.
+    /// Workspace of the caller, if the route has one.
     pub workspace: Option<&'a str>,
-    /// Urgency.
+    /// Tier and rank of the request.
     pub rank: Rank,
-    /// Whether it yields to those of its tier that may be in time.
+    /// Whether the request yields to those of its tier that can still meet their
+    /// objective.
     pub background: bool,
-    /// Last event that the caller has.
+    /// Last event received by the caller; the stream resumes after it.
     pub resume: Option<EventId>,
 }
 
-/// What the head of an endpoint's answer says.
+/// Metadata parsed from the head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Said {
-    /// The request it answers.
+    /// Request id that the response echoes.
     pub request: Option<RequestId>,
-    /// Whether the endpoint's own proof is there.
+    /// Whether the header that only endpoints set is present.
     pub proof: bool,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint reports that it did not run the request.
     pub refused: bool,
-    /// Its load.
+    /// Load of the endpoint, if reported.
     pub load: Option<Load>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be reused.
     pub keeps: bool,
-    /// How long an idle connection is kept.
+    /// Idle timeout of the connection at the endpoint.
     pub idle: Option<Duration>,
-    /// What it takes of all entries together.
+    /// Limit on the request rate of all entries together.
     pub limit: Limit,
-    /// When one that it turns away may come back.
+    /// Delay after which a rejected request may be retried.
     pub retry: Retry,
-    /// Whether it is about to stop.
+    /// Whether the endpoint is shutting down.
     pub leaving: bool,
 }
 
-/// An endpoint's load, as it tells it with an answer.
+/// Load that an endpoint reports with a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests being executed.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the endpoint's queue.
     pub waiting: u32,
     /// Requests that can run at once.
     pub slots: u32,
 }
 
-/// How endpoints speak.
+/// Writes the headers of requests to endpoints and parses those of responses.
 pub trait EndpointDialect: Send + Sync + Debug {
-    /// Turns a caller's headers into those of the endpoint's request: what
-    /// only the router may say is taken out, and said.
+    /// Converts a caller's headers into those of the request to the endpoint. Headers
+    /// reserved to the router are removed from the caller's and set from `tell`.
     fn write(&self, headers: &mut HeaderMap, tell: &Tell<'_>);
 
-    /// Reads the head of an answer.
+    /// Parses the head of a response.
     fn read(&self, status: StatusCode, headers: &HeaderMap) -> Said;
 }
 
-/// The list could not be read; the last one stays in use.
+/// The endpoint list could not be read; the previous one stays in use.
 #[derive(Debug, Display, Error)]
 pub enum ListError {
-    /// No answer.
+    /// No response.
     #[display("the list did not answer: {problem}")]
     #[error(ignore)]
     Unreachable {
-        /// What went wrong.
+        /// Description of the failure.
         problem: String,
     },
-    /// More calls than all daemons together may make.
+    /// The source rejected the call because all daemons together exceeded its rate limit.
     #[display("the list refuses more calls for now")]
     Busy,
-    /// It names far fewer endpoints than the one in use.
+    /// The list has far fewer endpoints than the one in use.
     #[display(
         "the list names {after} endpoints in place of {before}; check whoever keeps it"
     )]
@@ -145,54 +146,54 @@
     Doubtful {
         /// Endpoints in use.
         before: usize,
-        /// Endpoints named.
+        /// Endpoints in the rejected list.
         after: usize,
     },
-    /// The answer can't be read.
+    /// The response cannot be parsed.
     #[display("the list's answer can't be read: {problem}")]
     #[error(ignore)]
     Content {
-        /// What went wrong.
+        /// Description of the failure.
         problem: String,
     },
 }
 
-/// Why an entry of the list names no endpoint to use. The others hold.
+/// Why an entry of the list is skipped. The remaining entries are used.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Flaw {
-    /// It can't be read: a field is missing, or of another type.
+    /// The entry cannot be parsed: a field is missing or has the wrong type.
     #[display("shape")]
     Shape,
-    /// Its state is none that is known.
+    /// The state is not a known one.
     #[display("state")]
     State,
-    /// Its name, service or failure domain is empty, too long, or no plain text.
+    /// The name, service or failure domain is empty, too long or not plain text.
     #[display("name")]
     Name,
-    /// Nothing can listen at its address.
+    /// No server can listen on the address.
     #[display("address")]
     Address,
-    /// It claims to run more requests at once than any endpoint does.
+    /// The number of concurrent requests exceeds that of any endpoint.
     #[display("slots")]
     Slots,
 }
 
-/// The list or a page of it, as far as it can be read.
+/// The endpoint list, or one page of it, without the entries that cannot be used.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListContent {
-    /// Endpoints.
+    /// Valid entries.
     pub endpoints: Vec<Listed>,
-    /// Why entries were left out, and how many of them.
+    /// Number of skipped entries, by cause.
     pub flaws: Vec<(Flaw, usize)>,
-    /// Names the page that follows; `None` on the last one.
+    /// Token of the next page; `None` on the last one.
     pub next: Option<PageToken>,
 }
 
-/// Names a page of the list, in the words of whoever keeps it.
+/// Opaque token that names a page at the source of the list.
 pub type PageToken = String;
 
 impl ListContent {
-    /// Adds an entry, or what is wrong with it.
+    /// Adds an entry, or counts it as skipped.
     pub fn add(&mut self, entry: Result<Listed, Flaw>) {
         match entry {
             Ok(listed) => self.endpoints.push(listed),
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Adds the page that follows.
+    /// Appends the next page.
     pub fn append(&mut self, page: Self) {
         self.endpoints.extend(page.endpoints);
         for (flaw, count) in page.flaws {
@@ -226,12 +227,12 @@
     }
 }
 
-/// A page of the list being fetched.
+/// Pending fetch of one page of the list.
 pub type Fetch<'a> =
     Pin<Box<dyn Future<Output = Result<ListContent, ListError>> + Send + 'a>>;
 
-/// Source of endpoints.
+/// Source of the endpoint list.
 pub trait EndpointList: Send + Sync + Debug {
-    /// Reads the page that `token` names, or the first one.
+    /// Fetches the page that `token` names, or the first one.
     fn fetch(&self, token: Option<PageToken>) -> Fetch<'_>;
 }
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -1,4 +1,4 @@
-//! The entry's life from start to drain.
+//! Daemon of an entry: startup, tasks and shutdown.
 
 use crate::agree;
 use crate::dialect::{CallerDialect, EndpointDialect, EndpointList};
@@ -32,32 +32,32 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Connections that wait to be accepted. A burst on the hour brings more than
-/// the usual 128 within one turn of a small processor.
+/// Length of the accept queue. A burst of new connections exceeds the usual 128 within
+/// one scheduling turn of a small processor.
 const BACKLOG: u32 = 1_024;
-/// Time before the end of the grace at which the entry ends by itself, so that
-/// its last lines are written.
+/// Time before the end of the grace period at which the entry exits by itself, so that
+/// its last log lines are written.
 const RESERVE: Duration = Duration::from_millis(400);
 
-/// Longest wait for control to hear the last counts of usage.
+/// Timeout of the final usage report.
 const LAST_WORD: Duration = Duration::from_millis(250);
 
-/// The words that an entry speaks.
+/// Adapters to the protocols and formats of a deployment.
 #[derive(Debug)]
 pub struct Dialects {
-    /// Of callers.
+    /// For requests of callers.
     pub callers: Box<dyn CallerDialect>,
-    /// Of endpoints.
+    /// For requests to endpoints.
     pub endpoints: Box<dyn EndpointDialect>,
-    /// Of the list of endpoints.
+    /// Source of the endpoint list.
     pub list: Box<dyn EndpointList>,
-    /// Of route sets.
+    /// Parser of route sets.
     pub routes: Box<dyn SetFormat>,
-    /// Path that a balancer asks for readiness, besides `/readyz`.
+    /// Path of the load balancer's readiness check, in addition to `/readyz`.
     pub ready_path: String,
 }
 
-/// An address can't be bound.
+/// An address cannot be bound.
 #[derive(Debug, Display, Error)]
 #[display("can't listen on {address}; choose a free port of this instance")]
 pub struct BindError {
@@ -65,7 +65,7 @@
     pub address: SocketAddr,
 }
 
-/// An entry that is listening.
+/// An entry that is bound to its addresses.
 #[derive(Debug)]
 pub struct Direct {
     callers: TcpListener,
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// [`BindError`].
+    /// [`BindError`] if an address is in use or does not belong to this host.
     pub async fn bind(
         settings: Settings,
         dialects: Dialects,
@@ -144,7 +144,7 @@
         })
     }
 
-    /// Address for callers.
+    /// Bound address for callers.
     ///
     /// # Panics
     ///
@@ -155,17 +155,17 @@
             .expect("a bound socket has an address")
     }
 
-    /// What all requests share, for those who embed an entry.
+    /// State shared by all requests, for embedding an entry.
     pub fn shared(&self) -> Arc<Shared> {
         Arc::clone(&self.shared)
     }
 
-    /// Address for readiness and metrics.
+    /// Bound address for readiness and metrics.
     pub fn status(&self) -> SocketAddr {
         self.status.address()
     }
 
-    /// Serves until the drain is complete; follows changes of the settings.
+    /// Serves until the drain is complete, and applies changed settings meanwhile.
     pub async fn run(self, mut changed: Changed<Settings>) {
         Event::new("entry-started")
             .field("name", &self.settings.name)
@@ -207,8 +207,8 @@
             }),
         ];
         let health = status_routes(&shared, &metrics, &ready_path);
-        // Readiness is told as false to the very end, so this listener is
-        // never drained.
+        // The status listener is never drained: readiness is reported as false until the
+        // process exits.
         let answering =
             tokio::spawn(status.serve(health, Drain::default(), Duration::ZERO));
         let drain = shared.drain.clone();
@@ -249,7 +249,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Whether the entry can serve: it has routes and endpoints, and goes on.
+/// Whether the entry can serve: it has routes and endpoints and is not draining.
 fn ready(shared: &Shared) -> bool {
     let routes = shared.routes.load().is_some();
     routes && !shared.directory.all().is_empty() && !shared.drain.begun()
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -1,8 +1,8 @@
-//! The endpoints an entry knows, and the choice among them.
+//! The known endpoints, and placement of requests among them.
 //!
-//! The list says which endpoints there are and which are leaving; what each is
-//! worth now is known from the entry's own requests and from the load that
-//! answers carry. Requests read a snapshot; only the list replaces it.
+//! The list determines which endpoints exist and which are leaving; their current state
+//! comes from the entry's own requests and from load reported in responses. Requests read
+//! a snapshot that only a new list replaces.
 
 mod admission;
 mod demand;
@@ -33,68 +33,69 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Part of its even share of the reading that an entry may count on before it
-/// has measured its own: entries get uneven numbers of callers.
+/// Share of an even split of the endpoints' prefill capacity that an entry assumes before
+/// it has an estimate of its own; entries get uneven numbers of callers.
 const LEAST_SHARE: f64 = 0.5;
 
-/// All endpoints an entry knows.
+/// All known endpoints of an entry.
 #[derive(Debug)]
 pub struct Directory {
     snapshot: ArcSwap<Snapshot>,
     domain: DomainId,
     start: Instant,
-    /// Where this entry begins among many endpoints.
+    /// Random offset at which this entry's window into a large group starts.
     spread: u64,
-    /// By service; sorted.
+    /// By service, sorted.
     demand: Mutex<Vec<(ServiceId, Demand)>>,
     runs: Mutex<Incarnations>,
     contact: Mutex<ControlContact>,
 }
 
-/// What a request wants of an endpoint.
+/// Placement requirements of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Want<'a> {
-    /// Service.
+    /// Service to choose an endpoint of.
     pub service: &'a str,
-    /// Prompt.
+    /// Size and shared prefix of the prompt.
     pub prompt: &'a Prompt,
-    /// Whether its stream is disturbed by long prompts.
+    /// Lane of the request.
     pub lane: Lane,
-    /// Whether it goes behind those of its tier that may be in time.
+    /// Whether the request yields to those of its tier that can still meet their
+    /// objective.
     pub background: bool,
     /// Whether the service has requests of both lanes.
     pub mixed: bool,
-    /// Endpoints that are not asked again.
+    /// Endpoints already tried.
     pub tried: &'a [Incarnation],
-    /// Set where the request is suspected of crashing endpoints: it goes where few others
-    /// of its kind go, so that it is seen which of them does.
+    /// Fingerprint of a request suspected of crashing endpoints. It is placed away from
+    /// similar requests, so that the culprit among them can be identified.
     pub apart: Option<Fingerprint>,
 }
 
-/// An endpoint chosen for a request, and what decided.
+/// An endpoint chosen for a request, with the inputs of the choice.
 #[derive(Clone, Debug)]
 pub struct Placed {
-    /// The endpoint.
+    /// The chosen endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// How far it is trusted.
+    /// Trust in the endpoint at the time of the choice.
     pub trust: Trust,
     /// Endpoints of the service that are not leaving.
     pub known: usize,
-    /// Those of them that are kept free of long prompts.
+    /// Those of them that are reserved for latency-sensitive streams.
     pub reserved: usize,
 }
 
-/// The endpoints a request goes to first.
+/// Class of requests, with endpoints preferred for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
-    /// Those kept free of long prompts.
+    /// Latency-sensitive streams; their endpoints are kept free of long prompts.
     Fragile,
-    /// The others.
+    /// All other requests.
     Other,
 }
 
 impl Directory {
-    /// No endpoints yet; `domain` is the entry's own.
+    /// Creates an empty directory; `domain` is the entry's own failure domain.
     pub fn new(domain: DomainId) -> Self {
         Self {
             snapshot: ArcSwap::default(),
@@ -107,16 +108,15 @@
         }
     }
 
-    /// Takes a list in. Endpoints that stay keep what is believed of them; one that
-    /// started again is another endpoint. Of several entries with one name the one
-    /// with the latest start counts, and among equal ones the one in use, or the
-    /// first.
+    /// Applies a list. Endpoints that stay keep their state; a restarted one is a new
+    /// endpoint. Among list entries with the same name, the latest start wins, then the
+    /// endpoint in use, then the first entry.
     pub fn update(&self, listed: Vec<Listed>) {
         let snapshot = self.snapshot.load();
         let old = &snapshot.all;
         let endpoints = self.arrange(old, listed);
         if old.is_empty() {
-            // A start: thousands of lines would hold the first requests up.
+            // At startup, thousands of log lines would delay the first requests.
             Event::new("endpoints-listed")
                 .field("endpoints", endpoints.len())
                 .info();
@@ -130,8 +130,7 @@
         self.snapshot.store(Arc::new(Snapshot::new(endpoints)));
     }
 
-    /// The endpoints that a list names, sorted by name: those of `old` that stay, and new
-    /// ones.
+    /// The endpoints of a list, sorted by name: those of `old` that stay, and new ones.
     fn arrange(
         &self,
         old: &[Arc<Endpoint>],
@@ -158,7 +157,7 @@
             let (run, leaving) = runs.newest(&listed.run.id)?;
             let known = find(old, &run.id);
             if listed.run.cmp_start(run) == Ordering::Less {
-                // The list lags behind the run that is in use.
+                // The list is older than the run in use.
                 return known.cloned();
             }
             let stays = known.filter(|known| known.is_listed_as(&listed));
@@ -173,7 +172,7 @@
         endpoints.collect()
     }
 
-    /// An endpoint of which nothing is believed yet.
+    /// Creates an endpoint without any observations.
     fn begin(
         &self,
         old: &[Arc<Endpoint>],
@@ -191,21 +190,21 @@
         self.contact.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// All endpoints.
+    /// All endpoints, sorted by name.
     pub fn all(&self) -> Arc<Vec<Arc<Endpoint>>> {
         Arc::clone(&self.snapshot.load().all)
     }
 
-    /// The endpoint that runs as `run`, if it is listed.
+    /// The endpoint whose current run is `run`, if it is listed.
     pub fn running(&self, run: &Incarnation) -> Option<Arc<Endpoint>> {
         let snapshot = self.snapshot.load();
         let known = find(&snapshot.all, &run.id)?;
         known.runs_as(run).then(|| Arc::clone(known))
     }
 
-    /// Chooses an endpoint. Sound ones go before failing ones, and those before
-    /// silent ones; among equally trusted ones those of the request's lane go
-    /// before the others.
+    /// Chooses an endpoint. Sound endpoints are preferred to failing ones, and those to
+    /// silent ones; among equally trusted ones, those of the request's lane are
+    /// preferred.
     pub fn place(&self, want: &Want<'_>) -> Option<Placed> {
         let snapshot = self.snapshot.load();
         let group = snapshot.group(want.service)?;
@@ -220,17 +219,17 @@
             Lane::Other => (rest, fragile),
         };
         let own = self.looks(want, group, own);
-        // The other lane is looked at only where a sound endpoint is missing.
+        // The other lane is considered only if the own one has no sound endpoint.
         let sound = own.iter().any(|look| look.trust == Trust::Sound);
         let others = if sound {
             Vec::new()
         } else {
             self.looks(want, group, others)
         };
-        // Long prompts stay out of the other lane for as long as one of their
-        // own endpoints is left, be it silent: under load silence is mostly a
-        // queue, and a long prompt would put streams back that are more urgent.
-        // A short prompt disturbs nobody, wherever it goes.
+        // Long prompts stay out of the other lane while any endpoint of their own is
+        // left, even a silent one: under load, silence is mostly queueing, and a long
+        // prompt would delay streams that are more urgent. Short prompts do no harm in
+        // either lane.
         let turns = match want.lane {
             Lane::Other => [
                 (Trust::Sound, &own),
@@ -261,8 +260,8 @@
         })
     }
 
-    /// Chooses by the request alone, not by what others of its kind have in common: requests
-    /// that are lost together and come again together part here.
+    /// Chooses by the fingerprint alone rather than by a shared prefix, so that requests
+    /// that were lost together and are retried together go to different endpoints.
     fn place_apart(
         &self,
         want: &Want<'_>,
@@ -291,8 +290,8 @@
         })
     }
 
-    /// How long until an endpoint of a service may be sent a request, as far as that is
-    /// known; `None` where it has none.
+    /// Time until an endpoint of a service is expected to admit a request; `None` if the
+    /// service has none.
     pub fn opens_in(&self, service: &str) -> Option<Duration> {
         let snapshot = self.snapshot.load();
         let group = snapshot.group(service)?;
@@ -300,7 +299,7 @@
         staying.map(|endpoint| endpoint.opens_in()).min()
     }
 
-    /// Looks at endpoints of a range that may be asked.
+    /// Evaluates the usable endpoints of a range.
     fn looks<'a>(
         &self,
         want: &Want<'_>,
@@ -326,8 +325,8 @@
         }
     }
 
-    /// Where a request of `rank` stands that is wanted within `objective`.
-    /// `entries`: how many entries send to the same endpoints.
+    /// Predicts the queue position of a request of `rank` with the given objective.
+    /// `entries` is the number of entries that send to the same endpoints.
     pub fn stand(
         &self,
         want: &Want<'_>,
@@ -358,7 +357,7 @@
     }
 }
 
-/// Chooses among endpoints that are trusted alike.
+/// Chooses among equally trusted endpoints.
 fn choose<'a>(want: &Want<'_>, looks: Vec<&Look<'a>>) -> Option<&'a Arc<Endpoint>> {
     match want.lane {
         Lane::Fragile => packed(looks),
@@ -372,10 +371,9 @@
     }
 }
 
-/// Chooses among the endpoints that aren't too slow for short pauses, and as many of
-/// the slow ones as are needed. Two of them are drawn and the less busy
-/// one is taken: entries that all took the first with room would all take the
-/// same one.
+/// Chooses among endpoints that are fast enough for short pauses, plus as many slow ones
+/// as are needed. The less busy of two random candidates wins: if all entries took the
+/// first endpoint with room, they would all take the same one.
 fn packed<'a>(mut looks: Vec<&Look<'a>>) -> Option<&'a Arc<Endpoint>> {
     let slow_from = pace::slow_from(looks.iter().filter_map(|look| look.pace));
     looks.sort_by_key(|look| look.pace.is_some_and(|pace| pace > slow_from));
@@ -393,13 +391,13 @@
     Some(less.endpoint)
 }
 
-/// The endpoint of this name among `all`, which are sorted by name.
+/// Finds an endpoint by name in `all`, which is sorted by name.
 fn find<'a>(all: &'a [Arc<Endpoint>], id: &str) -> Option<&'a Arc<Endpoint>> {
     let found = all.binary_search_by(|known| known.id.as_str().cmp(id));
     found.ok().map(|at| &all[at])
 }
 
-/// Ends the use of an endpoint, whose name `successor` has now.
+/// Retires an endpoint; `successor` is the endpoint that has its name now.
 fn retire(known: &Endpoint, successor: Option<&Arc<Endpoint>>) {
     known.mark(true);
     known.pool.clear();
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -1,8 +1,8 @@
-//! Whether an endpoint may be sent a request now, as it asks of its senders.
+//! Admission control on behalf of endpoints.
 //!
-//! It may leave, name a limit on the requests of all entries, or ask this entry to be left
-//! alone. All of that is looked at when an endpoint is chosen, and again where the first byte of
-//! a request goes out, so that whatever leads there is covered.
+//! An endpoint may be leaving, announce a rate limit for all entries together, or request
+//! a backoff of this entry. Admission is checked when an endpoint is chosen, and again
+//! before the first byte of a request is sent, so that no path bypasses it.
 
 use super::endpoint::Endpoint;
 use derive_more::Display;
@@ -13,49 +13,50 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Pause after which one without permits may have some: the interval at which entries ask.
+/// Retry delay for an endpoint without permits: the interval at which entries request
+/// them.
 const PERMIT_PAUSE: Duration = Duration::from_millis(500);
 
-/// Why an endpoint is not sent a request that was chosen for it.
+/// Why a request is not sent to the endpoint chosen for it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Hold {
-    /// It is about to stop, or gone.
+    /// The endpoint is shutting down or gone.
     #[display("leaving")]
     Leaving,
-    /// It takes no more of this entry now.
+    /// The entry has no permit under the endpoint's rate limit.
     #[display("limited")]
     Limited,
-    /// It asked to be left alone.
+    /// The endpoint requested a backoff.
     #[display("backoff")]
     BackedOff,
 }
 
-/// What an endpoint asked of this entry and of all.
+/// Limits that an endpoint imposes on its senders.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
     permits: Mutex<Permits>,
-    /// Whether it is sent only what there are permits for.
+    /// Whether a rate limit is in force, so that requests need permits.
     limited: AtomicBool,
     backoff: Mutex<Backoff>,
-    /// Whether it has ever asked to be left alone.
+    /// Whether a backoff was ever requested; avoids taking the lock.
     backed_off: AtomicBool,
 }
 
 impl Endpoint {
-    /// An answer of its own said this of a limit.
+    /// Applies the rate limit named in a response of the endpoint.
     pub fn heard_limit(&self, limit: Limit) {
         if limit == Limit::Unreadable {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
-        // Most endpoints name none.
+        // Most endpoints name no limit.
         if limit != Limit::Unnamed || self.is_limited() {
             self.change_limit("answer", |permits| permits.hear(uptime(), limit));
         }
     }
 
-    /// It turned a request away, and said this of when to come back.
+    /// Applies the retry delay named in a rejection by the endpoint.
     pub fn turned_away(&self, retry: Retry) {
         if retry == Retry::Unsaid {
             return;
@@ -75,7 +76,7 @@
             .info();
     }
 
-    /// For how much longer it is left alone, as it asked this entry; `None` where it is not.
+    /// Remaining backoff; `None` if there is none.
     pub fn backoff_left(&self) -> Option<Duration> {
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
@@ -90,7 +91,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Control told what all entries know of its limit.
+    /// Applies the limit that control derived from the reports of all entries.
     pub(super) fn told_limit(&self, observed: Observation) {
         self.change_limit("control", |permits| permits.told(observed));
     }
@@ -114,25 +115,25 @@
         }
     }
 
-    /// Whether it is sent only what there are permits for.
+    /// Whether a rate limit is in force, so that requests need permits.
     pub fn is_limited(&self) -> bool {
         self.admission.limited.load(Ordering::Acquire)
     }
 
-    /// Whether it may be sent a request now.
+    /// Whether the endpoint admits a request now.
     pub(super) fn open(&self) -> bool {
         let accepting = self.accepting().is_ok();
         accepting && (!self.is_limited() || self.permits().open(uptime()))
     }
 
-    /// How long until it may be sent a request, as far as that is known.
+    /// Time until the endpoint is expected to admit a request.
     pub(super) fn opens_in(&self) -> Duration {
         let rest = self.backoff_left().unwrap_or_default();
         let ready = !self.is_limited() || self.permits().ready(uptime());
         rest.max(if ready { Duration::ZERO } else { PERMIT_PAUSE })
     }
 
-    /// Whether it takes requests of this entry at all now.
+    /// Whether the endpoint is neither leaving nor backed off.
     fn accepting(&self) -> Result<(), Hold> {
         if self.leaving() {
             return Err(Hold::Leaving);
@@ -143,12 +144,12 @@
         }
     }
 
-    /// Leave to send a request whose first byte goes out now. What was chosen may have begun
-    /// to leave or rest, or to name a limit, since.
+    /// Admits a request whose first byte is about to be sent. Since it was chosen, the
+    /// endpoint may have begun to leave, requested a backoff or named a limit.
     ///
     /// # Errors
     ///
-    /// [`Hold`] where none may go out.
+    /// [`Hold`] if the request must not be sent.
     pub fn admit(&self) -> Result<Permit, Hold> {
         self.accepting()?;
         if !self.is_limited() {
@@ -157,11 +158,12 @@
         self.permits().take(uptime()).ok_or(Hold::Limited)
     }
 
-    /// The same for a request that got a permit before and has sent nothing yet.
+    /// Checks admission again for a request with a permit of which nothing has been sent
+    /// yet.
     ///
     /// # Errors
     ///
-    /// [`Hold`] where none may go out any more.
+    /// [`Hold`] if the request must not be sent any more.
     pub fn admit_late(&self, permit: Permit) -> Result<(), Hold> {
         let holds = match permit.until {
             Some(until) => uptime() < until,
@@ -174,12 +176,12 @@
         }
     }
 
-    /// What control is to be told of its limit, if anything.
+    /// Limit observations and permit demand to report to control, if any.
     pub(super) fn limit_news(&self, now: Duration) -> Option<LimitNews> {
         self.permits().news(now)
     }
 
-    /// Control granted permits, of those that were asked for at `asked`.
+    /// Applies permits granted by control in response to a request sent at `asked`.
     pub(super) fn granted(&self, asked: Duration, permits: u32, wanted: u32) {
         self.permits().granted(asked, permits);
         if permits > 0 {
@@ -192,12 +194,12 @@
         }
     }
 
-    /// No control instance grants any: this entry, one of `entries`, goes by itself.
+    /// Control is unreachable: this entry, one of `entries`, limits its own rate.
     pub(super) fn begin_autonomy(&self, entries: u32) {
         self.permits().begin_autonomy(entries, rand::random());
     }
 
-    /// A control instance is heard of again.
+    /// Control is reachable again.
     pub(super) fn end_autonomy(&self) {
         self.permits().end_autonomy();
     }
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -1,5 +1,5 @@
-//! What comes for each service, what it does to streams, and how fast its endpoints
-//! read: what one entry has seen, and what all of them told each other.
+//! Demand, stream disturbance and prefill rate per service, from this entry's
+//! observations and from the sums over all entries.
 
 use super::{Directory, Lane, Want};
 use dogwoodhill_core::prelude::*;
@@ -10,10 +10,10 @@
 use dogwoodhill_wire::demand::{ServiceDemand, Totals};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Part of a second of an endpoint's time that one generated token takes: a
-/// step of 6.5 ms shared by some thirty streams.
+/// Endpoint time per generated token, in seconds: a decoding step of 6.5 ms shared by
+/// some thirty streams.
 const TOKEN_WORK: f64 = 0.000_2;
-/// What came for one service and what is sent and not read.
+/// Demand for one service, and its queue of prompts awaiting prefill.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
     pub(super) shares: Shares,
@@ -23,7 +23,7 @@
 }
 
 impl Demand {
-    /// What came for a service.
+    /// The state of a service, created on first use.
     pub(super) fn of<'a>(
         all: &'a mut Vec<(ServiceId, Self)>,
         service: &str,
@@ -38,7 +38,7 @@
 }
 
 impl Directory {
-    /// Notes a request's work, from which the size of the lanes follows.
+    /// Records the work of a request, which determines the sizes of the lanes.
     pub fn note(&self, want: &Want<'_>) {
         let now = self.start.elapsed();
         let reading = self
@@ -52,8 +52,8 @@
         demand.shares.note(now, fragile, work);
     }
 
-    /// Whether streams of `service` that allow a pause of `shortest`, and no other
-    /// stream less, are kept apart from those that allow up to `longest`.
+    /// Whether streams of `service` that tolerate a pause of `shortest`, the shortest of
+    /// all, are separated from those that tolerate up to `longest`.
     pub fn apart(&self, service: &str, shortest: Duration, longest: Duration) -> bool {
         let now = self.start.elapsed();
         let mut all = self.demand();
@@ -74,7 +74,7 @@
         disturbance.apart()
     }
 
-    /// A stream of a request ended whose longest pause was `longest`.
+    /// Records the longest pause of a completed stream.
     pub fn streamed(&self, want: &Want<'_>, longest: Duration) {
         if want.lane == Lane::Other {
             let now = self.start.elapsed();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What came here lately, for the other entries.
+    /// Recent demand at this entry, for the other entries.
     pub fn demanded(&self) -> Vec<ServiceDemand> {
         let now = self.start.elapsed();
         let all = self.demand();
@@ -103,7 +103,7 @@
         services.collect()
     }
 
-    /// Takes in what came at all entries.
+    /// Applies the sums over all entries.
     pub fn agree(&self, totals: &Totals) {
         let now = self.start.elapsed();
         let mut all = self.demand();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// How many endpoints are kept free of long prompts.
+    /// Number of endpoints reserved for latency-sensitive streams.
     pub(super) fn reserved(&self, want: &Want<'_>, endpoints: usize) -> usize {
         if !want.mixed {
             return 0;
@@ -127,7 +127,7 @@
         demand.shares.reserved(now, endpoints)
     }
 
-    /// How fast the endpoints of a service read.
+    /// Prefill rate of a service's endpoints.
     pub(super) fn rate(&self, service: &str) -> ReadRate {
         let shared = self.shared_rate(service);
         let rate = shared.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -1,8 +1,8 @@
-//! One endpoint as an entry sees it.
+//! State of one endpoint as estimated by an entry.
 //!
-//! Everything here is belief: how far it is trusted, how long prompts wait
-//! there, how fast it is, which beginnings it has read. It comes from this
-//! entry's own requests, and from the load that answers carry.
+//! All of it is an estimate: trust, queueing delay, speed, and the prompt prefixes in its
+//! cache. It is derived from this entry's own requests and from load reported in
+//! responses.
 
 use super::admission::Admission;
 use super::standing::Standing;
@@ -23,69 +23,68 @@
 use std::time::Instant;
 use tokio::time::sleep;
 
-/// Time beyond the nearest endpoint's to one in another failure domain: the
-/// way there and back.
+/// Additional latency of an endpoint in another failure domain: one round trip.
 const DISTANCE: Duration = Duration::from_millis(3);
-/// Time in which a process that has begun to end closes what it has open.
+/// Time in which a process that has begun to exit closes its sockets.
 const SETTLES: Duration = Duration::from_millis(20);
-/// Shared beginnings that are remembered for each endpoint.
+/// Prompt prefixes remembered per endpoint.
 const SHARED_KEPT: usize = 512;
-/// Time constant with which a reported load fades. An entry hears of each of
-/// some endpoints about once in two seconds.
+/// Time constant of the decay of a reported load, in seconds. An entry gets a report of
+/// each of some endpoints about once in two seconds.
 const LOAD_FADES: f64 = 4.0;
-/// Weight of the newest first event in the learned slowness.
+/// Weight of the newest first event in the moving average of slowness.
 const NEWEST: f64 = 0.1;
-/// Bounds of the learned slowness.
+/// Bounds of the estimated slowness.
 const SLOWNESS: (f64, f64) = (0.5, 30.0);
-/// Time until the first event beyond waiting and reading.
+/// Time to the first event in addition to queueing and prefill.
 const STEP: Duration = Duration::from_millis(25);
 
-/// One endpoint.
+/// One run of an endpoint.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Name; its start is in [`Endpoint::run`].
+    /// Name; the start is part of [`Endpoint::run`].
     pub id: EndpointId,
-    /// When it started, once that was told.
+    /// Start of the process, once known.
     born: OnceLock<Born>,
-    /// Service.
+    /// Service that the endpoint runs.
     pub service: ServiceId,
-    /// Address.
+    /// Address for requests.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: DomainId,
-    /// Connections to it.
+    /// Idle connections.
     pub pool: Pool,
     pub(super) hash: u64,
     slots: u32,
     leaving: AtomicBool,
-    /// Whether something else answers at its address. A run never comes back,
-    /// whatever a list says that lags.
+    /// Whether another process responds at the address. A run never comes back, even if
+    /// an outdated list still has it.
     gone: AtomicBool,
     start: Instant,
-    /// How fast the endpoints of its service read.
+    /// Prefill rate, shared by the endpoints of the service.
     rate: Arc<Mutex<ReadRate>>,
     view: Mutex<View>,
-    /// When it was last looked whether its process has ended, and the answer.
+    /// Time and result of the last check whether the process has ended.
     looked: tokio::sync::Mutex<Option<(Instant, bool)>>,
     pub(super) admission: Admission,
 }
 
-/// An endpoint as one decision sees it.
+/// Snapshot of an endpoint for one placement.
 #[derive(Debug)]
 pub(super) struct Look<'a> {
     /// The endpoint.
     pub(super) endpoint: &'a Arc<Endpoint>,
-    /// How far it is trusted.
+    /// Current trust.
     pub(super) trust: Trust,
-    /// For placing prompts.
+    /// For placing prompts by prefix and wait.
     pub(super) candidate: Candidate,
-    /// For packing streams with short pauses.
+    /// For packing latency-sensitive streams.
     pub(super) packing: Packing,
-    /// Usual time between two events there.
+    /// Usual time between two events of a stream.
     pub(super) pace: Option<Duration>,
 }
 
-/// What the entry believes of one endpoint.
+/// Estimated state of an endpoint.
 #[derive(Debug)]
 struct View {
     record: Record,
@@ -99,15 +98,15 @@
 }
 
 impl View {
-    /// Requests that run or wait there: what is left of the load it told, and
-    /// the entry's own at least.
+    /// Requests running or queued: the decayed reported load, but at least the entry's
+    /// own.
     fn busy(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.loaded).as_secs_f64();
         let told = f64::from(self.load.running + self.load.waiting);
         (told * (-age / LOAD_FADES).exp()).max(f64::from(self.active))
     }
 
-    /// Time until a prompt sent now would begin to be read.
+    /// Time until prefill of a prompt sent now would begin.
     fn wait(&self, now: Duration, rate: ReadRate, background: bool) -> Duration {
         let own = self.reading(rate, self.waits.ahead(background));
         own.max(self.waits.predicted(now))
@@ -125,8 +124,8 @@
         rate: Arc<Mutex<ReadRate>>,
     ) -> Self {
         Self {
-            // By the name alone: beginnings find the same endpoint after it
-            // started again, and at entries that were not told of its start.
+            // By name only, so that prefixes map to the same endpoint after its restart,
+            // and at entries that have not received its start.
             hash: affinity::hash(listed.run.id.as_bytes()),
             born: listed.run.born.map_or_else(OnceLock::new, OnceLock::from),
             id: listed.run.id,
@@ -154,12 +153,12 @@
         }
     }
 
-    /// The run of its process.
+    /// The run of the process.
     pub fn run(&self) -> Incarnation {
         Incarnation::new(self.id.clone(), self.born.get().copied())
     }
 
-    /// Whether `run` is this one, as far as anybody told.
+    /// Whether `run` may be this one; an unknown start matches any.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
         let same = match (self.born.get(), run.born) {
             (Some(own), Some(other)) => *own == other,
@@ -168,26 +167,26 @@
         same && self.id == run.id
     }
 
-    /// Whether `listed` means this run of this endpoint.
+    /// Whether `listed` describes this run at this address.
     pub(super) fn is_listed_as(&self, listed: &Listed) -> bool {
         self.runs_as(&listed.run)
             && self.address == listed.address
             && self.service == listed.service
     }
 
-    /// Takes in when it started.
+    /// Sets the start if it was unknown.
     pub(super) fn learn_start(&self, born: Option<Born>) {
         if let Some(born) = born {
             self.born.get_or_init(|| born);
         }
     }
 
-    /// Whether it gets no new requests: it is about to stop, or gone.
+    /// Whether the endpoint gets no new requests, because it is shutting down or gone.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire) || self.gone.load(Ordering::Acquire)
     }
 
-    /// Something else answers at its address.
+    /// Marks the endpoint as gone: another process responds at its address.
     fn replaced(&self) {
         if !self.gone.swap(true, Ordering::AcqRel) {
             log_change("endpoint-replaced", &self.run(), &self.service);
@@ -195,13 +194,13 @@
         }
     }
 
-    /// Another run answered a request that was meant for it.
+    /// Called when another run responded to a request meant for this one.
     pub fn misdirected(&self) {
         self.view().record.replaced();
         self.replaced();
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as active until the guard is dropped.
     pub fn enter(self: &Arc<Self>, prompt: &Prompt, standing: &Standing) -> Sent {
         let now = self.start.elapsed();
         let rate = self.rate();
@@ -229,25 +228,26 @@
         }
     }
 
-    /// Bytes came.
+    /// Records that bytes arrived.
     pub fn heard(&self) {
         let now = self.start.elapsed();
         self.view().record.heard(now);
     }
 
-    /// For how long nothing came from it; `None` where nothing ever did.
+    /// Time since the last bytes arrived; `None` if there never were any.
     pub fn silence(&self) -> Option<Duration> {
         let now = self.start.elapsed();
         self.view().record.unheard(now)
     }
 
-    /// Whether its process has ended since `broke`, when a connection to it broke: new ones
-    /// are refused. It has not where it was about to stop anyway.
+    /// Whether the process has ended since `broke`, when a connection to it broke, so
+    /// that new connections are refused. False for an endpoint that was shutting down
+    /// anyway.
     pub async fn has_ended(&self, broke: Instant) -> bool {
         if self.leaving() {
             return false;
         }
-        // What breaks with it breaks at once, and is looked at once.
+        // Connections that break together are checked together.
         let mut last = self.looked.lock().await;
         if let Some((at, ended)) = *last
             && at >= broke
@@ -255,8 +255,8 @@
             return ended;
         }
         let at = Instant::now();
-        // A process that ends closes its connections one after the other, and may have taken
-        // the new one before it closed its listener.
+        // A process that ends closes its sockets one after the other, and may have
+        // accepted the new connection before it closed its listener.
         let ended = match self.refuses().await {
             Some(ended) => ended,
             None => self.refuses().await.unwrap_or(false),
@@ -265,7 +265,7 @@
         ended
     }
 
-    /// Whether new connections are refused; `None` where one was made and did not stay open.
+    /// Whether new connections are refused; `None` if one was made but closed again.
     async fn refuses(&self) -> Option<bool> {
         match pool::connect(self.address).await {
             Ok(line) => {
@@ -287,54 +287,54 @@
         }
     }
 
-    /// An answer came, or was lost.
+    /// Records the result of a response.
     pub fn judged(&self, failed: bool) {
         let now = self.start.elapsed();
         self.view().record.judged(now, failed);
     }
 
-    /// A request got no answer in time; `failed`: for too long.
+    /// Records that a request timed out; `failed` marks a wait long enough to count as a
+    /// failure.
     pub fn timed_out(&self, failed: bool) {
         let now = self.start.elapsed();
         self.view().record.timed_out(now, failed);
     }
 
-    /// It can't be reached, or said nothing for too long.
+    /// Records that the endpoint is unreachable or has been silent for too long.
     pub fn unreached(&self) {
         let now = self.start.elapsed();
         self.view().record.unreached(now);
         self.pool.clear();
     }
 
-    /// A new connection got no answer.
+    /// Records that a connection attempt got no reply.
     pub fn unanswered(&self) {
         let now = self.start.elapsed();
         self.view().record.unanswered(now);
         self.pool.clear();
     }
 
-    /// Whether a request that has waited there for `waited` had better be
-    /// elsewhere.
+    /// Whether a request that has waited there for `waited` should move to another
+    /// endpoint.
     pub fn deserted(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
         self.view().record.deserted(now, sent)
     }
 
-    /// It has started again since, as another endpoint.
+    /// Records that the process has restarted as another endpoint.
     pub(super) fn mark_over(&self) {
         let now = self.start.elapsed();
         self.view().record.over(now);
     }
 
-    /// An event came `pause` after the one before, in a stream that is disturbed
-    /// by pauses.
+    /// Records a pause before an event of a latency-sensitive stream.
     pub fn paced(&self, pause: Duration) {
         let now = self.start.elapsed();
         self.view().pace.event(now, pause);
     }
 
-    /// It told its load.
+    /// Records a load reported by the endpoint.
     pub fn loaded(&self, load: Load) {
         let now = self.start.elapsed();
         let mut view = self.view();
@@ -342,13 +342,13 @@
         view.loaded = now;
     }
 
-    /// What this entry met there since it told the others last, if anything.
+    /// Observations since the last report to control, if any.
     pub(crate) fn sight(&self) -> Option<Sight> {
         let now = self.start.elapsed();
         self.view().record.sight(now)
     }
 
-    /// All entries together see this of it, or nothing of note.
+    /// Applies the verdict of all entries; `None` if there is none.
     pub(crate) fn told(&self, verdict: Option<Verdict>) {
         if verdict == Some(Verdict::Replaced) {
             self.replaced();
@@ -357,13 +357,13 @@
         self.view().record.told(now, verdict);
     }
 
-    /// How far it is trusted now.
+    /// Current trust in the endpoint.
     pub fn trust(&self) -> Trust {
         let now = self.start.elapsed();
         self.view().record.trust(now)
     }
 
-    /// Looks at it on behalf of a request.
+    /// Evaluates the endpoint for a request.
     pub(super) fn look<'a>(
         self: &'a Arc<Self>,
         want: &Want<'_>,
@@ -416,16 +416,16 @@
         }
     }
 
-    /// Cost of what runs there beside the request, for plain services and for
-    /// streams that only share the endpoint's steps: a full endpoint costs as
-    /// much as four times the way to another domain.
+    /// Cost of the requests already running, for plain services and for streams that only
+    /// share the endpoint's decoding steps. A full endpoint costs as much as four times
+    /// the latency to another failure domain.
     fn queueing(&self, view: &View, now: Duration) -> Duration {
         let share = view.busy(now) / f64::from(self.slots);
         DISTANCE.mul_f64(4.0 * share * view.slowness)
     }
 
-    /// Takes in whether it is about to stop, as the list or its own answers say. It never comes back from that under
-    /// the same start: a list that says so is an older one that came late.
+    /// Updates whether the endpoint is shutting down, from the list or from its own
+    /// responses. This is final for a run: a later list that says otherwise is outdated.
     pub fn mark(&self, leaving: bool) {
         if leaving && !self.leaving.swap(true, Ordering::AcqRel) {
             log_change("endpoint-leaving", &self.run(), &self.service);
@@ -441,13 +441,13 @@
     }
 
     fn view(&self) -> MutexGuard<'_, View> {
-        // Beliefs stay usable even if a holder panicked.
+        // Estimates stay valid even if a thread panicked while it held the lock.
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl View {
-    /// Notes a shared beginning; whether it was sent there before.
+    /// Remembers a prefix; returns whether it was already remembered.
     fn remember(&mut self, key: u64, now: Duration) -> bool {
         match self.shared.binary_search_by_key(&key, |item| item.0) {
             Ok(at) => {
@@ -476,13 +476,13 @@
     }
 }
 
-/// A request at an endpoint; its drop ends it.
+/// A request in flight at an endpoint; dropping it ends the accounting.
 #[derive(Debug)]
 pub struct Sent {
     endpoint: Arc<Endpoint>,
     standing: Standing,
     tokens: f64,
-    /// Whether no other entry can have had them read there.
+    /// Whether the prefix cannot have been cached there by another entry's request.
     certain: bool,
     expected: Duration,
     since: Duration,
@@ -492,17 +492,17 @@
 }
 
 impl Sent {
-    /// The endpoint.
+    /// The endpoint that the request was sent to.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
         &self.endpoint
     }
 
-    /// Tokens of its prompt that the endpoint is believed not to have read before.
+    /// Prompt tokens that are not expected to be in the endpoint's prefix cache.
     pub fn unread_tokens(&self) -> u32 {
         self.tokens as u32
     }
 
-    /// The first bytes of the answer came: its prompt is read.
+    /// Records the first bytes of the response, which imply that prefill is complete.
     pub fn begun(&mut self) {
         let now = self.endpoint.start.elapsed();
         if !std::mem::take(&mut self.unread) {
@@ -535,7 +535,7 @@
         view.slowness = slowness.clamp(SLOWNESS.0, SLOWNESS.1);
     }
 
-    /// Nothing more is waited for.
+    /// Ends the accounting of the request.
     pub fn ended(&mut self) {
         if !std::mem::take(&mut self.waits) {
             return;
--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -1,26 +1,26 @@
-//! Limits that endpoints name: what this entry heard, what all entries know, and the permits
-//! that it has.
+//! Rate limits named by endpoints: reports to control, and limits and permits received
+//! from it.
 
 use super::Directory;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 
-/// Time without an answer of any control instance after which an entry sends to limited
-/// endpoints by itself: by then another instance has taken over if there is one.
+/// Time without a response of any control instance after which an entry limits its own
+/// rate to limited endpoints. Another instance would have taken over by then.
 const AUTONOMOUS_AFTER: Duration = Duration::from_secs(2);
 
-/// What this entry knows of the others in matters of limits.
+/// State of the exchange of limits with control.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ControlContact {
-    /// Mark of the limits that control told.
+    /// Mark of the limits last received.
     mark: u64,
-    /// The first time in a row that control did not answer.
+    /// When control first failed to respond, since its last response.
     unheard: Option<Duration>,
 }
 
 impl Directory {
-    /// What control is to be told of limits, and the mark of those that it told.
+    /// Limit observations to report to control, and the mark of the limits last received.
     pub fn limit_news(&self) -> (Vec<EndpointLimit>, u64) {
         let now = uptime();
         let all = self.all();
@@ -31,7 +31,8 @@
         (news.collect(), self.contact().mark)
     }
 
-    /// Control answered a question that was sent at `asked` and told of the limits in `told`.
+    /// Applies a response of control to a report that was sent at `asked` with the
+    /// observations `told`.
     pub fn hear_limits(
         &self,
         asked: Duration,
@@ -53,7 +54,7 @@
             endpoint.granted(asked, granted, told.wanted);
         }
         if let Some(limits) = limits {
-            // What concerns an endpoint that is not listed here yet is asked for again.
+            // Limits of endpoints that are not listed here yet are requested again.
             let applied = limits
                 .limits
                 .iter()
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes in the limit of an endpoint, as it was known at `asked`. Whether it is listed.
+    /// Applies a limit as of `asked`. Returns whether its endpoint is listed.
     fn apply(&self, asked: Duration, limit: &EndpointLimit) -> bool {
         let Some(endpoint) = self.running(&limit.run) else {
             return false;
@@ -74,7 +75,7 @@
         true
     }
 
-    /// No control instance answered this entry, which is one of `entries`.
+    /// Called when no control instance responded; this entry is one of `entries`.
     pub fn miss_limits(&self, entries: u32) {
         let now = uptime();
         let since = *self.contact().unheard.get_or_insert(now);
--- a/crates/direct/src/directory/snapshot.rs
+++ b/crates/direct/src/directory/snapshot.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one list, arranged for choosing among them.
+//! Endpoints of one list, indexed for placement.
 
 use super::endpoint::Endpoint;
 use dogwoodhill_core::prelude::*;
@@ -6,21 +6,21 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Endpoints that one decision looks at closely. Every look takes a lock and
-/// some 150 ns, and sixteen are as good to choose from as a thousand.
+/// Candidates per placement. Evaluating one takes a lock and some 150 ns, and a choice
+/// among sixteen is as good as among a thousand.
 const MOST: usize = 16;
 
-/// A list as it was taken in.
+/// An applied list.
 #[derive(Debug, Default)]
 pub(super) struct Snapshot {
-    /// Sorted by identity.
+    /// Sorted by name.
     pub(super) all: Arc<Vec<Arc<Endpoint>>>,
     /// Sorted by service.
     services: Vec<(ServiceId, Group)>,
 }
 
-/// Endpoints of one service that were not leaving, in the order that all
-/// entries share.
+/// Endpoints of one service that were not leaving, in an order that is the same at all
+/// entries.
 #[derive(Debug, Default)]
 pub(super) struct Group {
     hashes: Vec<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl Snapshot {
-    /// Arranges endpoints that are sorted by identity.
+    /// Indexes endpoints that are sorted by name.
     pub(super) fn new(all: Vec<Arc<Endpoint>>) -> Self {
         let mut services: Vec<(ServiceId, Group)> = Vec::new();
         for endpoint in all.iter().filter(|endpoint| !endpoint.leaving()) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The endpoints of a service, if there are any.
+    /// Endpoints of a service, if there are any.
     pub(super) fn group(&self, service: &str) -> Option<&Group> {
         let found = self
             .services
@@ -66,13 +66,13 @@
         self.endpoints.len()
     }
 
-    /// All endpoints.
+    /// All endpoints, in the order of the group.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         self.endpoints.iter()
     }
 
-    /// Of the endpoints in `range`, those that `key` ranks first, in their order.
-    /// All entries find the same ones.
+    /// The endpoints in `range` that rendezvous hashing ranks highest for `key`, in group
+    /// order. All entries get the same ones.
     pub(super) fn ranked(
         &self,
         range: Range<usize>,
@@ -97,9 +97,9 @@
         places.into_iter().map(|at| &self.endpoints[at])
     }
 
-    /// Of the endpoints in `range`, some that lie side by side. Where there are
-    /// more than one decision looks at, `spread` tells which: it differs between
-    /// entries, so that they use all.
+    /// A contiguous window of the endpoints in `range`. If there are more than one
+    /// placement evaluates, `spread` selects the window; it differs between entries, so
+    /// that together they use all endpoints.
     pub(super) fn window(
         &self,
         range: Range<usize>,
--- a/crates/direct/src/directory/standing.rs
+++ b/crates/direct/src/directory/standing.rs
@@ -1,18 +1,18 @@
-//! A request's place among those of its service that wait to be read.
+//! A request's position in its service's queue of prompts awaiting prefill.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backlog::Backlog;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A request's place among those of its service that wait to be read.
+/// A request's position in its service's queue of prompts awaiting prefill.
 #[derive(Clone, Debug, Default)]
 pub struct Standing {
     /// `None` for requests without a long prompt.
     pub(super) backlog: Option<Arc<Mutex<Backlog>>>,
     pub(super) rank: usize,
-    /// Predicted wait, when it came.
+    /// Predicted wait when the request arrived.
     pub wait: Duration,
-    /// Whether the others of its tier go first.
+    /// Whether the request yields to the others of its tier.
     pub background: bool,
 }
 
--- a/crates/direct/src/events.rs
+++ b/crates/direct/src/events.rs
@@ -1,38 +1,38 @@
-//! Taking a stream apart into whole events.
+//! Splitting a stream into complete events.
 //!
-//! An event ends with an empty line. What an endpoint sent of an event before
-//! its connection broke must never reach a caller, who could not tell it from
-//! a whole one; so bytes are kept back until their event is whole.
+//! An event ends with an empty line. A partial event, left by a connection that broke,
+//! must not reach the caller, which could not tell it from a complete one. Bytes are
+//! therefore buffered until their event is complete.
 
 use crate::dialect::EventId;
 use bytes::{Bytes, BytesMut};
 
-/// End of an event.
+/// Terminator of an event.
 const END: &[u8] = b"\n\n";
-/// End of an event with carriage returns.
+/// Terminator of an event with CRLF line ends.
 const END_CRLF: &[u8] = b"\r\n\r\n";
-/// Field with an event's number.
+/// Prefix of the line with the event's number.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Whole events.
+/// One or more complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes, as the endpoint sent them.
+    /// The bytes as the endpoint sent them.
     pub bytes: Bytes,
-    /// Number of the last one that has one.
+    /// Number of the last event that has one.
     pub last: Option<EventId>,
 }
 
-/// Bytes of a stream that are not a whole event yet.
+/// Splits a byte stream at event boundaries and buffers the incomplete rest.
 #[derive(Debug, Default)]
 pub struct Splitter {
     held: BytesMut,
 }
 
 impl Splitter {
-    /// Adds bytes, and takes out the events that are whole now.
+    /// Appends bytes, and returns the events that are complete now.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Events> {
-        // An end may begin in what was held and finish in what came.
+        // A terminator may straddle the buffered bytes and the new ones.
         let from = self.held.len().saturating_sub(END_CRLF.len() - 1);
         self.held.extend_from_slice(bytes);
         let end = last_end(&self.held[from..])? + from;
@@ -41,13 +41,13 @@
         Some(Events { bytes, last })
     }
 
-    /// Whether part of an event is held.
+    /// Whether part of an event is buffered.
     pub fn torn(&self) -> bool {
         !self.held.is_empty()
     }
 }
 
-/// Where the last whole event ends.
+/// Offset of the end of the last complete event.
 fn last_end(bytes: &[u8]) -> Option<usize> {
     let find = |end: &[u8]| {
         let mut windows = bytes.windows(end.len());
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint.
+//! Sending one request to one endpoint.
 
 use crate::dialect::{EndpointDialect, Prompt, Said, Tell};
 use crate::directory::{Endpoint, Hold, Sent, Standing};
@@ -12,94 +12,95 @@
 use std::sync::Arc;
 use tokio::time::{Instant, timeout_at};
 
-/// Largest answer that is held whole, in bytes.
+/// Largest response that is buffered completely, in bytes.
 const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
-/// A request as it goes to endpoints.
+/// A request to be sent to endpoints; unchanged between attempts.
 #[derive(Clone, Debug)]
 pub struct Outbound {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub target: http::uri::PathAndQuery,
-    /// Caller's headers.
+    /// Headers of the caller, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// How an exchange ended.
+/// How an attempt at an endpoint ended.
 #[derive(Debug)]
 pub enum Ended {
-    /// The head of its answer came.
+    /// The head of a response arrived.
     Answered(Box<Answer>),
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reports that it did not run the request.
     Refused(Refusal),
-    /// No byte of the request went out.
+    /// No byte of the request was sent.
     Unsent,
-    /// It was chosen and may not be sent the request any more; no byte went out.
+    /// The endpoint was chosen but no longer admits the request; no byte was sent.
     Held(Hold),
-    /// The request went out; whether it ran is not known.
+    /// The request was sent; whether it ran is unknown.
     Lost(Loss),
 }
 
-/// An endpoint's refusal.
+/// Why an endpoint refused a request without running it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is full.
+    /// The endpoint is at its limit.
     #[display("full")]
     Full,
-    /// It is not the endpoint that was meant.
+    /// The endpoint is not the intended one.
     #[display("misdirected")]
     Misdirected,
-    /// The request's time ran out while it waited there.
+    /// The deadline passed while the request was queued at the endpoint.
     #[display("expired")]
     Expired,
 }
 
-/// Why an answer is missing.
+/// Why there is no valid response.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Loss {
     /// The connection broke.
     #[display("connection-broke")]
     Broke,
-    /// The answer belongs to another request.
+    /// The response names another request.
     #[display("foreign-answer")]
     Foreign,
-    /// The answer is not one of this endpoint.
+    /// The response does not come from this endpoint.
     #[display("spoiled-answer")]
     Spoiled,
-    /// Nothing came in time.
+    /// No response arrived in time.
     #[display("timeout")]
     Timeout,
-    /// It was given up, since requests that ask the same crash endpoints.
+    /// The entry gave the request up because requests with the same content crash
+    /// endpoints.
     #[display("withdrawn")]
     Withdrawn,
 }
 
-/// The head of an answer, with its connection.
+/// Head of a response, with the connection that carries its body.
 #[derive(Debug)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Headers, without those of the connection.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// What the head says.
+    /// Metadata parsed from the head.
     pub said: Said,
-    /// The body, unread.
+    /// The unread body.
     pub body: Incoming,
-    /// The connection.
+    /// Connection that carries the body.
     pub line: Line,
-    /// The request's place at the endpoint.
+    /// Accounting of the request at the endpoint.
     pub sent: Sent,
 }
 
 impl Answer {
-    /// Reads the whole body and gives the connection back.
+    /// Reads the whole body and returns the connection to the pool.
     ///
     /// # Errors
     ///
-    /// [`Loss`] where the body is not whole.
+    /// [`Loss`] if the body is incomplete.
     pub async fn whole(self, until: Instant) -> Result<Whole, Loss> {
         let endpoint = Arc::clone(self.sent.endpoint());
         let body = Limited::new(self.body, MAX_ANSWER).collect();
@@ -125,7 +126,7 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Whole {
     /// Status.
@@ -136,7 +137,7 @@
     pub bytes: Bytes,
 }
 
-/// Sends a request to `endpoint` and waits for the head of its answer.
+/// Sends a request to `endpoint` and waits for the head of the response.
 pub async fn send(
     endpoint: &Arc<Endpoint>,
     dialect: &dyn EndpointDialect,
@@ -148,8 +149,8 @@
     let request = request(dialect, outbound, tell, endpoint);
     let mut permit = None;
     let kept = send_kept(endpoint, request, &mut permit, ask.until).await;
-    // A kept connection may have been closed before the request began to go
-    // out; a new one is tried once.
+    // A pooled connection may have been closed before the request began to be written. A
+    // new connection is tried once.
     let tried = match kept {
         Attempt::Unsent(request) => send_new(endpoint, request, permit, ask.until).await,
         other => other,
@@ -177,19 +178,19 @@
     }
 }
 
-/// One request on one connection.
+/// Result of one request on one connection.
 enum Attempt {
     Head(Response<Incoming>, Line),
-    /// Nothing of it went out.
+    /// No byte was sent.
     Unsent(Request<Full<Bytes>>),
-    /// There was no connection, which the endpoint's record has.
+    /// No connection could be made; the endpoint's health record is already updated.
     Unconnected,
-    /// The endpoint takes nothing of this entry now.
+    /// The endpoint does not admit the request.
     Held(Hold),
     Lost(Loss),
 }
 
-/// Sends on a kept connection, where there is one.
+/// Sends on a pooled connection, if there is one.
 async fn send_kept(
     endpoint: &Endpoint,
     request: Request<Full<Bytes>>,
@@ -209,8 +210,8 @@
     attempt(line, request, until).await
 }
 
-/// Sends on a new connection. The choice may be older than that took, and the process may have
-/// stood still meanwhile.
+/// Sends on a new connection. The placement is older than the time to connect, and the
+/// process may have been suspended meanwhile, so admission is checked again.
 async fn send_new(
     endpoint: &Endpoint,
     request: Request<Full<Bytes>>,
@@ -253,16 +254,16 @@
     }
 }
 
-/// What an exchange needs to know of the caller's request.
+/// Properties of the caller's request that sending depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
-    /// Its id.
+    /// Request id.
     pub id: &'a str,
-    /// Its prompt.
+    /// Prompt.
     pub prompt: &'a Prompt,
-    /// Its place among those that wait.
+    /// Position in the service's queue.
     pub standing: &'a Standing,
-    /// When it is given up.
+    /// Deadline.
     pub until: Instant,
 }
 
@@ -291,7 +292,7 @@
     request
 }
 
-/// Judges the head of an answer.
+/// Validates the head of a response.
 fn read(
     dialect: &dyn EndpointDialect,
     response: Response<Incoming>,
@@ -332,7 +333,7 @@
         keep(body, line, &said, Arc::clone(endpoint));
         return Ended::Refused(reason);
     }
-    // These say that a request has not run, and the endpoint did not say so.
+    // These statuses mean "not run", but the endpoint did not confirm it.
     let unfounded =
         turns_away(parts.status) || parts.status == StatusCode::REQUEST_TIMEOUT;
     let foreign = unfounded
@@ -355,7 +356,7 @@
     }))
 }
 
-/// Whether an endpoint that answers so takes no more now.
+/// Whether the status means that the endpoint takes no further requests at the moment.
 fn turns_away(status: StatusCode) -> bool {
     matches!(
         status,
@@ -363,7 +364,7 @@
     )
 }
 
-/// Reads a refusal's body to its end, so that its connection can be kept.
+/// Reads the body of a refusal to its end, so that the connection can be reused.
 fn keep(body: Incoming, line: Line, said: &Said, endpoint: Arc<Endpoint>) {
     if !said.keeps {
         return;
@@ -378,7 +379,7 @@
     });
 }
 
-/// Removes what concerns one connection only.
+/// Removes hop-by-hop headers.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
--- a/crates/direct/src/first.rs
+++ b/crates/direct/src/first.rs
@@ -1,21 +1,22 @@
-//! Waiting for an answer and for a reason to leave, where the answer goes first.
+//! Racing a response against a reason to abandon its endpoint, with priority to the
+//! response.
 //!
-//! A request that waits at an endpoint is looked at every now and then: whether the
-//! endpoint is lost, whether another one would do better. In the instant in which that
-//! is decided the answer may be there already. Leaving then would throw work away that
-//! is done, and run an idempotent request twice for nothing.
+//! While a request waits at an endpoint, the entry checks repeatedly whether that
+//! endpoint is lost or another one would do better. If the response is ready at the
+//! instant of that decision, abandoning the endpoint would discard finished work and run
+//! an idempotent request twice for nothing.
 
-/// What came first.
+/// Which future completed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum First<A, L> {
-    /// The answer.
+    /// The response.
     Answer(A),
-    /// The reason to leave, and no answer until then.
+    /// The reason to abandon the endpoint; no response was ready.
     Leave(L),
 }
 
-/// Waits for either; where both are there, it is the answer that counts, and nothing
-/// that `leave` would do at its end is done.
+/// Waits for either future. If both are ready, the response wins and `leave` is not
+/// polled, so that its side effects do not happen.
 pub async fn answer_first<A, L>(
     answer: impl Future<Output = A>,
     leave: impl Future<Output = L>,
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -1,13 +1,13 @@
 //! Following the route set.
 //!
-//! An entry asks every control instance it knows at the same time which version is
-//! the newest. A control instance that is frozen, cut off or behind therefore delays
-//! nothing as long as one other answers, and there is no fail-over to get wrong. The
-//! text itself is fetched from one of them at a time, in pieces
-//! ([`dogwoodhill_policy::transfer`]): the link of a small entry carries it once, and
-//! what has arrived is kept. Only accepted sets are ever told, and only newer ones are
-//! taken, so an entry never goes back. The first set has to be confirmed by a majority,
-//! since an entry that starts has nothing to compare.
+//! An entry polls all known control instances concurrently for the newest version. A
+//! control instance that is frozen, partitioned or behind therefore delays nothing as
+//! long as another one responds, and no fail-over logic is needed. The text itself is
+//! fetched in pieces from one instance at a time ([`dogwoodhill_policy::transfer`]): the
+//! link of a small entry carries it once, and received pieces are kept. Instances offer
+//! only accepted sets, and an entry activates only newer ones, so it never goes back to
+//! an older version. The first set has to be confirmed by a majority, since an entry that
+//! starts has no version to compare with.
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
@@ -24,46 +24,47 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Longest poll.
+/// Wait time of a long poll.
 const POLL: Duration = Duration::from_secs(4);
-/// Time beyond a poll after which its answer, some hundred bytes, counts as lost.
+/// Margin beyond the wait time after which a poll's response, some hundred bytes, counts
+/// as lost.
 const SLACK: Duration = Duration::from_millis(800);
-/// Longest wait of an entry that has no set yet.
+/// Wait time of a poll while the entry has no route set.
 const FIRST_POLL: Duration = Duration::from_millis(700);
-/// Pause after a failed poll.
+/// Delay after a failed poll.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a piece that did not come, so that an instance that refuses is not
-/// asked in a loop: a few ways there and back.
+/// Delay after a piece that could not be fetched: a few round trips, so that an instance
+/// that refuses is not called in a busy loop.
 const PIECE_PAUSE: Duration = Duration::from_millis(20);
-/// Interval at which instances that appeared are begun to be asked.
+/// Interval at which polling of newly announced instances is started.
 const LOOK: Duration = Duration::from_millis(500);
-/// Control instances that are asked at most.
+/// Upper bound on polled control instances.
 const MOST: usize = 7;
 
-/// Where route sets go.
+/// Receiver of route sets.
 pub trait RouteSink: Send + Sync + std::fmt::Debug {
-    /// Version of the set in force.
+    /// Version of the active set.
     fn version(&self) -> Option<Version>;
-    /// So many entries follow.
+    /// Called with the number of entries that follow.
     fn count(&self, entries: u32);
-    /// A set arrived whole, `took` after its first piece was asked for.
+    /// Called with a complete set, `took` after its first piece was requested.
     fn take(&self, text: &Text, took: Duration);
-    /// A piece did not come; `reason` is one of a few words.
+    /// Called when a piece could not be fetched; `reason` is one of a fixed set.
     fn missed(&self, reason: &str);
 }
 
-/// Follows the route set.
+/// Keeps the route set up to date.
 #[derive(Debug)]
 pub struct Follower {
-    /// Where it goes.
+    /// Receiver of route sets.
     pub sink: Arc<dyn RouteSink>,
-    /// Client for control instances.
+    /// Client for calls to control instances.
     pub caller: Caller,
     /// Name of this entry.
     pub name: String,
-    /// Control instances as the settings and the last answer name them.
+    /// Known addresses of control instances.
     pub control: Mutex<Control>,
-    /// The set that is being fetched.
+    /// Progress of fetching a set.
     pub fetching: Fetching,
 }
 
@@ -72,12 +73,12 @@
 pub struct Control {
     /// From the settings.
     pub seeds: Vec<SocketAddr>,
-    /// From the last answer.
+    /// From the last response of an instance.
     pub told: Vec<SocketAddr>,
 }
 
 impl Control {
-    /// All of them, the told ones first.
+    /// All addresses, the announced ones first.
     fn all(&self) -> Vec<SocketAddr> {
         let mut all = self.told.clone();
         all.extend(self.seeds.iter().filter(|seed| !self.told.contains(seed)));
@@ -85,9 +86,10 @@
         all
     }
 
-    /// Those that entries ask, one after the other: all entries the same one first. The
-    /// ones of the settings only until others were told of: after all processes were killed
-    /// they answer before there is a leader to tell of others.
+    /// Instances to call one after the other, sorted so that all entries start with the
+    /// same one. Those of the settings are used only until control announces others:
+    /// after a restart of all processes, they respond before there is a leader to
+    /// announce any.
     pub(crate) fn instances(&self) -> Vec<SocketAddr> {
         let known = if self.told.is_empty() {
             &self.seeds
@@ -100,7 +102,7 @@
     }
 }
 
-/// What is known of newer sets, and what has arrived of one.
+/// Versions offered by instances, and the pieces received of one.
 #[derive(Debug)]
 pub struct Fetching {
     start: Instant,
@@ -109,7 +111,7 @@
 }
 
 impl Fetching {
-    /// Nothing is known yet; `name` is the entry's.
+    /// Initial state of the entry called `name`.
     pub fn new(name: &str) -> Self {
         Self {
             start: Instant::now(),
@@ -123,7 +125,7 @@
     }
 }
 
-/// Why a piece did not come.
+/// Why a piece could not be fetched.
 #[derive(Debug, Display)]
 enum Missed {
     #[display("no answer in time")]
@@ -145,11 +147,11 @@
 }
 
 impl Follower {
-    /// Asks all control instances, and fetches what is new, for ever.
+    /// Polls all control instances and fetches new sets in an endless loop.
     pub async fn run(self: Arc<Self>) {
         let mut asking: Vec<SocketAddr> = Vec::new();
         let mut tasks = JoinSet::new();
-        // Ends with this task, as those of `tasks` do.
+        // Aborted with this task, like those of `tasks`.
         let mut fetching = JoinSet::new();
         fetching.spawn(Arc::clone(&self).fetch());
         loop {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Asks one instance which version it has, until it is none any more.
+    /// Polls one instance for its version until the instance is no longer known.
     async fn ask(self: Arc<Self>, address: SocketAddr) -> SocketAddr {
         let mut lost = false;
         while self.control().all().contains(&address) {
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Fetches newer sets, one piece after the other, for ever.
+    /// Fetches newer sets piece by piece in an endless loop.
     async fn fetch(self: Arc<Self>) {
         let mut begun = Instant::now();
         loop {
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Asks for one piece. Returns the set that it completes.
+    /// Requests one piece. Returns the set that it completes.
     async fn fetch_piece(&self, fetch: &Fetch) -> Result<Option<Text>, Missed> {
         let ask = FetchRoutes {
             version: fetch.version,
@@ -266,8 +268,8 @@
         Ok(transfer.arrived(fetch.source, asked.elapsed(), piece))
     }
 
-    /// Notes a piece that did not come. One line for each source that begins to fail,
-    /// however often it does.
+    /// Records a piece that could not be fetched. Logged once for each source that begins
+    /// to fail.
     fn miss(&self, fetch: &Fetch, missed: &Missed) {
         self.sink.missed(missed.label());
         let now = self.fetching.start.elapsed();
@@ -290,7 +292,7 @@
         }
     }
 
-    /// The addresses, for a look or a change.
+    /// Locks the addresses of control instances.
     pub fn control(&self) -> MutexGuard<'_, Control> {
         self.control.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/direct/src/job.rs
+++ b/crates/direct/src/job.rs
@@ -1,10 +1,10 @@
-//! A request on its way to endpoints.
+//! Sending a request to endpoints until one responds.
 //!
-//! The order of things matters for what may be said afterwards. As soon as one
-//! send may have run, no later refusal may say not run. A non-idempotent
-//! request is sent again only after an endpoint's own refusal, or where no byte
-//! went out. What is sent again draws on the service's budget. What endpoints ended
-//! under is not sent on (`job::crash`).
+//! The order of events determines which outcome may be reported. Once a send may have
+//! run, no later refusal may report "not run". A non-idempotent request is resent only
+//! after an endpoint's own refusal or if no byte was sent. Resends are covered by the
+//! service's resend budget. A request that has crashed endpoints is not resent
+//! (`job::crash`).
 
 mod crash;
 mod refusal;
@@ -32,33 +32,33 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Endpoints to which no connection could be made, before a request is
-/// refused. None of them got a byte, so they count as no send.
+/// Failed connection attempts, at different endpoints, after which a request is refused.
+/// No byte was sent, so they do not count as sends.
 const MAX_UNSENT: usize = 3;
-/// Time without an answer after which an idempotent request is tried elsewhere,
-/// as a multiple of its objective. Callers of streams leave after four.
+/// Time without a response after which an idempotent request is sent to another endpoint,
+/// as a multiple of its objective. Callers of streams give up after four.
 const SILENT_OBJECTIVES: f64 = 2.5;
 
-/// A request that may be sent.
+/// An admitted request.
 #[derive(Debug)]
 pub(crate) struct Prepared {
-    /// When it is given up.
+    /// Deadline.
     pub(crate) until: Instant,
-    /// Route set that decided.
+    /// Route set that was applied.
     pub(crate) table: Arc<RouteTable>,
     pub(crate) outbound: Outbound,
     pub(crate) ask: Ask,
     pub(crate) admitted: Admitted,
-    /// Tells it from all requests that ask for something else.
+    /// Hash of the request's content.
     pub(crate) fingerprint: Fingerprint,
 }
 
-/// A request on its way to endpoints.
+/// A request being sent to endpoints.
 #[derive(Debug)]
 pub struct Job {
-    /// When it is given up.
+    /// Deadline.
     pub until: Instant,
-    /// Last event that the caller has.
+    /// Last event received by the caller.
     pub resume: Option<EventId>,
     shared: Arc<Shared>,
     record: Option<Record>,
@@ -74,24 +74,24 @@
     /// Whether it is suspected of crashing endpoints.
     apart: bool,
     sends: usize,
-    /// When it was sent last.
+    /// Start of the last send.
     sent_at: Duration,
-    /// Connections that broke under it.
+    /// Number of connections that broke during its sends.
     broken: usize,
-    /// Whether the next send is already taken out of the service's budget.
+    /// Whether the next send is already debited from the budget.
     paid: bool,
     may_have_run: bool,
-    /// Counts it once an endpoint has begun it.
+    /// Counts its usage once an endpoint has started it.
     begun: Arc<Begun>,
     _busy: Busy,
 }
 
-/// What sending led to.
+/// Result of sending a request.
 #[derive(Debug)]
 pub enum Next {
-    /// An answer.
+    /// A response arrived.
     Answer(Box<Answer>),
-    /// No answer, and the router's own instead.
+    /// No response arrived; the router responds itself.
     Refuse(Cause),
 }
 
@@ -164,7 +164,7 @@
         job
     }
 
-    /// What it wants of an endpoint.
+    /// Placement requirements.
     fn want(&self) -> Want<'_> {
         Want {
             service: &self.service,
@@ -177,13 +177,13 @@
         }
     }
 
-    /// Notes that its stream is complete, with this longest pause.
+    /// Records that its stream is complete, with the longest pause.
     pub fn streamed(&self, longest: Duration) {
         self.shared.suspects.served(self.fingerprint);
         self.shared.directory.streamed(&self.want(), longest);
     }
 
-    /// Whether its stream is disturbed by pauses.
+    /// Whether its stream is sensitive to pauses.
     pub fn fragile(&self) -> bool {
         self.lane == Lane::Fragile
     }
@@ -193,18 +193,18 @@
         self.admitted.route.repeat == Repeat::Allowed
     }
 
-    /// Whether its stream may go on at another endpoint.
+    /// Whether its stream may resume at another endpoint.
     pub fn resumable(&self) -> bool {
         let events = self.admitted.route.events;
         events.is_some_and(|events| events.resumable)
     }
 
-    /// The line that tells how it ended; there until it is taken.
+    /// Its log line; present until taken.
     fn record(&mut self) -> &mut Record {
         self.record.as_mut().expect("a request ends once")
     }
 
-    /// Sends it, and answers the caller.
+    /// Sends the request and responds to the caller.
     pub(crate) async fn serve(mut self) -> Response<Reply> {
         if let Some(left) = self.quarantined().await {
             return self.refuse_for(Cause::Quarantined, Some(left));
@@ -260,14 +260,14 @@
         self.admitted.route.events.is_some() && answer.status.is_success()
     }
 
-    /// Whether another endpoint may do better than this failure.
+    /// Whether another endpoint may succeed where this one failed.
     fn worth_another(&self, status: StatusCode) -> bool {
         status.is_server_error()
             && self.idempotent()
             && self.sends < self.admitted.route.tries
     }
 
-    /// Notes that an endpoint is not asked again.
+    /// Logs that an endpoint is not tried again.
     pub fn left_behind(&mut self, endpoint: &Endpoint, reason: impl Display) {
         Event::new("endpoint-left")
             .field("request", &self.ask.id)
@@ -279,7 +279,7 @@
             .info();
     }
 
-    /// Sends the request until an endpoint answers or none is left.
+    /// Sends the request until an endpoint responds or none is left.
     pub async fn again(&mut self) -> Next {
         let mut unsent = 0;
         loop {
@@ -360,7 +360,7 @@
         let leave = async {
             tokio::select! {
                 () = self.better_elsewhere(endpoint, begun) => Loss::Timeout,
-                // What waits in a queue has ended nothing yet.
+                // A request still queued at an endpoint has not crashed it.
                 () = self.shared.suspects.quarantined(self.fingerprint) => Loss::Withdrawn,
             }
         };
@@ -377,10 +377,10 @@
         ended
     }
 
-    /// Ends when a request that was sent at `begun` is better sent to another
-    /// endpoint. It leaves only for a send that is allowed, and taken out of
-    /// the budget here: one that left for nothing would give an answer up that
-    /// may still come, and the work done for it.
+    /// Completes when a request that was sent at `begun` should move to another endpoint.
+    /// It does so only if the resend is allowed and, at this point, debited from the
+    /// budget: otherwise a response that may still arrive, and the work done for it,
+    /// would be given up for nothing.
     async fn better_elsewhere(&self, endpoint: &Endpoint, begun: Instant) {
         let last = self.sends + 1 >= self.admitted.route.tries;
         if !self.idempotent() || last || self.apart {
@@ -407,31 +407,30 @@
         }
     }
 
-    /// Takes a send to another endpoint out of the budget, if there is one.
+    /// Debits a resend from the budget if another endpoint is available.
     fn pay(&self) -> bool {
         let placed = self.shared.directory.place(&self.want());
         placed.is_some() && self.shared.spend(&self.service)
     }
 
-    /// How long an idempotent request waits for a first byte before it is tried
-    /// elsewhere. `None` for a long prompt, which is left where it is: it may be
-    /// next in its queue, and would be read anew elsewhere.
+    /// How long an idempotent request waits for the first byte before it moves to another
+    /// endpoint. `None` for a long prompt, which stays: it may be next in the queue, and
+    /// another endpoint would have to repeat the prefill.
     fn patience(&self) -> Option<Duration> {
         let route = &self.admitted.route;
         let stays = route.events.is_some() && self.lane == Lane::Other;
         (!stays).then(|| route.objective.mul_f64(SILENT_OBJECTIVES))
     }
 
-    /// Whether a broken stream may go on, and there is an endpoint for it. If so,
-    /// its next send is taken out of the budget.
+    /// Whether a broken stream may resume and an endpoint is available for it. If so, the
+    /// next send is debited from the budget.
     pub fn may_go_on(&mut self) -> bool {
         let allowed = self.resumable() && self.sends < self.admitted.route.tries;
         self.paid = allowed && self.harmless() && self.pay();
         self.paid
     }
 
-    /// Whether another send is allowed: by the route, and by what the service
-    /// may be burdened with.
+    /// Whether another send is allowed by the route and by the service's budget.
     fn may_send_again(&mut self) -> bool {
         let paid = std::mem::take(&mut self.paid);
         let allowed = self.sends < self.admitted.route.tries;
@@ -443,7 +442,7 @@
         allowed
     }
 
-    /// Notes that a send led to no answer, for the log and for the other entries.
+    /// Records a send without a response, in the log and for the other entries.
     fn note_failed(&self, endpoint: &Endpoint, result: &str) {
         self.shared.lists.met.notify_one();
         Event::new("send-failed")
@@ -464,7 +463,7 @@
         respond(whole.status, whole.headers, Reply::whole(whole.bytes))
     }
 
-    /// Waits for a stream's first event, then answers with the stream.
+    /// Waits for the first event of a stream, then responds with the stream.
     async fn begin(mut self, mut source: Source) -> Served {
         let first = timeout_at(self.until, source.next()).await;
         let events = match first {
@@ -521,11 +520,11 @@
     }
 }
 
-/// A stream's beginning.
+/// Result of starting a stream.
 enum Served {
-    /// There is something to answer with.
+    /// A response for the caller.
     Stream(Response<Reply>),
-    /// The endpoint was lost before its first event; another may be asked.
+    /// The endpoint was lost before the first event; another one may be tried.
     Lost(Box<Job>),
 }
 
@@ -548,7 +547,7 @@
     response
 }
 
-/// One of a route's services, by their weights.
+/// Chooses one of a route's services at random, by weight.
 fn pick(route: &Route) -> ServiceId {
     let total: u32 = route.targets.iter().map(|target| target.weight).sum();
     let mut at = rand::rng().random_range(0..total.max(1));
--- a/crates/direct/src/job/crash.rs
+++ b/crates/direct/src/job/crash.rs
@@ -1,7 +1,7 @@
-//! Whether an endpoint ended under a request whose connection to it broke.
+//! Detecting whether an endpoint ended when a connection to it broke.
 //!
-//! Connections also break where one alone is reset, where an answer is lost on its way, or
-//! where an endpoint closes one in the middle. An endpoint that has ended refuses new ones.
+//! A connection also breaks if it alone is reset, if the network loses the response, or
+//! if the endpoint closes it early. An endpoint that has ended refuses new connections.
 
 use super::Job;
 use crate::directory::Endpoint;
@@ -18,18 +18,18 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Longest wait until it is known whether an endpoint has ended, before the request is sent
-/// again: some ways there and back, and the time in which a process ends.
+/// Longest wait for the check whether an endpoint has ended before the request is resent:
+/// some round trips plus the time in which a process exits.
 const LOOK_PATIENCE: Duration = Duration::from_millis(40);
 
 impl Job {
-    /// Endpoints that ended under requests that ask the same.
+    /// Number of endpoints that ended under requests with the same content.
     pub(super) fn crashes(&self) -> usize {
         self.shared.suspects.standing(self.fingerprint).crashes
     }
 
-    /// How much longer it is not sent on, if it is quarantined. A suspected one waits for
-    /// what is known by now.
+    /// Remaining quarantine, if any. A suspected request first waits for the current
+    /// state of control.
     pub(super) async fn quarantined(&self) -> Option<Duration> {
         let suspects = &self.shared.suspects;
         let left = suspects.standing(self.fingerprint).left;
@@ -40,15 +40,15 @@
         suspects.standing(self.fingerprint).left
     }
 
-    /// Whether it may be sent once more after it may have run. After two crashes another
-    /// send would most likely end one more endpoint, and serve nobody. So it is after two
-    /// connections that broke, which need not be known as crashes yet.
+    /// Whether it may be resent after it may have run. After two crashes, another send
+    /// would most likely crash one more endpoint and serve nobody. The same holds after
+    /// two broken connections, which may not be known as crashes yet.
     pub(super) fn harmless(&self) -> bool {
         self.broken < SUSPECTED && self.crashes() < SUSPECTED
     }
 
-    /// Finds out, in the background, whether the endpoint that broke its connection has
-    /// ended, and remembers that.
+    /// Checks in the background whether the endpoint that broke its connection has ended,
+    /// and records that.
     fn look_after(&self, endpoint: &Arc<Endpoint>) -> JoinHandle<()> {
         let broken = Broken {
             shared: Arc::clone(&self.shared),
@@ -72,19 +72,19 @@
         hash(name.unwrap_or_default().as_bytes())
     }
 
-    /// Notes how a send was lost. Whether its endpoint has ended is waited for only where
-    /// the request may be sent again.
+    /// Records how a send was lost. Waits for the check of the endpoint only if the
+    /// request may be resent.
     pub async fn note_lost(&mut self, endpoint: &Arc<Endpoint>, loss: Loss) {
         match loss {
             Loss::Broke => {}
-            // It has answered something, so it had begun.
+            // The endpoint sent some response, so it had started the request.
             Loss::Foreign | Loss::Spoiled => return self.begun.count(),
             Loss::Timeout | Loss::Withdrawn => return,
         }
         self.broken += 1;
         let looked = self.look_after(endpoint);
         if self.idempotent() {
-            // A look that takes longer goes on without the request.
+            // A check that takes longer continues in the background.
             let _ = timeout(LOOK_PATIENCE, looked).await;
         }
     }
@@ -100,11 +100,12 @@
 }
 
 impl Broken {
-    /// Looks whether `endpoint` has ended, and if so remembers that it did under this
-    /// request. `broke`: when the connection did.
+    /// Checks whether `endpoint` has ended since `broke`, when the connection broke, and
+    /// if so records the loss.
     async fn look(self, endpoint: Arc<Endpoint>, broke: Instant) {
         if !endpoint.has_ended(broke).await {
-            // What goes on has lost the answer of a request, and not the request.
+            // An endpoint that is still up has run the request; only the response was
+            // lost.
             return self.begun.count();
         }
         let Self {
--- a/crates/direct/src/job/refusal.rs
+++ b/crates/direct/src/job/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told whose request gets no answer of an endpoint.
+//! Responses to requests that get none from an endpoint.
 
 use super::Job;
 use crate::answer::{Cause, Reply, refuse};
@@ -7,11 +7,11 @@
 use http::Response;
 use rand::RngExt;
 
-/// Part of a wait for endpoints over which callers that come back are spread.
+/// Share of a retry delay over which returning callers are spread.
 const SPREAD: f64 = 0.25;
 
 impl Job {
-    /// What to say when no endpoint is left to be asked.
+    /// Cause of a refusal when no endpoint is left to try.
     pub(super) fn exhausted(&self) -> Cause {
         let opens = self.shared.directory.opens_in(&self.service);
         match (self.may_have_run, self.tried.is_empty(), opens) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// What to say when the time is over.
+    /// Cause of a refusal when the deadline has passed.
     pub(super) fn over(&self) -> Cause {
         if self.may_have_run {
             Cause::Timeout
@@ -37,8 +37,8 @@
         self.refuse_for(cause, again)
     }
 
-    /// When its caller may come back: once an endpoint takes requests again, and not all
-    /// callers at once.
+    /// Retry delay of the caller: until an endpoint admits requests again, plus jitter so
+    /// that callers do not return together.
     pub(super) fn back_after(&self) -> Duration {
         let opens = self.shared.directory.opens_in(&self.service);
         let wait = opens.unwrap_or_default();
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,24 +1,24 @@
-//! The path from callers to endpoints that have no agent beside them.
+//! Request path from callers to endpoints without a co-located agent.
 //!
-//! Where an endpoint can't have an agent, the entry talks to it directly, and
-//! what the agent would know for certain has to be inferred: whether a request
-//! ran, whether an answer is whole, whether the endpoint still lives. The rules
-//! that keep callers safe are these:
+//! Where an endpoint cannot run an agent, the entry sends requests to it directly and has
+//! to infer what an agent would observe: whether a request ran, whether a response is
+//! complete, and whether the endpoint is still up. The following invariants hold:
 //!
-//! * a refusal that says not run is built only from an endpoint's own word, or
-//!   where no byte of the request went out ([`exchange::Ended`]);
-//! * an answer is passed on only if it came on the connection of its request,
-//!   names that request, bears the endpoint's proof and is whole; every other
-//!   connection is closed ([`exchange`]);
-//! * a non-idempotent request is never sent again after a byte of it may have
-//!   arrived ([`job`]);
-//! * only whole events of a stream are passed on, and a stream goes on at
-//!   another endpoint only after its last whole event ([`stream`]);
-//! * whatever ends a request early (the caller, its time, another endpoint's
-//!   answer) closes the endpoint's connection, which ends its work there.
+//! * A refusal with the outcome "not run" is sent only if the endpoint itself reported it
+//!   or if no byte of the request was sent ([`exchange::Ended`]).
+//! * A response is forwarded only if it arrived on the connection of its request, names
+//!   that request, carries the endpoint's proof header and is complete. Any other
+//!   connection is closed ([`exchange`]).
+//! * A non-idempotent request is never resent once a byte of it may have arrived
+//!   ([`job`]).
+//! * Only complete events of a stream are forwarded, and a stream resumes at another
+//!   endpoint only after its last complete event ([`stream`]).
+//! * Whatever ends a request early (the caller disconnects, the deadline passes, another
+//!   endpoint responds) closes the connection to the endpoint, which cancels the work
+//!   there.
 //!
-//! [`dialect`] has the traits behind which the words of callers, endpoints and
-//! the list of endpoints stand; [`direct`] assembles the daemon.
+//! [`dialect`] defines the traits that adapt the headers of callers and endpoints and the
+//! format of the endpoint list; [`direct`] assembles the daemon.
 
 pub mod agree;
 pub mod answer;
--- a/crates/direct/src/listing.rs
+++ b/crates/direct/src/listing.rs
@@ -1,8 +1,8 @@
-//! Reading the list of endpoints.
+//! Reading the endpoint list from its source.
 //!
-//! Two entries read it for all, and every other one when it hears of no fresh read
-//! ([`dogwoodhill_policy::reads`]). A list that can't be read leaves the last one
-//! in use.
+//! Two entries read it on behalf of all, and any other entry reads it when no fresh read
+//! is reported to it ([`dogwoodhill_policy::reads`]). If the list cannot be read, the
+//! previous one stays in use.
 
 use crate::dialect::{EndpointList, Fetch, Flaw, ListContent, ListError};
 use crate::request::Shared;
@@ -14,23 +14,23 @@
 use std::time::Instant;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a page of the list: one that is opened again after its first packet
-/// was lost comes after a second. A bound for all pages together would make a list that
-/// has grown unreadable: 60 pages take a small instance that has just started two
-/// seconds.
+/// Timeout of one page. A connection whose first packet was lost is established after a
+/// second. The bound is per page: with one for the whole list, a list that has grown
+/// would become unreadable, since 60 pages take two seconds at a small instance that has
+/// just started.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time without an answer after which the first page is asked for once more, beside the first
-/// call: a connection that went silent, or a call that a stopped list forgot, would cost
-/// [`PAGE_TIMEOUT`] otherwise, a third of the time within which news must be everywhere.
-/// Several times what a page takes, and only for the first one, so that a list that is slow
-/// under load is not asked twice for everything.
+/// Time without a response after which the first page is requested once more,
+/// concurrently with the first call. A connection that went silent, or a call lost by a
+/// stopped source, would otherwise cost [`PAGE_TIMEOUT`], a third of the time within
+/// which news must reach all entries. It is several times the usual response time and
+/// applies to the first page only, so that a source that is slow under load does not get
+/// all calls twice.
 const ASK_AGAIN: Duration = Duration::from_millis(500);
-/// Pages that are read at most: eight times the size that the design is made for, in pages
-/// of fifty.
+/// Upper bound on pages: eight times the designed list size, in pages of fifty.
 const MAX_PAGES: usize = 200;
 
-/// Reads the list when it is this entry's turn, for ever; `interval` is that of
-/// entries that read for the others.
+/// Reads the list in an endless loop whenever it is this entry's turn; `interval` is that
+/// of entries that read on behalf of the others.
 pub async fn follow(
     shared: Arc<Shared>,
     list: Box<dyn EndpointList>,
@@ -44,7 +44,7 @@
     loop {
         let due = shared.lists.due(interval, rand::rng().random());
         if due > Duration::ZERO {
-            // What others read in the meantime ends its own tries.
+            // A read by another entry ends this entry's own retries.
             if std::mem::take(&mut failures) > 0 {
                 Event::new("list-regained").field("by", "others").info();
             }
@@ -103,13 +103,13 @@
     }
 }
 
-/// Entries that were left out of the last read, by cause.
+/// Entries skipped in the last read, by cause.
 #[derive(Debug, Default)]
 struct Flaws(Vec<(Flaw, usize)>);
 
 impl Flaws {
-    /// Counts entries that were left out. A cause is logged when its count changes:
-    /// an entry that stays unreadable for days is one line.
+    /// Counts skipped entries. A cause is logged only when its count changes, so that an
+    /// entry that stays unreadable for days causes one line.
     fn note(&mut self, shared: &Shared, content: &ListContent) {
         for (flaw, count) in &content.flaws {
             let label = flaw.to_string();
@@ -131,8 +131,8 @@
 ///
 /// # Errors
 ///
-/// [`ListError`] where any page is missing or can't be read: a part of a list would look
-/// as if the other endpoints were gone.
+/// [`ListError`] if any page is missing or cannot be parsed: with a partial list, the
+/// remaining endpoints would look as if they were gone.
 pub async fn fetch(list: &dyn EndpointList) -> Result<ListContent, ListError> {
     let mut read = ListContent::default();
     for _ in 0..MAX_PAGES {
@@ -159,7 +159,7 @@
     Err(ListError::Content { problem })
 }
 
-/// The first page, as soon as one of two calls has it.
+/// Fetches the first page, from whichever of two calls responds first.
 async fn first_page(list: &dyn EndpointList) -> Result<ListContent, ListError> {
     let mut first = list.fetch(None);
     if let Ok(page) = timeout(ASK_AGAIN, &mut first).await {
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/lists.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints as an entry knows it, from its own reads and from those
-//! of other entries.
+//! State of the endpoint list in an entry, from its own reads and from those of other
+//! entries.
 
 use crate::dialect::Listed;
 use crate::directory::{Directory, Endpoint};
@@ -14,31 +14,32 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Longest wait of requests for a list after the one in use was found to be too old to
-/// choose from: an entry that stood still for seconds has read one by then. Where the list
-/// stays away, callers wait no longer, and the last one is used.
+/// Longest wait of requests for a newer list after the one in use was found to be too
+/// old. An entry that was suspended for seconds has read a new one by then. If the source
+/// is unavailable, requests wait no longer, and the previous list is used.
 const NEWS_WAIT: Duration = Duration::from_millis(100);
 
-/// The reads an entry knows of.
+/// The list in use, and the reads that the entry has received.
 #[derive(Debug)]
 pub struct Lists {
-    /// When the entry started, by a clock that goes on while the machine is suspended.
+    /// Start of the entry, on a clock that includes the time during which the machine is
+    /// suspended.
     start: Duration,
     state: Mutex<State>,
-    /// When the read in use was asked for, as reads are measured, in microseconds; 0
-    /// without one. Requests look at it without waiting for a list that is being put in use.
+    /// When the read in use was requested, on the clock of reads, in microseconds; 0
+    /// without one. Requests read it without waiting for an update of the list.
     newest: AtomicU64,
-    /// How long endpoints that leave may still be sent requests.
+    /// How long leaving endpoints may still be sent requests.
     within: Duration,
-    /// When a request found the list in use too old, until there is a newer one.
+    /// When a request found the list in use too old; reset by a newer one.
     found: Mutex<Option<tokio::time::Instant>>,
-    /// Told when this entry has read something new.
+    /// Notified when this entry has read a list.
     pub news: Notify,
-    /// Told when this entry has lost an endpoint.
+    /// Notified when this entry has lost an endpoint.
     pub met: Notify,
-    /// Told when this entry begins to read for the others.
+    /// Notified when this entry is appointed to read on behalf of the others.
     pub appointed: Notify,
-    /// Told when there is a list in use, and when a newer read of it is known.
+    /// Notified when a list is first in use, and after each newer read of it.
     listed: Notify,
 }
 
@@ -46,20 +47,21 @@
 struct State {
     reads: Reads,
     doubt: Doubt,
-    /// The list in use, and earlier ones.
+    /// The list in use, and earlier versions of it.
     contents: Contents,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
     /// not used.
     places: Vec<Option<Arc<Endpoint>>>,
-    /// This entry's own newest read.
+    /// This entry's newest own read.
     own: Option<Own>,
-    /// Mark of the content that control has.
+    /// Mark of the version that control has.
     control: Option<Mark>,
-    /// Whether what control told could not be taken in; the whole list is asked for then.
+    /// Whether a list from control could not be applied; the whole list is requested
+    /// then.
     lost: bool,
 }
 
-/// An own read.
+/// A read by this entry.
 #[derive(Debug)]
 struct Own {
     asked: Duration,
@@ -74,7 +76,8 @@
 }
 
 impl Lists {
-    /// No list is known yet; endpoints that leave may be sent requests for `within`.
+    /// Creates the state without a list; leaving endpoints may be sent requests for
+    /// `within`.
     pub fn new(within: Duration) -> Self {
         let state = State {
             reads: Reads::new(within),
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Waits until any endpoint is known.
+    /// Waits until the directory has an endpoint.
     pub async fn first_list(&self, directory: &Directory) {
         while directory.all().is_empty() {
             let mut listed = pin!(self.listed.notified());
@@ -104,7 +107,7 @@
         }
     }
 
-    /// This entry read the list, which it asked for at `asked` and had after `took`.
+    /// Applies a read by this entry that was requested at `asked` and took `took`.
     pub fn read(
         &self,
         directory: &Directory,
@@ -131,7 +134,7 @@
         self.news.notify_one();
     }
 
-    /// Control answered a question that was sent at `asked`.
+    /// Applies control's response to a report that was sent at `asked`.
     pub fn heard(&self, directory: &Directory, asked: Duration, totals: &mut Totals) {
         let mut state = self.state();
         if totals.reader && !state.reads.reader() {
@@ -146,7 +149,7 @@
         };
         state.control = Some(list.mark);
         let read = self.at(asked).checked_sub(list.age);
-        // One that was stale when this entry started is of no use to it.
+        // A read that was stale when this entry started is not used.
         let Some(read) = read else { return };
         if state.contents.newest().mark == list.mark {
             state.reads.take(read, list.took);
@@ -179,8 +182,8 @@
         }
     }
 
-    /// What this entry met at endpoints since it was asked last: news by place in the
-    /// list that it has, and the places that it heard from lately, a bit each.
+    /// Observations at endpoints since the last call: events by place in the list in use,
+    /// and a bitmap of the places with recent activity.
     pub fn sights(&self) -> (Vec<EndpointSight>, Vec<u8>) {
         let state = self.state();
         let mut sights = Vec::new();
@@ -206,8 +209,8 @@
         (sights, heard)
     }
 
-    /// What this entry tells control: the mark of the content that it has, and its
-    /// own newest read, without the content that control has.
+    /// What to report to control: the mark of the list in use, and this entry's newest
+    /// own read, without content that control already has.
     pub fn told(&self) -> (Mark, Option<ListRead>) {
         let mut state = self.state();
         let State {
@@ -220,7 +223,7 @@
         let mark = contents.newest().mark;
         let read = own.as_ref().map(|own| {
             let age = uptime().saturating_sub(own.asked);
-            // A read that is not the one in use has no news: another one was later.
+            // An own read that is not in use has been superseded by a later one.
             let known = if own.mark == mark {
                 control.unwrap_or_default()
             } else {
@@ -234,23 +237,23 @@
         (if *lost { 0 } else { mark }, read)
     }
 
-    /// How long until this entry reads by itself, if nothing is heard until then.
+    /// Time until this entry reads the list itself, unless a newer read arrives earlier.
     pub fn due(&self, interval: Duration, spread: f64) -> Duration {
         let now = self.now();
         self.state().reads.due(now, interval, spread)
     }
 
-    /// Age of the list in use: how long ago the read that it comes from was asked for, as
-    /// far as this entry can tell. `None` without one.
+    /// Age of the list in use: time since its read was requested, as estimated by this
+    /// entry. `None` without a list.
     pub fn age(&self) -> Option<Duration> {
         let newest = self.newest.load(Ordering::Relaxed);
         let age = self.now().saturating_sub(Duration::from_micros(newest));
         (newest > 0).then_some(age)
     }
 
-    /// Waits for a moment where the list in use is so old that an endpoint which it shows
-    /// as ready may have been leaving for too long. The entry reads a newer one meanwhile,
-    /// as it does before the list is that old unless its process stood still.
+    /// Waits briefly if the list in use is so old that an endpoint which it shows as
+    /// ready may have been leaving for too long. A newer read is in progress then; the
+    /// list only gets that old if the process was suspended.
     pub async fn in_time(&self) {
         if !self.overdue() {
             return;
@@ -269,8 +272,8 @@
         let _ = tokio::time::timeout_at(found + NEWS_WAIT, newer).await;
     }
 
-    /// Whether a request that is placed now may reach an endpoint that has been leaving for
-    /// too long.
+    /// Whether a request placed now might reach an endpoint that has been leaving for too
+    /// long.
     fn overdue(&self) -> bool {
         let age = self.age();
         age.is_some_and(|age| age + CONNECT_TIMEOUT > self.within)
@@ -285,12 +288,12 @@
         self.state().reads.known()
     }
 
-    /// Whether this entry reads for the others.
+    /// Whether this entry reads on behalf of the others.
     pub fn reader(&self) -> bool {
         self.state().reads.reader()
     }
 
-    /// A time as reads are measured: from [`STALE`] before the entry's start.
+    /// Converts an uptime to the clock of reads, which starts [`STALE`] before the entry.
     fn at(&self, uptime: Duration) -> Duration {
         (uptime + STALE).saturating_sub(self.start)
     }
@@ -299,7 +302,7 @@
         self.at(uptime())
     }
 
-    /// Tells requests which read is in use.
+    /// Makes the time of the read in use visible to requests.
     fn publish(&self, state: &State) {
         let newest = state.reads.newest().unwrap_or_default();
         let micros = newest.as_micros() as u64;
@@ -315,8 +318,7 @@
     }
 }
 
-/// Logs a list that is put in use, where it is another one than before: what was
-/// believed when, and how old it was then.
+/// Logs that a different list comes into use, with its origin and its age.
 fn log_taken(state: &State, content: &Content, by: &str, age: Duration, took: Duration) {
     let before = state.contents.newest().mark;
     if before != content.mark {
@@ -332,7 +334,7 @@
 }
 
 impl State {
-    /// Puts a list in use.
+    /// Makes a list the one in use.
     fn put(&mut self, directory: &Directory, content: Content) {
         directory.update(Vec::clone(&content.endpoints));
         let listed = content.endpoints.iter();
@@ -342,7 +344,7 @@
         self.lost = false;
     }
 
-    /// Takes in what all entries see, by place; of the others nothing of note holds.
+    /// Applies control's verdicts, by place; endpoints without a verdict have none.
     fn hear(&self, verdicts: &[EndpointVerdict]) {
         let mut told = vec![None; self.places.len()];
         for verdict in verdicts {
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -1,9 +1,9 @@
-//! Connections to one endpoint.
+//! Connection pool of one endpoint.
 //!
-//! A connection carries one request at a time and is kept while the endpoint
-//! is expected to keep it. [`Line`] is a guard: dropping it closes the
-//! connection, which is how an endpoint learns that nobody wants its answer, and
-//! withdraws what has not arrived there yet ([`crate::socket`]).
+//! A connection carries one request at a time and is reused for as long as the endpoint
+//! is expected to keep it open. [`Line`] is a guard: dropping it closes the connection,
+//! which cancels the request at the endpoint and discards bytes still in flight
+//! ([`crate::socket`]).
 
 use crate::socket::{Owes, Socket};
 use bytes::Bytes;
@@ -18,20 +18,20 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout};
 
-/// How long an idle connection is used again where the endpoint names no time.
+/// Idle timeout of a connection where the endpoint names none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// Share of the endpoint's time after which a connection is not used again: a
-/// request must not meet the endpoint's close on its way.
+/// Share of the endpoint's idle timeout after which a connection is not reused, so that a
+/// request does not cross the endpoint's close.
 const IDLE_SHARE: f64 = 0.7;
-/// Idle connections that are kept.
+/// Idle connections kept per endpoint.
 const KEPT: usize = 48;
-/// Largest head of an answer, in bytes.
+/// Largest head of a response, in bytes.
 const MAX_HEAD: usize = 64 * 1024;
 
-/// One connection.
+/// An HTTP/1 connection to an endpoint.
 #[derive(Debug)]
 pub struct Line {
-    /// Sends a request on it.
+    /// Handle for sending a request.
     pub sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     until: Instant,
@@ -39,12 +39,12 @@
 }
 
 impl Line {
-    /// A request begins to be written to it.
+    /// Marks the start of writing a request.
     pub fn asked(&self) {
         self.owes.set(true);
     }
 
-    /// The answer to its request is whole.
+    /// Marks the response as complete.
     pub fn answered(&self) {
         self.owes.set(false);
     }
@@ -56,14 +56,14 @@
     }
 }
 
-/// Idle connections of one endpoint, the last used at the end.
+/// Idle connections of one endpoint, the most recently used last.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: Mutex<Vec<Line>>,
 }
 
 impl Pool {
-    /// An idle connection that may be used again.
+    /// Takes an idle connection that can be reused.
     pub fn take(&self) -> Option<Line> {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -75,7 +75,7 @@
         None
     }
 
-    /// Gives a connection back whose answer is complete.
+    /// Returns a connection whose response is complete.
     pub fn give(&self, mut line: Line, idle: Option<Duration>) {
         line.answered();
         let kept = idle.unwrap_or(DEFAULT_IDLE).mul_f64(IDLE_SHARE);
@@ -87,7 +87,7 @@
         lines.push(line);
     }
 
-    /// Gives a connection back that was not used.
+    /// Returns a connection that was not used.
     pub fn give_back(&self, line: Line) {
         self.lock().push(line);
     }
@@ -98,19 +98,19 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Line>> {
-        // Connections stay usable even if a holder panicked.
+        // The pool stays valid even if a thread panicked while it held the lock.
         self.idle
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
-/// Why no connection could be made. Nothing was sent then.
+/// Why no connection could be made. No byte of a request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unconnected {
-    /// It was refused: the endpoint is gone, or has as many as it takes.
+    /// Refused: the endpoint is down or at its connection limit.
     Refused,
-    /// Nothing came back in time.
+    /// No reply within [`CONNECT_TIMEOUT`].
     Unanswered,
 }
 
@@ -118,12 +118,12 @@
 ///
 /// # Errors
 ///
-/// [`Unconnected`] where none can be had in time.
+/// [`Unconnected`] if the connection is refused or not established in time.
 pub async fn connect(address: SocketAddr) -> Result<Line, Unconnected> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let connected = connecting.map_err(|_| Unconnected::Unanswered)?;
     let stream = connected.map_err(|_| Unconnected::Refused)?;
-    // Delayed small packets only cost time; the connection works without it.
+    // Optional: without it, small packets are only delayed.
     let _ = stream.set_nodelay(true);
     let mut builder = Builder::new();
     builder.max_buf_size(MAX_HEAD);
@@ -132,7 +132,7 @@
     let shaken = builder.handshake(TokioIo::new(socket)).await;
     let (sender, connection) = shaken.map_err(|_| Unconnected::Refused)?;
     let task = tokio::spawn(async move {
-        // How it ended is told to whoever waits for an answer on it.
+        // The error also reaches whoever awaits a response on this connection.
         let _ = connection.await;
     });
     Ok(Line {
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,8 +1,7 @@
-//! Receiving a request: what it is, and whether it may be sent.
+//! Receiving a request: parsing, authentication and admission.
 //!
-//! A request is read whole before anything is decided, so that a refusal
-//! reaches the caller on an intact connection. What may be sent becomes a
-//! [`Job`].
+//! A request is read completely before any decision, so that a refusal reaches the caller
+//! on an intact connection. An admitted request becomes a [`Job`].
 
 use crate::answer::{Cause, Reply, refuse};
 use crate::dialect::{Ask, CallerDialect, EndpointDialect, Prompt};
@@ -31,69 +30,69 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Longest wait for a body where the caller names no time.
+/// Timeout of reading a body where the caller names none.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back after a refusal that a moment may change: an entry that
-/// starts, a full endpoint, one that leaves. In milliseconds; spread so that
-/// those refused together do not return together.
+/// Range of the retry delay after a refusal with a transient cause (an entry that starts,
+/// a full or a leaving endpoint), in milliseconds. Randomized so that callers that were
+/// refused together do not return together.
 const SOON_MS: std::ops::Range<u64> = 120..400;
-/// Longest wait of a request for an entry's first route set and list of endpoints. After
-/// all processes were killed there is a leader after 0.3 to 0.65 s, and a list of some
-/// hundred endpoints after 0.2.
+/// Longest wait of a request for the entry's first route set and endpoint list. After a
+/// restart of all processes a leader is elected within 0.3 to 0.65 s, and a list of some
+/// hundred endpoints is available after 0.2 s.
 const ROUTES_WAIT: Duration = Duration::from_millis(700);
-/// Part of its caller's time that the wait may take: one in so many.
+/// Divisor of the caller's timeout that bounds the same wait.
 const ROUTES_SHARE: u32 = 4;
-/// Time after the drain's beginning from which requests are refused, with a
-/// word to come back at once through another entry.
+/// Time since the start of the drain after which requests are refused, with a zero retry
+/// delay, so that they move to another entry.
 const DRAIN_REFUSES: Duration = Duration::from_millis(2_800);
-/// Time before the end of the grace at which requests without an answer get one of
-/// the entry's own: an engine with a long queue lets a prompt wait for as long as a
-/// drain lasts, and its caller must not find a connection closed instead. The
-/// process ends 0.4 s before the grace does, and answers take some milliseconds.
+/// Time before the end of the grace period at which pending requests are answered by the
+/// entry itself. An engine with a long queue may delay a prompt beyond the drain, and its
+/// caller must get a response rather than a closed connection. The process exits 0.4 s
+/// before the end of the grace period, and responses take some milliseconds.
 const LAST_ANSWERS: Duration = Duration::from_millis(600);
-/// Longest usual time for one token of a stream; for judging whether one that
-/// begins now ends before the entry does.
+/// Upper estimate of the time per generated token, used to predict whether a stream that
+/// begins now ends before the entry stops.
 const TOKEN_TIME: Duration = Duration::from_millis(20);
 
-/// What all requests of an entry share.
+/// State shared by all requests of an entry.
 #[derive(Debug)]
 pub struct Shared {
-    /// Route set in force.
+    /// Active route set; `None` until the first one arrives.
     pub routes: ArcSwapOption<RouteTable>,
-    /// Told when there is a newer one.
+    /// Notified when a newer route set becomes active.
     pub routes_changed: Notify,
-    /// Endpoints.
+    /// Known endpoints and placement.
     pub directory: Directory,
-    /// The list they come from.
+    /// State of the endpoint list.
     pub lists: Lists,
-    /// How callers speak.
+    /// Parser of callers' headers.
     pub callers: Box<dyn CallerDialect>,
-    /// How endpoints speak.
+    /// Adapter to endpoints' headers.
     pub endpoints: Box<dyn EndpointDialect>,
-    /// Tells which requests are the same.
+    /// Hashes requests, to recognize those with the same content.
     pub fingerprints: Fingerprinter,
     /// Metrics.
     pub stats: Stats,
-    /// Drain of the entry.
+    /// Drain signal of the entry.
     pub drain: Drain,
     /// When the drain began.
     pub stopping: std::sync::OnceLock<Instant>,
-    /// Time from the drain's beginning after which the process is killed.
+    /// Time from the start of the drain after which the process is killed.
     pub grace: Duration,
-    /// Requests that crash endpoints.
+    /// Requests suspected of crashing endpoints.
     pub suspects: Suspects,
-    /// Requests that endpoints began, where they are to be counted.
+    /// Usage counts, if the deployment reports usage.
     pub usage: Option<Arc<Usage>>,
-    /// Second sends that operators allow.
+    /// Resends that operators allow.
     pub allowance: Allowance,
-    /// Most entries that control told of; they share the allowance.
+    /// Largest number of entries reported by control; they share the allowance.
     pub entries: AtomicU32,
-    /// Second sends left, by service; sorted.
+    /// Remaining resends by service, sorted by service.
     pub budgets: Mutex<Vec<(ServiceId, Budget)>>,
 }
 
 impl Shared {
-    /// Answers one request.
+    /// Handles one request.
     pub async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
         let busy = self.drain.enter();
         let arrived = Instant::now();
@@ -122,7 +121,8 @@
         }
     }
 
-    /// Puts a route set in force, unless a newer one is. Whether it is now.
+    /// Activates a route set unless a newer one is active. Returns whether it was
+    /// activated.
     pub fn take_routes(&self, table: RouteTable) -> bool {
         let table = Arc::new(table);
         let newer = |old: &Option<Arc<RouteTable>>| {
@@ -140,8 +140,8 @@
         before.is_none_or(|before| before.version() < table.version())
     }
 
-    /// The route set in force. An entry that starts waits for a moment for its first one,
-    /// and for its first list of endpoints.
+    /// Returns the active route set. An entry that starts waits briefly for the first
+    /// one, and for the first endpoint list.
     async fn routes_soon(&self, patience: Option<Duration>) -> Option<Arc<RouteTable>> {
         let share = patience.unwrap_or(Duration::MAX) / ROUTES_SHARE;
         let end = Instant::now() + share.min(ROUTES_WAIT);
@@ -149,7 +149,7 @@
             Some(table) => Some(table),
             None => timeout_at(end, self.newer_routes(None)).await.ok(),
         };
-        // What has no endpoints after that is refused where one is chosen.
+        // If there are still no endpoints, the request is refused at placement.
         let _ = timeout_at(end, self.lists.first_list(&self.directory)).await;
         table
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Reads the body, and finds out what the request is.
+    /// Reads the body, and authenticates and routes the request.
     async fn prepare(
         &self,
         parts: Parts,
@@ -222,7 +222,7 @@
         })
     }
 
-    /// Longest wait for a request's body: its route's time, or its caller's.
+    /// Timeout of reading the body: that of the route or that of the caller.
     fn body_time(&self, parts: &Parts, ask: Option<&Ask>) -> Duration {
         let patience = ask.and_then(|ask| ask.patience).unwrap_or(BODY_TIMEOUT);
         let table = self.routes.load();
@@ -233,14 +233,13 @@
         route.map_or(patience, |route| route.timeout.min(patience))
     }
 
-    /// When requests that still wait for an answer get one of the entry's own, if it
-    /// is about to stop.
+    /// When pending requests get a response of the entry itself; `None` unless it drains.
     pub(crate) fn last_answers(&self) -> Option<Instant> {
         let begun = self.stopping.get()?;
         Some(*begun + self.grace.saturating_sub(LAST_ANSWERS))
     }
 
-    /// Ends when the entry is about to stop and requests can't wait any longer.
+    /// Completes when the entry drains and pending requests cannot wait any longer.
     async fn outlived(&self) {
         self.drain.wait().await;
         let begun = Instant::now();
@@ -248,7 +247,7 @@
         sleep_until(self.last_answers().unwrap_or(last)).await;
     }
 
-    /// Whether the entry stops before the request would be done.
+    /// Whether the entry is expected to stop before the request completes.
     fn too_late(&self, route: &Route, prompt: &Prompt) -> bool {
         let Some(begun) = self.stopping.get() else {
             return false;
@@ -259,12 +258,12 @@
         since >= DRAIN_REFUSES || since + lasting >= self.grace
     }
 
-    /// Counts a request of a service, which earns part of a second send.
+    /// Credits the service's resend budget for one request.
     pub(crate) fn earn(&self, service: &str) {
         self.with_budget(service, Budget::earn);
     }
 
-    /// Takes a second send out of the service's budget.
+    /// Debits the service's resend budget for one resend. Returns whether it was covered.
     pub(crate) fn spend(&self, service: &str) -> bool {
         self.with_budget(service, Budget::spend)
     }
@@ -284,7 +283,7 @@
     }
 }
 
-/// Logs a request whose caller goes while it is being read.
+/// Logs a request whose caller disconnects while it is being read.
 struct Pending<'a>(Option<&'a mut Record>);
 
 impl<'a> Pending<'a> {
@@ -314,7 +313,7 @@
     }
 }
 
-/// Host that a request names, without its port.
+/// Host named by the request, in lower case and without the port.
 fn host(parts: &Parts) -> Option<String> {
     let named = parts.headers.get(header::HOST);
     let named = named.and_then(|value| value.to_str().ok());
@@ -323,7 +322,7 @@
     Some(host.to_ascii_lowercase())
 }
 
-/// When to come back where a moment changes things.
+/// Random retry delay after a refusal with a transient cause.
 pub(crate) fn soon() -> Duration {
     Duration::from_millis(rand::rng().random_range(SOON_MS))
 }
--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -1,4 +1,4 @@
-//! Putting route sets in force.
+//! Activates route sets received from control.
 
 use crate::follow::RouteSink;
 use crate::request::Shared;
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The entry as the place where route sets go.
+/// Sink that activates route sets in the entry.
 #[derive(Debug)]
 pub struct Routes {
-    /// What the requests share.
+    /// State in which the active route set is kept.
     pub shared: Arc<Shared>,
-    /// How route sets are written.
+    /// Parser of route sets.
     pub format: Box<dyn SetFormat>,
 }
 
@@ -45,7 +45,8 @@
         let table = match self.read(text) {
             Ok(table) => table,
             Err(error) => {
-                // Control accepts only what this reads; versions differ.
+                // Control validates sets with the same parser, but maybe of another
+                // release.
                 Event::new("routes-unreadable")
                     .field("version", text.version)
                     .field("reason", error)
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -1,9 +1,9 @@
-//! Callers' connections.
+//! Connections of callers.
 //!
-//! A connection is idle, receives a head, or is at work. The route set bounds
-//! the first two; the third ends with the request's own time. An idle
-//! connection is closed between requests only, so a request that is being read
-//! is never cut off by its entry.
+//! A connection is idle, receives a head, or executes a request. The limits of the route
+//! set bound the first two states, the request's own deadline the third. An idle
+//! connection is closed only between requests, so the entry never cuts off a request that
+//! it is reading.
 
 use crate::request::Shared;
 use dogwoodhill_core::prelude::*;
@@ -21,15 +21,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Smallest head buffer that the HTTP library takes.
+/// Smallest head buffer that `hyper` accepts, in bytes.
 const LEAST_HEAD: usize = 8_192;
-/// Pause after a failed accept, so that running out of descriptors does not
-/// turn into a busy loop.
+/// Delay after a failed accept, so that running out of file descriptors does not cause a
+/// busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time between two looks at a connection's phase.
+/// Longest interval between two checks of a connection's state.
 const LOOK: Duration = Duration::from_secs(2);
 
-/// What a connection is doing.
+/// State of a connection; the times are those at which it was entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Doing {
     Idle(Instant),
@@ -37,7 +37,7 @@
     Working,
 }
 
-/// A connection's phase. Clones share it.
+/// State of a connection, shared by its clones.
 #[derive(Clone, Debug)]
 pub struct Phase {
     doing: Arc<Mutex<Doing>>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A request is at work until the guard is dropped.
+    /// Marks the connection as executing a request until the guard is dropped.
     fn work(&self) -> Working {
         *self.lock() = Doing::Working;
         Working {
@@ -73,7 +73,7 @@
         *self.lock() == Doing::Working
     }
 
-    /// When the connection is to be closed, as things stand.
+    /// Time at which the connection times out in its current state.
     fn deadline(&self, idle: Duration, head: Duration) -> Option<Instant> {
         match *self.lock() {
             Doing::Idle(since) => Some(since + idle),
@@ -83,7 +83,7 @@
     }
 }
 
-/// A request at work on a connection.
+/// Guard of a request being executed on a connection.
 #[derive(Debug)]
 pub struct Working {
     phase: Phase,
@@ -95,7 +95,7 @@
     }
 }
 
-/// A socket that notes when bytes come.
+/// A socket that records when bytes arrive.
 struct Watched {
     stream: TcpStream,
     phase: Phase,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Accepts callers until `stop` ends.
+/// Accepts connections of callers until `stop` completes.
 pub async fn accept(
     socket: TcpListener,
     shared: Arc<Shared>,
@@ -177,7 +177,7 @@
 }
 
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
-    // Delayed small packets only cost time; the connection works without it.
+    // Optional: without it, small packets are only delayed.
     let _ = stream.set_nodelay(true);
     let phase = Phase::new();
     let limits = shared.routes.load().as_ref().map(|table| *table.limits());
@@ -207,7 +207,7 @@
         .serve_connection(io, service);
     let mut connection = pin!(connection);
     tokio::select! {
-        // A connection that its caller breaks off is an ordinary event.
+        // A disconnecting caller is not an error.
         _ = connection.as_mut() => return,
         () = expired(&phase, &shared) => {}
     }
@@ -217,14 +217,14 @@
             _ = connection.as_mut() => return,
             () = sleep(LOOK) => {}
         }
-        // A request may have come just before the close.
+        // A request may have arrived just before the shutdown.
         if !phase.working() {
             return;
         }
     }
 }
 
-/// Ends when the connection was idle, or at one head, for too long.
+/// Completes when the connection has been idle, or receiving one head, for too long.
 async fn expired(phase: &Phase, shared: &Shared) {
     loop {
         let limits = shared.routes.load().as_ref().map(|table| *table.limits());
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry that talks to endpoints directly.
+//! Settings of a direct entry.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::text::Text;
@@ -7,23 +7,23 @@
 use std::net::SocketAddr;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Longest interval at which the list of endpoints is read unless settings name one.
+/// Upper bound on the default interval between reads of the endpoint list.
 const DEFAULT_LIST: Duration = Duration::from_millis(1_000);
-/// Second sends for each request.
+/// Resends allowed per request.
 const DEFAULT_SHARE: f64 = 0.2;
-/// Second sends beside these, for all entries together.
+/// Resends allowed in addition, for all entries together.
 const DEFAULT_SPARE: f64 = 40.0;
-/// How long new connections are accepted after a drain began.
+/// How long new connections are accepted after the drain begins.
 const DEFAULT_LINGER: Duration = Duration::from_secs(4);
-/// Longest drain.
+/// Upper bound on the duration of a drain.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
 
 /// Settings of a direct entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Name of the instance.
+    /// Name of the instance, unique in the cluster.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
     /// Address for callers.
     pub listen: SocketAddr,
@@ -33,36 +33,35 @@
     pub control: Vec<SocketAddr>,
     /// Key shared by the router's processes.
     pub secret: String,
-    /// Address of the list of endpoints.
+    /// Address of the endpoint list's source.
     pub list: SocketAddr,
-    /// How long after the list shows that an endpoint leaves it may still be sent new
-    /// requests. Default 4 s.
+    /// How long an endpoint may still be sent new requests after the list shows it as
+    /// leaving. Default 4 s.
     pub leaving_within: Duration,
-    /// Interval at which the list is read. Default 1 s, or less where that is too long
-    /// for `leaving_within`.
+    /// Interval between reads of the endpoint list. Default 1 s, or less where that is
+    /// too long for `leaving_within`.
     pub list_every: Duration,
-    /// Second sends that operators allow a service over all entries. Default a
-    /// fifth of the requests and 40.
+    /// Resends allowed per service over all entries. Default a fifth of the requests plus
+    /// 40.
     pub allowance: Allowance,
-    /// How long new connections are accepted after a drain began. Default 4 s:
-    /// a balancer takes two missed checks, one a second, to stop sending them.
+    /// How long new connections are accepted after the drain begins. Default 4 s: a load
+    /// balancer needs two failed checks, one a second, to stop sending them.
     pub linger: Duration,
-    /// Time from the drain's beginning after which the process is killed.
-    /// Default 8 s.
+    /// Time from the start of the drain after which the process is killed. Default 8 s.
     pub grace: Duration,
-    /// Windows in which usage is counted, where control reports it.
+    /// Windows of usage counting, if control reports usage.
     pub usage: Option<Windows>,
 }
 
-/// Name of the duty for which usage is counted.
+/// Name of the duty that requires usage counting.
 const USAGE_DUTY: &str = "usage";
 
 impl Settings {
-    /// Reads settings from JSON with comments.
+    /// Parses settings from JSON with comments.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// All faults found in the text.
     pub fn parse(file: &str, source: &str) -> Result<Self, Faults> {
         Text::read(file, source, read)
     }
@@ -113,7 +112,7 @@
     settings
 }
 
-/// Windows of usage, where reporting it is one of the deployment's duties.
+/// Windows of usage counting, if usage reporting is one of the deployment's duties.
 fn usage(s: &mut Section<'_, '_>) -> Option<Windows> {
     let duties = s.texts("duties");
     let range = SECOND / 10..=86_400 * SECOND;
@@ -125,7 +124,7 @@
     window.filter(|_| owed).map(Windows::new)
 }
 
-/// Addresses of control instances; `control_port` replaces their ports.
+/// Addresses of control instances; `control_port` overrides their ports.
 fn control(s: &mut Section<'_, '_>) -> Vec<SocketAddr> {
     let mut addresses = s.addresses("control");
     let port = s.count("control_port", 0..=65_535, Some(0)) as u16;
--- a/crates/direct/src/socket.rs
+++ b/crates/direct/src/socket.rs
@@ -1,10 +1,10 @@
-//! The socket of a connection to an endpoint.
+//! Socket of a connection to an endpoint.
 //!
-//! A socket that is closed goes on delivering what was written to it, for as long as the
-//! system finds the way blocked: a request whose caller has long been told that it was
-//! given up still reaches its endpoint and runs there, maybe after the endpoint began to
-//! leave. So a connection that still owes an answer is reset, which drops what has not
-//! arrived yet.
+//! The kernel keeps delivering the written bytes of a closed socket for as long as the
+//! network path is blocked. A request that the entry has already given up could then
+//! still reach its endpoint and run there, maybe after the endpoint has begun to leave. A
+//! connection with an outstanding response is therefore reset, which discards undelivered
+//! bytes.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -14,19 +14,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a request was written to a connection whose answer is not whole. Clones share
-/// it.
+/// Whether a request was written whose response is incomplete. Clones share the flag.
 #[derive(Clone, Debug, Default)]
 pub struct Owes(Arc<AtomicBool>);
 
 impl Owes {
-    /// A request begins to be written, or its answer is whole.
+    /// Set when a request begins to be written, cleared when its response is complete.
     pub fn set(&self, owes: bool) {
         self.0.store(owes, Ordering::Release);
     }
 }
 
-/// A socket that is reset in place of closed while it owes an answer.
+/// A socket that is reset instead of closed while a response is outstanding.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
@@ -34,7 +33,7 @@
 }
 
 impl Socket {
-    /// Takes a connection over.
+    /// Wraps an established connection.
     pub fn new(stream: TcpStream, owes: Owes) -> Self {
         Self { stream, owes }
     }
@@ -43,7 +42,7 @@
 impl Drop for Socket {
     fn drop(&mut self) {
         if self.owes.0.load(Ordering::Acquire) {
-            // Fails only where the connection has ended, and nothing is under way then.
+            // Fails only if the connection has ended, and then nothing is in flight.
             let _ = self.stream.set_zero_linger();
         }
     }
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -1,5 +1,4 @@
-//! What an entry tells operators: counters, histograms, and one line for each
-//! request.
+//! Metrics of an entry, and the log line of each request.
 
 use crate::answer::Cause;
 use crate::dialect::EventId;
@@ -9,40 +8,40 @@
 use prometheus::{Histogram, IntCounterVec, IntGauge, IntGaugeVec};
 use std::time::Instant;
 
-/// Counters and histograms of one entry. Clones share them. Labels come from
-/// the route set and from fixed words, never from callers.
+/// Metrics of one entry; clones share them. Label values come from the route set and from
+/// fixed sets, never from callers.
 #[derive(Clone, Debug)]
 pub struct Stats {
-    /// Requests by service, status class and cause.
+    /// By service, status and cause.
     requests: IntCounterVec,
-    /// Second sends by service and reason.
+    /// Resends, by service and reason.
     seconds: IntCounterVec,
-    /// Streams by how they ended.
+    /// By how the stream ended.
     streams: IntCounterVec,
-    /// Time to the first byte of an answer.
+    /// Time from a request's head to the head of its response.
     first: Histogram,
-    /// Own reads of the list of endpoints, by whether they were used.
+    /// Reads of the endpoint list by this entry, by result.
     pub list_reads: IntCounterVec,
-    /// Entries of the list that were left out, by cause.
+    /// Skipped entries of the endpoint list, by cause.
     pub list_flaws: IntCounterVec,
-    /// Pieces of route sets that did not come, by reason.
+    /// Failed fetches of route set pieces, by reason.
     pub missed_pieces: IntCounterVec,
-    /// What the entry believes.
+    /// Version of the route set, and numbers of endpoints.
     pub beliefs: IntGaugeVec,
-    /// Age of the list in use at each choice of an endpoint.
+    /// Age of the endpoint list at each placement.
     list_age: Histogram,
-    /// Requests that are not sent on.
+    /// Quarantined requests.
     pub quarantined: IntGauge,
-    /// Requests that were lost with an endpoint that ended, by service.
+    /// Requests lost to an endpoint that ended, by service.
     pub crashes: IntCounterVec,
-    /// Requests that endpoints began, by whether they were counted.
+    /// Requests started at endpoints, by whether usage counted them.
     usage: IntCounterVec,
-    /// Requests that were not sent to the endpoint chosen for them, by reason.
+    /// Requests not admitted to the endpoint chosen for them, by reason.
     held: IntCounterVec,
 }
 
 impl Stats {
-    /// Adds the metrics to a registry.
+    /// Registers the metrics.
     pub fn new(metrics: &Metrics) -> Self {
         Self {
             requests: metrics.counters(
@@ -110,60 +109,60 @@
         }
     }
 
-    /// Counts a request that was not sent to the endpoint chosen for it.
+    /// Counts a request that was not admitted to the endpoint chosen for it.
     pub fn held(&self, service: &str, hold: Hold) {
         let labels = [service, &hold.to_string()];
         self.held.with_label_values(&labels).inc();
     }
 
-    /// Counts a request that an endpoint began.
+    /// Counts a request started at an endpoint, by the result of usage counting.
     pub fn usage(&self, outcome: &str) {
         self.usage.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts a second send.
+    /// Counts a resend.
     pub fn second(&self, service: &str, reason: &str) {
         self.seconds.with_label_values(&[service, reason]).inc();
     }
 }
 
-/// What is told of one request at its end.
+/// Log line of one request, written when it ends.
 #[derive(Debug)]
 pub struct Record {
     stats: Stats,
     id: RequestId,
     since: Instant,
-    /// Beginning of its fingerprint, once it is known: attempts of one request share it.
+    /// Abbreviated fingerprint, shared by all attempts of one request; `-` until known.
     pub content: String,
-    /// Route, once it is known.
+    /// Route name; `-` until known.
     pub route: String,
-    /// Service, once it is chosen.
+    /// Service; `-` until chosen.
     pub service: ServiceId,
-    /// Urgency.
+    /// Tier of the request.
     pub tier: Tier,
-    /// Tokens of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: u32,
-    /// Most tokens it may generate.
+    /// Upper bound on generated tokens.
     pub output: u32,
-    /// Version of the route set that decided.
+    /// Version of the route set that was applied.
     pub version: Version,
-    /// Predicted wait until its prompt would be read.
+    /// Predicted wait until the prompt would be read.
     pub wait: Duration,
-    /// Whether it was sent as one that yields to all others.
+    /// Whether the request was sent with background priority.
     pub background: bool,
-    /// Endpoint it was sent to last, with its start.
+    /// Endpoint of the last placement, with its start.
     pub endpoint: String,
-    /// Endpoints it was sent to.
+    /// Number of sends, including the current one.
     pub sends: usize,
-    /// Trust in the endpoint chosen last, endpoints known, endpoints kept free
-    /// of long prompts.
+    /// Trust in the last chosen endpoint, number of known endpoints, and number of those
+    /// reserved for latency-sensitive streams.
     choice: String,
-    /// Age of the list that the choice was made from.
+    /// Age of the endpoint list at the last placement.
     list_age: Option<Duration>,
 }
 
 impl Record {
-    /// A record that begins now.
+    /// Starts a record; its clock starts now.
     pub fn new(stats: Stats, id: RequestId) -> Self {
         Self {
             stats,
@@ -185,7 +184,7 @@
         }
     }
 
-    /// Notes what decided where the request goes.
+    /// Records a placement and its inputs.
     pub fn placed(&mut self, placed: &Placed, sends: usize, list_age: Option<Duration>) {
         self.endpoint = placed.endpoint.run().to_string();
         self.sends = sends;
@@ -197,18 +196,17 @@
         self.choice = format!("{trust}/{}/{}", placed.known, placed.reserved);
     }
 
-    /// Age of the list that the last choice was made from, in milliseconds; -1 before
-    /// any choice.
+    /// Age of the endpoint list at the last placement, in milliseconds; -1 before any.
     pub fn list_ms(&self) -> i64 {
         self.list_age.map_or(-1, |age| age.as_millis() as i64)
     }
 
-    /// Counters.
+    /// Metrics in which the record is counted.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// The endpoint's answer goes to the caller.
+    /// Logs that the endpoint's response is forwarded to the caller.
     pub fn answered(&self, status: u16) {
         self.stats.first.observe(self.since.elapsed().as_secs_f64());
         self.count(status, "endpoint");
@@ -218,7 +216,7 @@
             .info();
     }
 
-    /// The router answers itself.
+    /// Logs that the router responds itself.
     pub fn refused(&self, cause: Cause, again: Option<Duration>) {
         let status = cause.status().as_u16();
         let cause = cause.to_string();
@@ -229,7 +227,7 @@
             .warn();
     }
 
-    /// A stream is over.
+    /// Logs the end of a stream.
     pub fn stream(&self, end: &str, cause: &str, last: Option<EventId>, pause: Duration) {
         self.stats.streams.with_label_values(&[end, cause]).inc();
         let event = self
@@ -243,7 +241,7 @@
         }
     }
 
-    /// The caller went before there was an answer.
+    /// Logs that the caller disconnected before there was a response.
     pub fn abandoned(&self) {
         self.count(0, "caller-gone");
         self.line("request-abandoned", 0, "caller-gone").info();
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -1,10 +1,10 @@
-//! Relaying a stream, and going on with it at another endpoint.
+//! Relaying a stream, and resuming it at another endpoint.
 //!
-//! A task reads the endpoint and hands whole events to the caller's connection
-//! through a short channel, so a slow caller slows its endpoint and holds no
-//! memory here. The task ends with [`Part::End`] only if the endpoint ended
-//! its answer properly after a whole event; whatever else ends it breaks the
-//! caller's connection off.
+//! A task reads from the endpoint and passes complete events to the caller's connection
+//! through a short channel, so a slow caller applies backpressure to its endpoint and no
+//! memory builds up. The task sends [`Part::End`] only if the endpoint ended its response
+//! properly after a complete event; in all other cases the caller's connection is
+//! aborted.
 
 use crate::answer::Part;
 use crate::dialect::EventId;
@@ -20,31 +20,31 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Parts that wait for a caller's connection.
+/// Capacity of the channel to a caller's connection, in parts.
 pub const PARTS: usize = 4;
-/// Interval at which a stream without events is looked after.
+/// Interval at which the endpoint of a silent request is checked.
 pub const CHECK: Duration = Duration::from_millis(250);
 
-/// An endpoint's stream.
+/// Stream of an endpoint, read event by event.
 #[derive(Debug)]
 pub struct Source {
     answer: Answer,
     splitter: Splitter,
 }
 
-/// What came from an endpoint's stream.
+/// Result of reading from an endpoint's stream.
 #[derive(Debug)]
 pub enum Piece {
-    /// Whole events.
+    /// Complete events.
     Events(Events),
-    /// Its proper end.
+    /// The stream ended properly.
     End,
-    /// Anything else.
+    /// The stream ended early.
     Broken(Loss),
 }
 
 impl Source {
-    /// The stream that an answer begins.
+    /// Starts reading the body of `answer`.
     pub fn new(answer: Answer) -> Self {
         Self {
             answer,
@@ -52,17 +52,17 @@
         }
     }
 
-    /// The answer's head.
+    /// Head of the endpoint's response.
     pub fn answer(&self) -> &Answer {
         &self.answer
     }
 
-    /// The endpoint.
+    /// The endpoint that sends the stream.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
         self.answer.sent.endpoint()
     }
 
-    /// Waits for the next piece. May be dropped and called again without loss.
+    /// Waits for the next piece. Cancel safe.
     pub async fn next(&mut self) -> Piece {
         loop {
             let Some(frame) = self.answer.body.frame().await else {
@@ -87,7 +87,7 @@
         Piece::Broken(Loss::Broke)
     }
 
-    /// Gives the connection of a stream back that ended properly.
+    /// Returns the connection of a properly ended stream to the pool.
     pub fn finish(self) {
         let Answer {
             said, line, sent, ..
@@ -99,24 +99,24 @@
     }
 }
 
-/// A stream on its way to a caller.
+/// A stream being relayed to a caller.
 #[derive(Debug)]
 pub struct Relay {
     /// The request.
     pub job: Job,
-    /// The endpoint's stream; `None` between two endpoints.
+    /// The endpoint's stream; `None` while the relay moves between endpoints.
     pub source: Option<Source>,
-    /// Last event that the caller has been sent.
+    /// Last event sent to the caller.
     pub last: Option<EventId>,
-    /// Where the caller's parts go.
+    /// Sender to the caller's connection.
     pub parts: mpsc::Sender<Part>,
-    /// The line that tells how the request ended.
+    /// Log line of the request.
     pub record: Record,
-    /// Pauses between its events.
+    /// Pauses between the stream's events.
     pub pauses: Pauses,
 }
 
-/// The pauses of one stream.
+/// Pauses between the events of one stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Pauses {
     last: Instant,
@@ -124,7 +124,7 @@
 }
 
 impl Pauses {
-    /// Begins with the first event.
+    /// Starts the clock at the first event.
     pub fn begin() -> Self {
         Self {
             last: Instant::now(),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes events; returns the pause before them.
+    /// Records an event; returns the pause before it.
     fn event(&mut self) -> Duration {
         let now = Instant::now();
         let pause = now.duration_since(self.last);
@@ -141,7 +141,7 @@
         pause
     }
 
-    /// The longest one.
+    /// The longest pause so far.
     pub fn longest(&self) -> Duration {
         self.longest
     }
@@ -157,7 +157,7 @@
 }
 
 impl Relay {
-    /// Relays until the stream is over.
+    /// Relays until the stream ends.
     pub async fn run(mut self, first: Events) {
         let over = match self.pass_on(first).await {
             Some(over) => over,
@@ -173,7 +173,7 @@
             .stream(status, cause, self.last, self.pauses.longest());
         if over == Over::Complete {
             self.job.streamed(self.pauses.longest());
-            // A caller that has gone needs no end.
+            // Fails only if the caller has disconnected.
             let _ = self.parts.send(Part::End).await;
             if let Some(source) = self.source {
                 source.finish();
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Goes on at another endpoint after the last whole event, where that is
-    /// allowed and there is one.
+    /// Resumes at another endpoint after the last complete event, if that is allowed and
+    /// one is available.
     async fn go_on(&mut self, loss: Loss) -> Option<Over> {
         let silent = loss == Loss::Timeout;
         if let Some(source) = &self.source {
@@ -235,7 +235,7 @@
             self.job.note_lost(&endpoint, loss).await;
         }
         if !self.job.may_go_on() {
-            // One that is only silent may speak again.
+            // An endpoint that is only silent may continue.
             return (!silent).then_some(Over::Broken);
         }
         let Some(source) = self.source.take() else {
@@ -246,8 +246,8 @@
         }
         self.job.resume = self.last.or(self.job.resume);
         self.job.left_behind(source.endpoint(), loss);
-        // The earlier connection closes before the request goes out again, so
-        // that two endpoints never work on it.
+        // The previous connection is closed before the request is resent, so that no two
+        // endpoints work on it at the same time.
         drop(source);
         let parts = self.parts.clone();
         let next = tokio::select! {
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -1,14 +1,14 @@
-//! What an entry knows of requests that crash the endpoints that run them
-//! ([`dogwoodhill_policy::quarantine`]): what it met itself, and what all entries together
-//! found.
+//! Requests suspected of crashing the endpoints that run them
+//! ([`dogwoodhill_policy::quarantine`]): the entry's own observations, and those of all
+//! entries together.
 //!
-//! An entry alone blames no request: of those that were lost with the same endpoint it knows
-//! its own only, and the culprit may have come to another entry. It does so where it has heard
-//! nothing from control for long.
+//! An entry alone blames no request: of the requests lost with an endpoint, it sees only
+//! its own, and the culprit may have come to another entry. It relies on its own
+//! observations only after control has been unreachable for some time.
 //!
-//! What it met is kept here and told to each control instance once, so that the next one
-//! knows as much as the one before. What is quarantined stays so until its end, whatever an
-//! instance says that has forgotten it.
+//! Observations are kept here and reported to each control instance once, so that a new
+//! instance catches up with the previous one. A quarantine lasts until its end, even if
+//! an instance that has lost its state no longer reports it.
 
 use crate::directory::Endpoint;
 use crate::stats::Stats;
@@ -26,27 +26,27 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Own losses that are kept, the oldest out first: what is under way at the endpoints that
-/// end while a control instance can't be reached.
+/// Upper bound on own losses kept; the oldest is dropped first. Covers the requests in
+/// flight at the endpoints that end while control is unreachable.
 const MOST_OWN: usize = 1_024;
-/// Time without control after which an entry goes by what it met itself.
+/// Time without control after which an entry relies on its own observations.
 const ALONE: Duration = Duration::from_secs(10);
-/// Longest wait of a suspected request for what control knows by now.
+/// Longest wait of a suspected request for control's current state.
 const REFRESH: Duration = Duration::from_millis(150);
-/// Requests that were served and are to be told.
+/// Upper bound on served requests waiting to be reported.
 const MOST_SERVED: usize = 256;
 
-/// Requests that this entry knows of.
+/// Requests suspected of crashing endpoints.
 #[derive(Debug)]
 pub struct Suspects {
     teller: Teller,
     stats: Stats,
     state: Mutex<State>,
-    /// Told when a request is quarantined.
+    /// Notified when a request is quarantined.
     found: Notify,
-    /// Told when control is to be asked at once.
+    /// Notified when control is to be called at once.
     pub asked: Notify,
-    /// Told when control has answered, or has not.
+    /// Notified when control has responded or failed to.
     answered: Notify,
 }
 
@@ -54,40 +54,40 @@
 struct State {
     quarantine: Quarantine,
     own: Vec<Own>,
-    /// Suspected requests as control told them, sorted, with their crashes.
+    /// Suspected requests reported by control, sorted, with their number of crashes.
     told: Vec<(Fingerprint, usize)>,
     mark: u64,
-    /// When control answered last, or the first time that it did not.
+    /// When control responded last, or when it first failed to.
     answered: Option<Duration>,
     served: Served,
-    /// Suspected requests that were served, and when, until that is told.
+    /// Suspected requests that were served, with the time, until they are reported.
     harmless: Vec<(Fingerprint, Duration)>,
 }
 
-/// A loss that this entry met.
+/// A request that this entry lost with its endpoint.
 #[derive(Debug)]
 struct Own {
     loss: LostRequest,
     endpoint: Arc<Endpoint>,
-    /// Run of the control instance that was told of it; 0 for none.
+    /// Run of the control instance that acknowledged it; 0 for none.
     told: u64,
-    /// Whether the message that is under way has it.
+    /// Whether it is part of the report in flight.
     pending: bool,
 }
 
-/// What an entry tells.
+/// Observations to report to control.
 #[derive(Debug)]
 pub struct News {
-    /// Requests that it lost with their endpoints.
+    /// Requests lost with their endpoints.
     pub losses: Vec<RequestLoss>,
-    /// Suspected requests that it served.
+    /// Suspected requests that were served.
     pub served: Vec<RequestServed>,
-    /// Mark of the suspected requests that it knows.
+    /// Mark of the last list of suspects received from control.
     pub mark: u64,
 }
 
 impl Suspects {
-    /// Nothing is known yet; `name` is the entry's.
+    /// Creates an empty state for the entry called `name`.
     pub fn new(name: &str, stats: Stats) -> Self {
         Self {
             teller: hash(name.as_bytes()),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// What is known of a request.
+    /// Known crashes of a request, and the rest of its quarantine.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         let state = self.state();
         let own = state.quarantine.standing(uptime(), request);
@@ -111,22 +111,23 @@
         }
     }
 
-    /// Asks control what is known by now, before a suspected request is sent: each moment
-    /// counts there, and what was told may be half a second old.
+    /// Requests control's current state before a suspected request is sent. Otherwise the
+    /// state may be half a second old, and in that time the request may crash further
+    /// endpoints.
     pub async fn refresh(&self) {
         let mut answered = pin!(self.answered.notified());
         answered.as_mut().enable();
         self.asked.notify_one();
-        // Without an answer it goes on by what it was told.
+        // Without a response, the last known state applies.
         let _ = timeout(REFRESH, answered).await;
     }
 
-    /// Control has answered, or not in time.
+    /// Called when control has responded or has failed to in time.
     pub fn refreshed(&self) {
         self.answered.notify_waiters();
     }
 
-    /// Ends when a request is quarantined.
+    /// Completes when a request is quarantined.
     pub async fn quarantined(&self, request: Fingerprint) {
         loop {
             let mut found = pin!(self.found.notified());
@@ -138,7 +139,8 @@
         }
     }
 
-    /// A request was lost with its endpoint, which is gone. Returns the crashes under it.
+    /// Records a request that was lost with an ended endpoint. Returns the number of its
+    /// crashes.
     pub fn lost(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
         let mut state = self.state();
         let now = uptime();
@@ -159,7 +161,7 @@
         state.quarantine.standing(now, request).crashes
     }
 
-    /// An endpoint outlived a request, and answered it.
+    /// Records that an endpoint survived a request and responded.
     pub fn served(&self, request: Fingerprint) {
         let now = uptime();
         let mut state = self.state();
@@ -167,7 +169,7 @@
         state.exonerate(request, now);
     }
 
-    /// What control is to be told, whose instance's run is `run`.
+    /// What to report to a control instance whose run is `run`.
     pub fn news(&self, run: u64) -> News {
         let now = uptime();
         let mut state = self.state();
@@ -198,7 +200,7 @@
         }
     }
 
-    /// The instance that runs as `run` has taken in `news`.
+    /// Called when the instance with this run has processed `news`.
     pub fn acknowledged(&self, run: u64, news: &News) {
         let mut state = self.state();
         for own in state.own.iter_mut().filter(|own| own.pending) {
@@ -209,7 +211,7 @@
         state.harmless.drain(..told);
     }
 
-    /// Control answered: takes in what all entries together found, where that has changed.
+    /// Applies a response of control; `told` has what all entries found, if that changed.
     pub fn heard(&self, told: Option<Told>) {
         let now = uptime();
         let mut state = self.state();
@@ -221,7 +223,7 @@
         self.settle(state, now, before);
     }
 
-    /// Control did not answer.
+    /// Called when control did not respond.
     pub fn unheard(&self) {
         let now = uptime();
         let mut state = self.state();
@@ -233,7 +235,8 @@
         self.settle(state, now, before);
     }
 
-    /// Forgets what is over, and tells who waits if more is quarantined than before.
+    /// Drops what has expired, and notifies waiting requests if more are quarantined than
+    /// before.
     fn settle(&self, mut state: MutexGuard<'_, State>, now: Duration, before: usize) {
         state.forget(now);
         let held = state.quarantine.held();
@@ -272,14 +275,15 @@
         }
     }
 
-    /// Blames requests for what this entry met.
+    /// Blames requests by this entry's own observations.
     fn judge(&mut self, now: Duration) {
         for found in self.quarantine.judge(now) {
             found.event().warn();
         }
     }
 
-    /// A request was served at `at`: it is told so, if anybody suspects it.
+    /// Clears a request that was served at `at`, and queues the report if the request is
+    /// suspected.
     fn exonerate(&mut self, request: Fingerprint, at: Duration) {
         let known = self.told.binary_search_by_key(&request, |told| told.0);
         let own = self.own.iter().any(|own| own.loss.request == request);
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Forgets losses that are old, or whose endpoint was heard from since.
+    /// Drops losses that have expired, or whose endpoint was active afterwards.
     fn forget(&mut self, now: Duration) {
         let Self {
             own, quarantine, ..
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -1,9 +1,10 @@
-//! Counting the requests that endpoints begin, and telling control of them.
+//! Counting the requests that endpoints start, and reporting the counts to control.
 //!
-//! An entry tells the control instance that reports, else the first one by address that
-//! answers and is in contact with a majority. Windows are cut by true time as control knows
-//! it from the clocks of all entries, held against a clock that nobody steps; an entry goes
-//! by its own wall clock only until it was first told.
+//! An entry reports to the control instance that owns the usage duty, else to the first
+//! one by address that responds and is in contact with a majority. Windows are cut by
+//! true time, as control estimates it from the clocks of all entries, measured against a
+//! monotonic clock. An entry uses its own wall clock only until it receives the first
+//! estimate.
 
 use crate::follow::Follower;
 use crate::stats::Stats;
@@ -18,24 +19,24 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{sleep, timeout};
 
-/// Interval at which an entry tells. An entry that is killed takes with it what it has not
-/// told.
+/// Interval between reports. An entry that is killed loses the counts it has not
+/// reported.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// Spread of the interval, so that entries do not tell in step.
+/// Jitter of the interval, so that entries do not report in step.
 const SPREAD: std::ops::Range<f64> = 0.8..1.2;
-/// Longest wait for an instance's answer.
+/// Timeout of a call to a control instance.
 const PATIENCE: Duration = Duration::from_millis(300);
-/// Instances that are told at one time before the next interval: one more than may be lost
-/// at once where five keep the log, and the one that reports.
+/// Control instances tried per interval: one more than may fail at once where five
+/// instances replicate the log, and the one that owns the usage duty.
 const TRIES: usize = 4;
-/// Longest way there and back after which what was told of the time counts: half of it is
-/// how wrong that may be.
+/// Longest round trip after which a received time estimate is used: half of the round
+/// trip bounds its error.
 const QUICK: Duration = Duration::from_millis(100);
 
-/// What one entry counts.
+/// Usage counts of one entry.
 #[derive(Debug)]
 pub struct Usage {
-    /// Names this run of the entry.
+    /// Random id of this run of the process.
     run: u64,
     windows: Windows,
     stats: Stats,
@@ -45,18 +46,18 @@
 #[derive(Debug, Default)]
 struct State {
     ledger: Ledger,
-    /// What [`uptime`] has to be moved by to show true time.
+    /// What is added to [`uptime`] to get true time.
     offset: Option<Duration>,
-    /// The instance that reports, as it was told last.
+    /// The instance that owns the usage duty, as last received.
     holder: Option<SocketAddr>,
-    /// The instance that answered last, and its run.
+    /// The instance that responded last, and its run.
     last: Option<(SocketAddr, u64)>,
-    /// The window of which a request was last said to be lost.
+    /// The last window for which a lost count was logged.
     lost: Option<Window>,
 }
 
 impl Usage {
-    /// Nothing is counted yet.
+    /// Creates an empty counter.
     pub fn new(windows: Windows, stats: Stats) -> Self {
         Self {
             run: rand::random(),
@@ -66,7 +67,7 @@
         }
     }
 
-    /// An endpoint began a request of a workspace.
+    /// Counts a request of `workspace` that an endpoint started.
     pub fn count(&self, workspace: &str) {
         let window = self.windows.at(self.now());
         let counted = self.state().ledger.count(window, workspace);
@@ -76,7 +77,7 @@
             Counted::Full => "full",
         };
         self.stats.usage(outcome);
-        // One line a window: a workspace may send many requests.
+        // Logged once per window, since a workspace may send many requests.
         if self.state().lost.replace(window) == Some(window) {
             return;
         }
@@ -87,15 +88,16 @@
             .warn();
     }
 
-    /// True time, as far as it is known here.
+    /// Estimated true time.
     fn now(&self) -> TrueTime {
         let offset = self.state().offset;
         offset.map_or_else(wall, |offset| offset + uptime())
     }
 
-    /// What is told to an instance of which a run was heard before.
+    /// Report to the instance at `address`, relative to what its last run acknowledged.
     fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> TellUsage {
-        // Before the counts are read: what comes between is told twice rather than left out.
+        // Read before the counts: what is counted in between is reported twice rather
+        // than left out.
         let through = self.now();
         let state = self.state();
         let last = state.last.filter(|last| last.0 == address);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Takes in an answer that was asked for at `asked`.
+    /// Applies a response to a report that was sent at `asked`.
     fn heard(
         &self,
         address: SocketAddr,
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Tells control what is new, once; `ends` says that nothing more comes. Whether an
-    /// instance that is in contact with a majority has it.
+    /// Reports new counts once; `ends` marks the final report. Returns whether an
+    /// instance in contact with a majority has them.
     pub async fn tell(&self, follower: &Follower, ends: bool) -> bool {
         let control = follower.control().instances();
         let holder = self.state().holder;
@@ -159,7 +161,7 @@
     }
 }
 
-/// Counts one request as begun, once however often it is sent and whoever finds out.
+/// Counts one request as started at most once, however often it is sent.
 #[derive(Debug)]
 pub struct Begun {
     usage: Option<Arc<Usage>>,
@@ -168,7 +170,7 @@
 }
 
 impl Begun {
-    /// For a request of `workspace`. One of nobody is not counted.
+    /// Counts for `workspace`; without a workspace, nothing is counted.
     pub fn new(usage: Option<Arc<Usage>>, workspace: Option<WorkspaceId>) -> Self {
         Self {
             usage,
@@ -177,7 +179,7 @@
         }
     }
 
-    /// An endpoint has begun it.
+    /// Called when an endpoint has started the request.
     pub fn count(&self) {
         let Some((usage, workspace)) = self.usage.as_ref().zip(self.workspace.as_ref())
         else {
@@ -189,7 +191,7 @@
     }
 }
 
-/// Tells for ever.
+/// Reports in an endless loop.
 pub async fn run(usage: Arc<Usage>, follower: Arc<Follower>) {
     let mut told = true;
     loop {
--- a/crates/direct/tests/all/ages.rs
+++ b/crates/direct/tests/all/ages.rs
@@ -1,5 +1,4 @@
-//! What is chosen from a list that is too old, and what is checked again before it is acted
-//! on.
+//! Placement from a list that is too old, and the second admission check before sending.
 
 use crate::dialect::Plain;
 use dogwoodhill_core::prelude::*;
@@ -20,8 +19,8 @@
 use tokio::net::TcpListener;
 use tokio::task::yield_now;
 
-/// How long endpoints that leave may be sent requests: so short that a list which is a
-/// second old is too old.
+/// Bound for requests to leaving endpoints: so short that a list one second old is too
+/// old.
 const WITHIN: Duration = Duration::from_secs(1);
 
 fn listed(address: SocketAddr, leaving: bool) -> Listed {
@@ -39,9 +38,9 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// An entry stood still for longer than an endpoint that leaves may be sent requests, and
-/// what it believes is as old. A request that it takes then waits for the list that is
-/// being read, and is not sent to an endpoint that has left meanwhile.
+/// Guards against requests to an endpoint that left while the entry was suspended for
+/// longer than the bound. A request received then must wait for the list read in
+/// progress.
 #[tokio::test(start_paused = true)]
 async fn overdue_list_waits_for_the_next() {
     let directory = Arc::new(Directory::new("here".to_string()));
@@ -76,7 +75,7 @@
     );
 }
 
-/// No list comes: callers wait for a moment once, and the last list is used.
+/// Without a new list, only the first request waits briefly, and the old list is used.
 #[tokio::test(start_paused = true)]
 async fn overdue_list_delays_callers_once() {
     let directory = Directory::new("here".to_string());
@@ -97,7 +96,7 @@
     assert!(!directory.all()[0].leaving());
 }
 
-/// A list that forgets the first call, and answers the others.
+/// A list source that never responds to the first call.
 #[derive(Debug, Default)]
 struct Forgetful {
     calls: AtomicUsize,
@@ -113,8 +112,8 @@
     }
 }
 
-/// The connection to the list went silent: it is asked once more beside that, in a third of
-/// the time after which the call is given up.
+/// Guards against a read delayed by the whole page timeout if the connection to the
+/// source goes silent: the page is requested again after a third of it.
 #[tokio::test(start_paused = true)]
 async fn silent_list_asked_again() {
     let list = Forgetful::default();
@@ -125,7 +124,8 @@
     assert_eq!(list.calls.load(Ordering::Relaxed), 2);
 }
 
-/// While a connection is made, the endpoint begins to leave: no byte goes out on it.
+/// An endpoint begins to leave while a connection to it is being made: no byte may be
+/// sent.
 #[tokio::test]
 async fn left_while_connecting_gets_nothing() {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("binds");
--- a/crates/direct/tests/all/answers.rs
+++ b/crates/direct/tests/all/answers.rs
@@ -1,4 +1,4 @@
-//! Which answers reach a caller.
+//! Which responses of endpoints reach the caller.
 
 use crate::endpoint::{Act, StandIn};
 use crate::entry::Entry;
--- a/crates/direct/tests/all/backoff.rs
+++ b/crates/direct/tests/all/backoff.rs
@@ -1,9 +1,9 @@
-//! An endpoint that turns requests away and asks to be left alone for a while.
+//! An endpoint that rejects requests and requests a backoff.
 //!
-//! Seen: an endpoint asked an entry for 3 s of rest and got 5 requests from it in that time;
-//! callers were refused for seconds while other endpoints served.
-//! Cause: what a refusal asks was read by nobody, and the refusal was forgotten with the attempt
-//! that met it.
+//! Guards against retry delays that are ignored: an endpoint that requested 3 s got 5
+//! requests in that time, and callers were refused for seconds while other endpoints
+//! served. The retry delay of a rejection was not parsed, and the rejection was forgotten
+//! with its attempt.
 
 use crate::endpoint::{Act, StandIn};
 use crate::entry::{Entry, Got, listed};
@@ -11,21 +11,21 @@
 use std::time::Instant;
 use tokio::time::sleep;
 
-/// Requests that come while an endpoint rests.
+/// Requests sent during the backoff.
 const REQUESTS: usize = 60;
-/// Most of them that may still reach it.
+/// Upper bound on those that may still reach the endpoint.
 const MOST: usize = 2;
-/// Longest wait for something that comes about by itself.
+/// Timeout of waits for a condition.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// An endpoint that turns everything away and asks for rest.
+/// An endpoint that rejects everything with this retry delay.
 async fn resting(seconds: &str) -> StandIn {
     let endpoint = StandIn::start(vec![Act::Refuse; 1_000]).await;
     endpoint.says(&format!("retry-after: {seconds}\r\n"));
     endpoint
 }
 
-/// Calls until `endpoint` has turned a request away.
+/// Sends requests until `endpoint` has rejected one.
 async fn turned_away(entry: &Entry, endpoint: &StandIn) {
     let begun = Instant::now();
     while endpoint.seen().is_empty() {
@@ -42,8 +42,8 @@
     all
 }
 
-/// Guards against requests to an endpoint that asked this entry for rest: it gets none, and
-/// callers are served elsewhere.
+/// Guards against requests to an endpoint during the backoff it requested from this
+/// entry; callers are served by another endpoint.
 #[tokio::test]
 async fn resting_endpoint_gets_nothing() {
     let (rests, serves) = (resting("30").await, StandIn::start(Vec::new()).await);
@@ -60,8 +60,8 @@
     assert!(all.iter().all(|got| got.status == 200), "{all:?}");
 }
 
-/// All rest: callers are told truly that nothing ran, and to come back once the first of them
-/// takes requests again.
+/// If all endpoints are backed off, callers get "not run" with the delay until the first
+/// of them admits requests again.
 #[tokio::test]
 async fn resting_endpoints_refused_until_the_first_is_back() {
     let (longer, shorter) = (resting("60").await, resting("30").await);
@@ -81,7 +81,7 @@
     assert_eq!(more, 0, "both rest");
 }
 
-/// The time is over: it is used again.
+/// An endpoint is used again after its backoff.
 #[tokio::test]
 async fn resting_endpoint_used_again_afterwards() {
     let endpoint = StandIn::start(vec![Act::Refuse]).await;
@@ -94,7 +94,7 @@
     }
 }
 
-/// Another start of the endpoint owes nothing to what the one before asked for.
+/// A restarted endpoint does not inherit the backoff of its previous run.
 #[tokio::test]
 async fn resting_endpoint_started_again_is_used() {
     let endpoint = StandIn::start(vec![Act::Refuse]).await;
--- a/crates/direct/tests/all/control.rs
+++ b/crates/direct/tests/all/control.rs
@@ -1,4 +1,4 @@
-//! Control instances under test, each a cluster of its own.
+//! Control instances under test, each a cluster of one.
 
 use dogwoodhill_consensus::members::Member;
 use dogwoodhill_control::command::Action;
@@ -21,24 +21,24 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A control instance with a log of its own, which any set can be put into.
+/// A control instance with its own log, to which any route set can be submitted.
 pub(crate) struct Instance {
-    /// Where entries find it.
+    /// Address that entries use.
     pub(crate) address: SocketAddr,
-    /// Where it listens.
+    /// Address that the instance listens on.
     pub(crate) inner: SocketAddr,
     service: Service,
-    /// What entries told it of usage.
+    /// Usage counts reported by entries.
     pub(crate) usage: Usage,
 }
 
 impl Instance {
-    /// Starts one.
+    /// Starts an instance.
     pub(crate) async fn start(number: usize) -> Self {
         Self::shown_at(number, None).await
     }
 
-    /// Starts one that names `shown` as its address.
+    /// Starts an instance that announces `shown` as its address.
     pub(crate) async fn shown_at(number: usize, shown: Option<SocketAddr>) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = Listener::bind(free).await.expect("a free port");
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Puts a set in force.
+    /// Puts a route set into force.
     pub(crate) async fn put(&self, held: HeldRoutes) {
         let put = self.service.submit(&Action::Routes(held)).await;
         put.expect("a cluster of one accepts");
