--- a/crates/direct/tests/all/crashing.rs
+++ b/crates/direct/tests/all/crashing.rs
@@ -1,15 +1,13 @@
 //! A request that crashes the endpoints that run it.
 //!
-//! Seen: one request was sent again by its caller at one entry after the other, and ended
-//! 10 to 18 endpoints in a row; up to 41 requests that were beside it were lost each time.
-//! How it comes about: an endpoint ends some 40 ms after it began the request. The entry
-//! sees a broken connection and answers 502. The caller sends the same again, to another
-//! entry, which has never heard of it and places it like any other.
-//! Cause: what befalls endpoints was known to all entries together; what befell a request
-//! was known to one attempt, and forgotten with it.
-//! Proof: here the same request comes to four entries in turn, before endpoints that end
-//! when they begin it and come back under another name. Without memory of it each of them
-//! sends it on for as long as it comes.
+//! Guards against one request, retried by its caller at one entry after the other, that
+//! ends 10 to 18 endpoints in a row, with up to 41 other requests lost each time. An
+//! endpoint ends some 40 ms after it began the request; the entry sees a broken
+//! connection and responds with 502; the caller retries at another entry, which knows
+//! nothing of the request and places it like any other. Crashes must therefore be
+//! attributed to a request across attempts and entries. Here the same request comes to
+//! four entries in turn, with endpoints that end when they begin it and come back under
+//! another name.
 
 use crate::control::Instance;
 use crate::endpoint::{Act, StandIn};
@@ -31,19 +29,19 @@
 
 const ENTRIES: usize = 4;
 const ENDPOINTS: usize = 6;
-/// Body of the request that ends whoever begins it.
+/// Body of the request that crashes its endpoint.
 const CRASHES: &str = "crash";
-/// Beginning of the bodies of requests that take a while.
+/// Prefix of the bodies of slow requests.
 const LASTS: &str = "lasts";
-/// How long these take.
+/// Duration of slow requests.
 const LASTING: Duration = Duration::from_millis(150);
-/// Endpoints under which it takes to know: fewer end for reasons of their own.
+/// Crashes after which a request is quarantined; fewer may have other causes.
 const KNOWN_AFTER: usize = 3;
-/// How long an endpoint is gone.
+/// Time until a crashed endpoint is replaced.
 const DOWN: Duration = Duration::from_millis(700);
-/// Several times what an entry takes to look after an endpoint.
+/// Several times the duration of an entry's check of an endpoint.
 const LOOKED: Duration = Duration::from_millis(300);
-/// Longest wait for something that comes about by itself.
+/// Timeout of waits for a condition.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Endpoints that end when they begin [`CRASHES`], and come back under another name.
@@ -54,16 +52,16 @@
     beside: Arc<Beside>,
 }
 
-/// Requests that run beside the one that ends an endpoint.
+/// Requests that run concurrently with the one that crashes an endpoint.
 #[derive(Debug, Default)]
 struct Beside {
     running: watch::Sender<usize>,
-    /// How many have to run before an endpoint ends. They run until it does.
+    /// Number that must be running before an endpoint crashes; they run until it does.
     wanted: AtomicUsize,
 }
 
 impl Beside {
-    /// Runs one of them.
+    /// Runs one request.
     async fn run(&self) {
         let _running = Running::enter(&self.running);
         if self.wanted.load(Ordering::SeqCst) > 0 {
@@ -72,7 +70,7 @@
         sleep(LASTING).await;
     }
 
-    /// Waits until as many run as are wanted.
+    /// Waits until the wanted number is running.
     async fn complete(&self) {
         let wanted = self.wanted.load(Ordering::SeqCst);
         let mut running = self.running.subscribe();
@@ -81,7 +79,7 @@
     }
 }
 
-/// Counts a request in until it is dropped.
+/// Counts a request as running until it is dropped.
 struct Running<'a>(&'a watch::Sender<usize>);
 
 impl<'a> Running<'a> {
@@ -111,8 +109,8 @@
         *self.ended.lock().expect("not poisoned")
     }
 
-    /// Waits until an entry has a list without those that ended: it tries endpoints that it
-    /// could not reach again after a while, three for one request.
+    /// Waits until an entry has a list without ended endpoints. Otherwise it retries
+    /// unreachable endpoints after a while, up to three per request.
     async fn known_to(&self, entry: &Entry) {
         until("the entry has the list", async || {
             let listed = self.listed.lock().expect("not poisoned").clone();
@@ -125,7 +123,7 @@
         .await;
     }
 
-    /// An endpoint that listens and is listed.
+    /// Starts listening, and lists the endpoint.
     async fn add(&self, id: String) -> TcpListener {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         self.listed.lock().expect("not poisoned").push(Listed {
@@ -144,7 +142,7 @@
         listed.retain(|listed| listed.run.id != id);
     }
 
-    /// Serves at one place, by one endpoint after the other.
+    /// Replaces crashed endpoints one after the other.
     async fn keep(self, at: usize, mut socket: TcpListener) {
         let mut id = format!("i-{at}");
         loop {
@@ -164,8 +162,8 @@
     }
 }
 
-/// Serves until a request ends the endpoint, and with it all its connections. It is counted
-/// before anybody can see that.
+/// Serves until a request crashes the endpoint, which closes all its connections. The
+/// crash is counted before it becomes visible.
 async fn serve_until_crash(
     socket: TcpListener,
     ended: &Mutex<usize>,
@@ -186,7 +184,7 @@
     }
 }
 
-/// Answers what comes on a connection; returns it where the last request ends the endpoint.
+/// Serves a connection; returns it if the last request crashes the endpoint.
 async fn serve(mut stream: TcpStream, beside: Arc<Beside>) -> Option<TcpStream> {
     let mut text = String::new();
     loop {
@@ -195,7 +193,7 @@
             Ok(0) | Err(_) => return None,
             Ok(count) => text.push_str(&String::from_utf8_lossy(&bytes[..count])),
         }
-        // Bodies here come with their heads, in one write.
+        // Head and body arrive in one write here.
         let Some((head, body)) = text.split_once("\r\n\r\n") else {
             continue;
         };
@@ -219,7 +217,7 @@
     }
 }
 
-/// Routes whose requests may be sent many times.
+/// Route set whose requests may be sent many times.
 fn patient() -> RouteSet {
     let mut set = set();
     for route in &mut set.routes {
@@ -274,7 +272,8 @@
         }
     }
 
-    /// Sends it at one entry after the other until `ended` endpoints have.
+    /// Sends the crashing request to the entries in turn until `ended` endpoints have
+    /// ended.
     async fn crash(&self, ended: usize) {
         let begun = Instant::now();
         for (at, entry) in self.entries.iter().cycle().enumerate() {
@@ -288,8 +287,8 @@
         }
     }
 
-    /// Waits until each entry knows of `requests` that are not sent on, or for so long that
-    /// what they do then is a fault.
+    /// Waits until each entry has `requests` quarantined ones, or until the timeout;
+    /// callers assert on what the entries do then.
     async fn known_everywhere(&self, requests: u64) {
         let end = Instant::now() + PATIENCE;
         for entry in &self.entries {
@@ -303,7 +302,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 async fn until(what: &str, holds: impl AsyncFn() -> bool) {
     let begun = Instant::now();
     while !holds().await {
@@ -312,8 +311,7 @@
     }
 }
 
-/// Sent again at one entry after the other: none sends it on once three endpoints have
-/// ended under it, and its caller is told truly that it did not run.
+/// After three crashes, no entry sends the request on, and its caller gets "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_refused_everywhere() {
     let scene = Scene::start().await;
@@ -334,13 +332,13 @@
     assert_eq!(scene.fleet.ended(), ended, "it reached no endpoint");
 }
 
-/// One attempt of a caller, on routes that allow five sends: it ends two endpoints at most.
+/// One attempt on routes that allow five sends crashes at most two endpoints.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_attempt_ends_two_endpoints() {
     for path in ["POST /safe/", "POST /resumable/"] {
         let scene = Scene::start().await;
         let entry = &scene.entries[0];
-        // Second sends are in the budget.
+        // The budget covers resends after this.
         for _ in 0..40 {
             entry.call("GET /safe/", "", "").await;
         }
@@ -352,14 +350,15 @@
             entry.shared.suspects.standing(request).crashes == 2
         })
         .await;
-        // It is sent once now.
+        // From now on, each attempt is sent once.
         entry.call_as("again", path, "", CRASHES).await;
         assert_eq!(scene.fleet.ended(), 3, "{path}");
     }
 }
 
-/// Ten requests run beside it at the only endpoint whenever that ends, and come again word
-/// for word. It is held once it came alone; they are served, and none is ever held.
+/// Ten requests run at the only endpoint whenever it crashes, and are retried with the
+/// same content. Only the crashing request, which is retried alone once, may be
+/// quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_beside_others_spares_them() {
     let scene = Scene::before(1).await;
@@ -389,7 +388,8 @@
     assert!(got.body.contains("quarantined"), "{got:?}");
 }
 
-/// Endpoints break connections and live on, as where answers are lost: nobody is held.
+/// Endpoints that break connections but stay up, as when responses are lost, cause no
+/// quarantine.
 #[tokio::test]
 async fn broken_connections_of_living_endpoints_count_for_nothing() {
     let endpoints = [
@@ -401,13 +401,13 @@
         let got = entry.call("POST /once/", "", "same").await;
         assert_eq!(got.status, 502);
     }
-    // The entry has looked after them by then.
+    // The entry has checked the endpoints by then.
     sleep(LOOKED).await;
     let service = "dogwoodhill_direct_lost_with_endpoint_total{service=\"service\"} ";
     assert_eq!(entry.metric(service).await, None);
 }
 
-/// Endpoints that leave end with what still runs there: no crash, whoever was there.
+/// A leaving endpoint that ends with requests still running does not count as a crash.
 #[tokio::test]
 async fn endpoints_that_left_count_for_nothing() {
     let entry = Entry::empty(&[]).await;
@@ -441,7 +441,7 @@
     assert_eq!(entry.metric(service).await, None);
 }
 
-/// A control instance that says of one request what a test wants.
+/// A control instance that reports the given standing of one request.
 async fn saying(standing: Arc<Mutex<RequestStanding>>) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = socket.local_addr().expect("is bound");
@@ -458,7 +458,7 @@
     address
 }
 
-/// Two of five control instances are lost, those that entries ask first.
+/// Two of five control instances are down, those that entries try first.
 #[tokio::test]
 async fn third_instance_asked_where_two_are_gone() {
     let standing = RequestStanding {
@@ -475,7 +475,7 @@
     .await;
 }
 
-/// Of [`CRASHES`] on the route for requests that run once.
+/// Fingerprint of [`CRASHES`] on the route for non-idempotent requests.
 fn fingerprint() -> Fingerprint {
     fingerprint_at("/once/")
 }
@@ -490,8 +490,8 @@
     })
 }
 
-/// It waits in an endpoint's queue when others of the same content are found out: it is
-/// withdrawn before the endpoint begins it.
+/// A request queued at an endpoint is withdrawn before it starts when its content is
+/// quarantined.
 #[tokio::test]
 async fn quarantined_request_withdrawn_from_its_queue() {
     let endpoint = StandIn::start(vec![Act::Hang]).await;
@@ -514,8 +514,8 @@
     assert_eq!(got.status, 502, "it may have run: {got:?}");
 }
 
-/// Entries know that two endpoints ended under it. A third one just has, which control
-/// knows: the entry asks before it sends it on.
+/// The entry knows of two crashes, and control of a third that just happened: the entry
+/// must refresh its state before it sends the request.
 #[tokio::test]
 async fn suspected_request_looked_up_before_it_is_sent() {
     let endpoint = StandIn::start(Vec::new()).await;
@@ -545,8 +545,8 @@
     assert_eq!(endpoint.seen().len(), 1);
 }
 
-/// A process that ends closes what it has open one after the other: it takes the connection
-/// by which the entry looks after it, and closes that as well.
+/// A process that ends closes its sockets one after the other. It may accept the
+/// connection by which the entry checks it, and then close that as well.
 #[tokio::test]
 async fn endpoint_that_takes_a_connection_while_it_ends_has_ended() {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -578,7 +578,8 @@
     .await;
 }
 
-/// An entry before endpoints that end under [`CRASHES`], which it sends until three have.
+/// Starts an entry with endpoints that end under [`CRASHES`], and sends that until three
+/// have ended.
 async fn three_lost_at_one_entry(control: Vec<SocketAddr>) -> (Entry, Fleet) {
     let fleet = Fleet::start(ENDPOINTS).await;
     let list = Box::new(fleet.clone());
@@ -598,14 +599,15 @@
     (entry, fleet)
 }
 
-/// Seen: an entry refused what many callers ask word for word. It had been lost with four
-/// endpoints there; the request that ended them had come to the other entry. Control, which
-/// knew of both, did not blame it.
+/// Guards against an entry that quarantines an innocent request. The request was lost
+/// with four endpoints there, but the one that crashed them had come to another entry;
+/// control, which had received both, did not blame it.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_that_hears_control_blames_nobody() {
     let control = saying(Arc::default()).await;
     let (entry, fleet) = three_lost_at_one_entry(vec![control]).await;
-    // Long enough that one entry's word would count.
+    // Long enough for an entry to act on its own observations if control were
+    // unreachable.
     sleep(Duration::from_secs(1)).await;
     fleet.known_to(&entry).await;
     for _ in 0..5 {
@@ -616,7 +618,7 @@
     assert_eq!(fleet.ended(), ended + 1, "it is sent on: {got:?}");
 }
 
-/// Without control an entry goes by what it met itself, in the end.
+/// Without control, an entry eventually acts on its own observations.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_alone_blames_by_itself() {
     let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/crates/direct/tests/all/dialect.rs
+++ b/crates/direct/tests/all/dialect.rs
@@ -1,4 +1,4 @@
-//! A dialect for tests: plain headers with plain names.
+//! Dialect with plain header names.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::dialect::{
@@ -58,7 +58,7 @@
     }
 }
 
-/// A list that never changes.
+/// An endpoint list that never changes.
 #[derive(Debug)]
 pub(crate) struct Fixed(pub(crate) Vec<Listed>);
 
--- a/crates/direct/tests/all/endpoint.rs
+++ b/crates/direct/tests/all/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does what a test tells it, byte by byte.
+//! A scripted endpoint that writes its responses byte by byte.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,42 +9,44 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// What an endpoint does with one request.
+/// Behavior for one request.
 #[derive(Clone, Debug)]
 pub(crate) enum Act {
-    /// Answers whole, with this status and body.
+    /// Sends a complete response with this status and body.
     Answer(u16, &'static str),
-    /// Says that it did not run it.
+    /// Reports that it did not run the request.
     Refuse,
-    /// Says that it is not the endpoint that was meant.
+    /// Reports that it is not the intended endpoint.
     Misdirect,
-    /// Answers a 503 that does not say so.
+    /// Responds with a 503 that does not say "not run".
     Unfounded,
-    /// Answers with another request's id.
+    /// Responds with the id of another request.
     Foreign,
-    /// Answers without its proof.
+    /// Responds without the proof header.
     Unproved,
-    /// Answers whole, and once more right behind.
+    /// Sends a complete response, and an unsolicited one right after it.
     Twice(&'static str),
-    /// Answers without a length, and closes properly.
+    /// Sends a response without a length, and closes properly.
     Unframed(&'static str),
-    /// Breaks off before the answer's announced end.
+    /// Breaks off before the announced length.
     Short,
     /// Reads the request and breaks the connection.
     Break,
-    /// Says nothing until the caller goes.
+    /// Sends nothing until the caller closes the connection.
     Hang,
-    /// Answers whole after this time.
+    /// Sends a complete response after this delay.
     Slow(Duration, &'static str),
-    /// Streams these pieces; the flag tells whether it ends properly.
+    /// Streams these chunks; the flag selects a proper end.
     Stream(Vec<&'static str>, bool),
-    /// Streams these pieces, then nothing until the caller goes, and tells so.
+    /// Streams these chunks, then sends nothing until the caller closes the connection,
+    /// and notifies.
     Stall(Vec<&'static str>, Arc<Notify>),
-    /// Streams these pieces once it is told that a caller went elsewhere.
+    /// Waits for the notification that a caller has left another endpoint, then streams
+    /// these chunks.
     StreamAfter(Arc<Notify>, Vec<&'static str>),
 }
 
-/// A request as it arrived.
+/// A request as received.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
     pub(crate) head: String,
@@ -68,12 +70,12 @@
     acts: Arc<Mutex<Arc<Mutex<VecDeque<Act>>>>>,
     seen: Arc<Mutex<Vec<Seen>>>,
     gone: Arc<Notify>,
-    /// Header lines of all answers.
+    /// Additional header lines of all responses.
     says: Arc<Mutex<String>>,
 }
 
 impl StandIn {
-    /// Starts an endpoint; after its acts it answers 200.
+    /// Starts an endpoint; after its scripted behavior, it responds with 200.
     pub(crate) async fn start(acts: Vec<Act>) -> Self {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("binds");
         let stand_in = Self {
@@ -92,12 +94,12 @@
         stand_in
     }
 
-    /// Takes its acts from a queue that several endpoints share.
+    /// Replaces the script by a queue shared between endpoints.
     pub(crate) fn share(&self, acts: &Arc<Mutex<VecDeque<Act>>>) {
         *self.acts.lock().expect("not poisoned") = Arc::clone(acts);
     }
 
-    /// Says this in the heads of all answers from now on.
+    /// Sets additional header lines of all later responses.
     pub(crate) fn says(&self, lines: &str) {
         *self.says.lock().expect("not poisoned") = lines.to_string();
     }
@@ -106,7 +108,7 @@
         self.seen.lock().expect("not poisoned").clone()
     }
 
-    /// Waits until a caller closed a connection on which it was kept waiting.
+    /// Waits until a caller has closed a connection without a response.
     pub(crate) async fn left(&self) {
         let waited = tokio::time::timeout(Duration::from_secs(20), self.gone.notified());
         waited.await.expect("the connection is closed");
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Whether the connection goes on.
+    /// Performs one act; returns whether the connection stays open.
     async fn act(&self, stream: &mut TcpStream, id: &str, act: Act) -> bool {
         let says = self.says.lock().expect("not poisoned").clone();
         let text = match act {
@@ -218,7 +220,7 @@
     )
 }
 
-/// Reads one request with a length; `None` at the connection's end.
+/// Reads one request with a length; `None` at the end of the connection.
 async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Seen> {
     loop {
         if let Some(seen) = take_request(buffer) {
--- a/crates/direct/tests/all/entry.rs
+++ b/crates/direct/tests/all/entry.rs
@@ -1,4 +1,4 @@
-//! An entry under test and its callers.
+//! An entry under test, and its callers.
 
 use crate::dialect::{Fixed, Plain};
 use crate::endpoint::StandIn;
@@ -18,10 +18,10 @@
 use tokio::sync::watch;
 
 pub(crate) const LONG: Duration = Duration::from_secs(30);
-/// Enough requests that a second send is in the budget.
+/// Enough requests for the budget to cover a resend.
 pub(crate) const EARNING: usize = 8;
 
-/// An entry that serves; it stops with the test's runtime.
+/// A serving entry; it stops with the runtime of the test.
 pub(crate) struct Entry {
     pub(crate) callers: SocketAddr,
     pub(crate) status: SocketAddr,
@@ -29,7 +29,7 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-/// Routes for tests: one of each kind.
+/// Route set with one route of each kind.
 pub(crate) fn set() -> RouteSet {
     let route = |name: &str, repeat, events| Route {
         name: name.to_string(),
@@ -76,7 +76,7 @@
 }
 
 impl Entry {
-    /// An entry before these endpoints, with the routes of [`set`].
+    /// An entry with these endpoints and the routes of [`set`].
     pub(crate) async fn before(endpoints: &[&StandIn]) -> Self {
         Self::with(endpoints, set()).await
     }
@@ -92,7 +92,7 @@
         Self::with_grace(endpoints, LONG).await
     }
 
-    /// An entry without routes that stops within `grace`.
+    /// An entry without routes whose grace period is `grace`.
     pub(crate) async fn with_grace(endpoints: &[&StandIn], grace: Duration) -> Self {
         let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
         let listed = listed(endpoints);
@@ -102,7 +102,7 @@
         entry
     }
 
-    /// An entry without routes that tells these control instances what endpoints begin.
+    /// An entry without routes that reports usage to these control instances.
     pub(crate) async fn counting(
         endpoints: &[&StandIn],
         control: Vec<SocketAddr>,
@@ -115,13 +115,12 @@
         entry
     }
 
-    /// An entry without routes and endpoints that asks these control instances.
+    /// An entry without routes and endpoints that uses these control instances.
     pub(crate) async fn following(control: Vec<SocketAddr>) -> Self {
         Self::start("entry", Box::new(Fixed(Vec::new())), LONG, control).await
     }
 
-    /// An entry of this name that asks these control instances, and knows endpoints from
-    /// a list.
+    /// An entry with this name and endpoint list that uses these control instances.
     pub(crate) async fn start(
         name: &str,
         list: Box<dyn EndpointList>,
@@ -178,19 +177,19 @@
         entry
     }
 
-    /// Sends enough requests that a second send is in the budget.
+    /// Sends enough requests for the budget to cover a resend.
     pub(crate) async fn earn(&self) {
         for _ in 0..EARNING {
             self.call("GET /safe/", "", "").await;
         }
     }
 
-    /// Replaces the list of endpoints.
+    /// Replaces the endpoint list in the directory.
     pub(crate) fn list(&self, endpoints: &[&StandIn]) {
         self.shared.directory.update(listed(endpoints));
     }
 
-    /// The entry reads a list of these endpoints.
+    /// Applies a list of these endpoints as a read by the entry itself.
     pub(crate) fn read_list(&self, endpoints: &[&StandIn]) {
         let lists = &self.shared.lists;
         lists.read(
@@ -201,27 +200,27 @@
         );
     }
 
-    /// What the entry serves at a path of its status address.
+    /// Response of the status listener to a path.
     pub(crate) async fn status_page(&self, path: &str) -> Got {
         let stream = TcpStream::connect(self.status).await.expect("connects");
         let text = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
         Got::read(stream, &text).await
     }
 
-    /// A metric without labels.
+    /// Value of a metric without labels.
     pub(crate) async fn metric(&self, name: &str) -> Option<u64> {
         let page = self.status_page("/metrics").await;
         let mut lines = page.body.lines();
         lines.find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
-    /// Sends `METHOD path` with further header lines, and reads until the
-    /// entry closes.
+    /// Sends a request with additional header lines, and reads until the entry closes the
+    /// connection.
     pub(crate) async fn call(&self, line: &str, headers: &str, body: &str) -> Got {
         self.call_as("r-1", line, headers, body).await
     }
 
-    /// The same with a request id of its own.
+    /// Like [`Self::call`], with the given request id.
     pub(crate) async fn call_as(
         &self,
         id: &str,
@@ -234,7 +233,7 @@
     }
 }
 
-/// Endpoints as a list has them.
+/// List entries for these endpoints.
 pub(crate) fn listed(endpoints: &[&StandIn]) -> Vec<Listed> {
     let listed = endpoints.iter().enumerate().map(|(i, endpoint)| Listed {
         run: Incarnation::new(format!("endpoint-{i}"), None),
@@ -259,7 +258,7 @@
     )
 }
 
-/// An answer as a caller got it.
+/// A response as received by a caller.
 #[derive(Debug)]
 pub(crate) struct Got {
     pub(crate) status: u16,
@@ -268,11 +267,11 @@
 }
 
 impl Got {
-    /// Sends a request, and reads until the entry closes.
+    /// Sends a request, and reads until the entry closes the connection.
     pub(crate) async fn read(mut stream: TcpStream, text: &str) -> Self {
         stream.write_all(text.as_bytes()).await.expect("writes");
         let mut bytes = Vec::new();
-        // A connection that breaks off ends the answer, too.
+        // An aborted connection ends the response as well.
         let _ = stream.read_to_end(&mut bytes).await;
         Self::new(&bytes)
     }
@@ -288,12 +287,12 @@
         }
     }
 
-    /// Whether a chunked answer came to its proper end.
+    /// Whether a chunked response ended properly.
     pub(crate) fn ended(&self) -> bool {
         self.body.ends_with("0\r\n\r\n")
     }
 
-    /// Events, out of their chunks.
+    /// Data of the events in a chunked response.
     pub(crate) fn events(&self) -> Vec<String> {
         let lines = self.body.lines().filter(|line| line.starts_with("data: "));
         lines
--- a/crates/direct/tests/all/events.rs
+++ b/crates/direct/tests/all/events.rs
@@ -1,4 +1,4 @@
-//! Taking streams apart, for every way their bytes can be cut.
+//! Splitting a stream into events, with the bytes cut at arbitrary places.
 
 use dogwoodhill_direct::events::Splitter;
 use proptest::prelude::*;
--- a/crates/direct/tests/all/first.rs
+++ b/crates/direct/tests/all/first.rs
@@ -1,11 +1,11 @@
-//! An answer that is ready goes before every reason to leave.
+//! A response that is ready takes priority over any reason to abandon its endpoint.
 
 use dogwoodhill_direct::first::{First, answer_first};
 use std::cell::Cell;
 use std::future::{pending, ready};
 
-/// Both are there in the same instant, a hundred times: the answer is never thrown away,
-/// and what leaving costs is never paid.
+/// Both futures are ready at the same instant, a hundred times: the response is never
+/// discarded, and the side effects of abandoning do not happen.
 #[tokio::test]
 async fn answer_first_both_ready() {
     for _ in 0..100 {
--- a/crates/direct/tests/all/follow.rs
+++ b/crates/direct/tests/all/follow.rs
@@ -1,12 +1,10 @@
-//! Following the route set over a link that all of an entry's connections share.
+//! Following the route set over a link shared by all connections of an entry.
 //!
-//! What was seen: a set of 776 KB was in force at entries behind links of 10 Mbit/s
-//! 6.3 s after its acknowledgement, where other entries had it after 1.2 s. Each of
-//! them had received 8.5 times the set. Seven control instances sent it at the same
-//! time, since each held it back for a constant only, shorter than one transfer; and
-//! what had arrived was thrown away when the poll that it answered had lasted too
-//! long, and was sent anew from the start. That the link was full, the processor idle
-//! and all polls of an entry ended in one instant proved it.
+//! Guards against sets transferred several times over a slow link. A set of 776 KB took
+//! 6.3 s to reach entries behind links of 10 Mbit/s, where other entries had it after 1.2
+//! s, and each of them had received 8.5 times its size. Seven control instances sent the
+//! text concurrently, since each held it back for a constant time shorter than one
+//! transfer; and a transfer that outlasted its poll was discarded and started anew.
 
 use crate::control::Instance;
 use crate::entry::{Entry, LONG};
@@ -23,16 +21,16 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Control instances that an entry asks at most.
+/// Upper bound on control instances that an entry polls.
 const INSTANCES: usize = 7;
-/// Bytes that pass the link at once.
+/// Bytes that pass the link in one step.
 const PIECE: usize = 2_048;
-/// Bytes beside the set: polls, sums of demand, frames.
+/// Allowance for other traffic: polls, demand sums, framing.
 const BESIDE: usize = 64 * 1024;
 
-/// An entry's link: what all its connections are sent passes one after the other.
+/// An entry's link, which serializes the data received on all its connections.
 struct Link {
-    /// In bytes a second.
+    /// In bytes per second.
     rate: f64,
     free: Mutex<Instant>,
     passed: AtomicUsize,
@@ -59,7 +57,7 @@
         self.passed.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Stands before `target`; returns the address at which it does.
+    /// Proxies connections accepted on `socket` to `target`.
     async fn before(self: &Arc<Self>, socket: TcpListener, target: SocketAddr) {
         let link = Arc::clone(self);
         tokio::spawn(async move {
@@ -85,7 +83,7 @@
                 }
             }
         };
-        // Whichever side ends, both connections close.
+        // Both connections close when either side ends.
         tokio::select! {
             _ = there => {}
             () = back => {}
@@ -93,7 +91,7 @@
     }
 }
 
-/// Starts a control instance that entries find behind the link.
+/// Starts a control instance that entries reach through the link.
 async fn instance_behind(link: &Arc<Link>, number: usize) -> Instance {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let shown = socket.local_addr().expect("is bound");
@@ -102,7 +100,7 @@
     instance
 }
 
-/// A set of `bytes` or a little more, which says little twice.
+/// An incompressible set of at least `bytes` bytes.
 fn set(version: Version, bytes: usize) -> HeldRoutes {
     let mut random = SmallRng::seed_from_u64(version);
     let mut word = |length: usize| -> String {
@@ -177,7 +175,7 @@
         assert!(arrived.is_ok(), "version {version} did not arrive");
     }
 
-    /// Bytes that the link passes until `held` is in force.
+    /// Bytes that pass the link until `held` is in force.
     async fn cost(&self, held: &HeldRoutes) -> usize {
         let before = self.link.passed.load(Ordering::Relaxed);
         self.put(held).await;
@@ -186,7 +184,7 @@
     }
 }
 
-/// A set of 400 KB passes a link of `rate` bytes a second once, and is in force then.
+/// Checks that a set of 400 KB passes a link of `rate` bytes per second only once.
 async fn sent_once(rate: f64) {
     let scene = Scene::with_rate(rate).await;
     let held = set(2, 400_000);
@@ -195,15 +193,14 @@
     assert!(cost <= size + BESIDE, "{cost} bytes for a set of {size}");
 }
 
-/// A set that takes longer to pass the link than instances differ in when they tell
-/// of it passes it once: the link is not filled by the same text seven times.
+/// A set whose transfer takes longer than the instances differ in announcing it is
+/// transferred once, not by all seven instances at the same time.
 #[tokio::test(flavor = "multi_thread")]
 async fn set_on_a_slow_link_sent_once() {
     sent_once(700_000.0).await;
 }
 
-/// A set that passes the link for longer than any poll waits is in force in the end,
-/// and nothing of it passes twice.
+/// A set whose transfer takes longer than any poll arrives, without repeated bytes.
 #[tokio::test(flavor = "multi_thread")]
 async fn set_longer_on_its_way_than_a_poll_arrives() {
     sent_once(50_000.0).await;
--- a/crates/direct/tests/all/leaving.rs
+++ b/crates/direct/tests/all/leaving.rs
@@ -1,15 +1,17 @@
-//! An endpoint that says in its answers that it leaves, before or without the list.
+//! An endpoint that announces in its response headers that it is shutting down, before
+//! the list shows it or without a list.
 //!
-//! Pattern: the list lags by seconds, or can't be read, and the endpoint's own word is on every
-//! answer that an entry passes on.
+//! The list lags by seconds or may be unavailable, but each response that an entry
+//! forwards carries the announcement.
 
 use crate::endpoint::{Act, StandIn};
 use crate::entry::Entry;
 
-/// What it says in the heads of all answers.
+/// Header that announces the shutdown.
 const LEAVES: &str = "x-leaving: 1\r\n";
 
-/// Guards against new requests at an endpoint that told this entry that it leaves.
+/// Guards against new requests to an endpoint that has announced its shutdown to this
+/// entry.
 #[tokio::test]
 async fn leaving_told_in_answer_gets_nothing_new() {
     let (leaves, stays) = (
@@ -26,7 +28,7 @@
     assert!(seen <= 1, "{seen} requests after it had told");
 }
 
-/// A refusal tells it as well, and the request goes elsewhere.
+/// A refusal may carry the announcement as well; the request moves to another endpoint.
 #[tokio::test]
 async fn leaving_told_in_refusal_gets_nothing_new() {
     let (leaves, stays) = (
@@ -42,7 +44,8 @@
     assert!(seen <= 1, "{seen} requests after it had told");
 }
 
-/// Another endpoint answers at its address, and says that it leaves: that is its own matter.
+/// Another endpoint responds at the address and announces its own shutdown, which must
+/// not be attributed to the listed endpoint.
 #[tokio::test]
 async fn leaving_told_by_another_is_not_believed() {
     let endpoint = StandIn::start(vec![Act::Foreign]).await;
--- a/crates/direct/tests/all/limited.rs
+++ b/crates/direct/tests/all/limited.rs
@@ -1,9 +1,8 @@
-//! An endpoint that names the requests a second that it takes of all entries together.
+//! An endpoint that names a rate limit for all entries together.
 //!
-//! Seen: an endpoint named a limit of 1.2 a second and got 15 requests in 4 s, of eight
-//! entries, each of them modest.
-//! Cause: what answers' heads say of a limit was read by nobody; and an entry that keeps to it
-//! by itself knows nothing of the others' requests.
+//! Guards against limits that are ignored or kept per entry only: an endpoint with a
+//! limit of 1.2 requests per second got 15 requests in 4 s from eight entries, each of
+//! them at a modest rate.
 
 use crate::control::Instance;
 use crate::dialect::Fixed;
@@ -19,17 +18,17 @@
 use tokio::time::sleep;
 
 const ENTRIES: usize = 4;
-/// Requests a second that the limited endpoint takes.
+/// Limit of the limited endpoint, in requests per second.
 const LIMIT: f64 = 1.0;
-/// Time over which its requests are counted.
+/// Window over which its requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Most requests in a window: half more than the limit allows, and five.
+/// Upper bound per window: half more than the limit allows, plus five.
 const MOST: usize = (1.5 * LIMIT * 4.0) as usize + 5;
-/// Time after which an entry that passed an answer on keeps to what it said.
+/// Time after which an entry that forwarded a response applies the limit named in it.
 const TOLD: Duration = Duration::from_millis(500);
-/// How long callers press after that.
+/// How long callers keep sending after that.
 const PRESSED: Duration = Duration::from_secs(6);
-/// Longest wait for something that comes about by itself.
+/// Timeout of waits for a condition.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 struct Scene {
@@ -39,7 +38,7 @@
 }
 
 impl Scene {
-    /// Entries that serve, before two endpoints.
+    /// Starts serving entries with two endpoints.
     async fn start() -> Self {
         let endpoints = vec![
             StandIn::start(Vec::new()).await,
@@ -70,7 +69,7 @@
         scene
     }
 
-    /// Calls an entry until something holds of an answer's status.
+    /// Sends requests to an entry until a condition holds for a response's status.
     async fn call_until(&self, entry: &Entry, holds: impl AsyncFn(u16) -> bool) {
         let begun = Instant::now();
         loop {
@@ -83,7 +82,8 @@
         }
     }
 
-    /// Calls each entry until it takes the first endpoint for limited, or not.
+    /// Sends requests to each entry until it treats an endpoint as limited, or no longer
+    /// does.
     async fn known(&self, limited: bool) {
         for entry in &self.entries {
             self.call_until(entry, async |_| {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Callers press at all entries for a while; the answers' statuses.
+    /// Sends requests to all entries for a while; returns the statuses.
     async fn press(&self, lasting: Duration) -> Vec<u16> {
         let end = Instant::now() + lasting;
         let callers = self.entries.iter().map(async |entry| {
@@ -116,8 +116,8 @@
     }
 }
 
-/// Guards against many entries that each keep to an endpoint's limit, or none that does:
-/// together they send it no more than it takes, and callers are served elsewhere.
+/// Guards against entries that together exceed an endpoint's limit, although each of them
+/// keeps to it; callers are served by the other endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn limited_endpoint_gets_what_it_takes_of_all_entries() {
     let scene = Scene::start().await;
@@ -141,8 +141,8 @@
     assert_eq!(failed, 0, "of {}: the other one serves", statuses.len());
 }
 
-/// Guards against a limit that nobody asks about any more: once the endpoint names none, all
-/// entries send to it as before.
+/// Guards against a limit that stays in force: once the endpoint names none, all entries
+/// use it as before.
 #[tokio::test(flavor = "multi_thread")]
 async fn limited_endpoint_no_longer_limited_is_used_again() {
     let scene = Scene::start().await;
@@ -155,8 +155,8 @@
     assert!(scene.arrived(since).len() > MOST, "as many as before");
 }
 
-/// Guards against an endpoint that is all there is, and left alone where control is: it gets
-/// what an entry may send by itself, and callers are told truly that the rest did not run.
+/// Guards against a limited endpoint that gets nothing while control is unreachable: the
+/// entry limits its own rate, and the remaining callers get "not run".
 #[tokio::test]
 async fn limited_endpoint_without_control_gets_less_than_it_takes() {
     let endpoint = StandIn::start(Vec::new()).await;
@@ -181,8 +181,8 @@
     assert!(refused > 0, "it was kept to");
 }
 
-/// Guards against limits that an entry is told of before it has the list: they would never be
-/// told again.
+/// Guards against limits lost because they arrive before the endpoint list: they must be
+/// requested again.
 #[test]
 fn limit_told_before_the_list_is_asked_for_again() {
     let directory = Directory::new("here".to_string());
--- a/crates/direct/tests/all/limits.rs
+++ b/crates/direct/tests/all/limits.rs
@@ -1,4 +1,4 @@
-//! Which endpoint is chosen, without sockets.
+//! Placement of requests, without sockets.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::dialect::{Listed, Prompt};
@@ -79,9 +79,9 @@
     assert!(of(Lane::Fragile).is_disjoint(&of(Lane::Other)));
 }
 
-/// One entry gets the cues and another the chapters: alone they keep different
-/// numbers of endpoints free, and some of them would serve both kinds. By the
-/// sums they keep the same ones.
+/// One entry gets short streams and another long prompts. By their own demand, they
+/// reserve different numbers of endpoints, and some endpoints would serve both kinds. By
+/// the sums, they reserve the same ones.
 #[test]
 fn place_entries_agree_on_lanes() {
     let entry = |lane| {
@@ -109,8 +109,8 @@
         services: vec![total],
         ..Totals::default()
     };
-    // The sums are used for more than a second; whatever held this test up for
-    // longer is tried again.
+    // The sums are valid for more than a second; if the test was held up for longer, it
+    // tries again.
     let both = loop {
         let begun = Instant::now();
         cues.agree(&totals);
@@ -153,9 +153,8 @@
     );
 }
 
-/// Several times the capacity: every endpoint for long prompts lets requests
-/// wait, and some look silent. Beside short streams a long prompt of an urgent
-/// workspace would put them back.
+/// Guards against long prompts that delay more urgent streams under overload, when every
+/// endpoint for long prompts has a queue and some look silent.
 #[test]
 fn place_long_prompts_apart_under_overload() {
     let directory = Directory::new("here".to_string());
--- a/crates/direct/tests/all/lists.rs
+++ b/crates/direct/tests/all/lists.rs
@@ -1,4 +1,4 @@
-//! Which read of the list an entry goes by, without sockets.
+//! Which read of the endpoint list an entry uses, without sockets.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
@@ -22,7 +22,7 @@
     }
 }
 
-/// What control tells of a list: its content, or that it is the one of `mark`.
+/// A response of control with a list, or with only the mark of the list it has.
 fn news(mark: Mark, age: Duration, endpoints: Option<Vec<Listed>>) -> Totals {
     let content = endpoints.map(Content::new);
     Totals {
@@ -43,7 +43,7 @@
     usable.map(|endpoint| endpoint.id.clone()).collect()
 }
 
-/// An own read is told with its content until control has it.
+/// An own read is reported with its content until control has it.
 #[test]
 fn told_content_once() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
@@ -59,8 +59,8 @@
     assert_eq!(told.expect("it read").whole, None);
 }
 
-/// What others read counts where it is newer than what the entry knows, and a
-/// read from before the entry's start never does.
+/// A read by another entry is used if it is newer, but never if it precedes this entry's
+/// start.
 #[test]
 fn heard_newer_read_replaces() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
@@ -78,8 +78,8 @@
     assert_eq!(usable(&directory), ["i-1", "i-2"], "no content, no change");
 }
 
-/// What changed is taken in by who has the list that it changed from; another one asks
-/// for the whole, and goes on with the list that it has until that comes.
+/// Changes are applied if the entry has the list they are based on. Otherwise it requests
+/// the whole list, and keeps the previous one until then.
 #[test]
 fn heard_changes_of_the_list_in_use() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
@@ -109,8 +109,8 @@
     assert_eq!(lists.told().0, second.mark);
 }
 
-/// A list without endpoints, one that names far fewer, and one whose mark is not its
-/// own: the last good one stays in use.
+/// An empty list, one with far fewer endpoints, and one with a wrong mark are rejected;
+/// the last good list stays in use.
 #[test]
 fn heard_list_cut_short_changes_nothing() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
@@ -134,7 +134,7 @@
     }
 }
 
-/// A long prompt of which 6,300 tokens are a beginning that others share.
+/// A long prompt with a shared prefix of 6,300 tokens.
 fn chapter() -> Prompt {
     Prompt {
         shared: Some(7),
@@ -156,15 +156,15 @@
     }
 }
 
-/// Name and start of the endpoint that a request is sent to.
+/// Name and start of the endpoint chosen for a request.
 fn placed(directory: &Directory, want: &Want<'_>) -> Option<String> {
     let placed = directory.place(want)?;
     Some(placed.endpoint.run().to_string())
 }
 
-/// An endpoint has read a beginning and starts again under its name: the beginning is
-/// as good as unread there, what still waits at the earlier run burdens nobody, and
-/// the run that is over gets nothing, however late news of it come.
+/// An endpoint restarts under its name. The new run has nothing cached and no load from
+/// requests of the previous run, and the previous run gets nothing even if an outdated
+/// list still has it.
 #[test]
 fn update_restarted_endpoint_begins_anew() {
     let directory = Directory::new("here".to_string());
@@ -196,7 +196,8 @@
     );
 }
 
-/// It starts again right after it was seen leaving: the new run is used, and only it.
+/// An endpoint that restarts right after it was shown leaving is used, but only as the
+/// new run.
 #[test]
 fn update_restarted_after_leaving_is_used() {
     let directory = Directory::new("here".to_string());
@@ -221,8 +222,8 @@
     );
 }
 
-/// A request that the earlier run lost may go to the later one, which is another
-/// endpoint; one that lost it without a start told may be the same.
+/// A request lost by an earlier run may go to the later run, which is a different
+/// endpoint. If the start of the run that lost it is unknown, it may be the same one.
 #[test]
 fn place_tried_run_not_its_successor() {
     let directory = Directory::new("here".to_string());
@@ -236,8 +237,8 @@
     }
 }
 
-/// One name twice on a list: the later start counts, and among equal ones the
-/// address that is in use.
+/// Of two list entries with one name, the later start counts, and among equal starts the
+/// address in use.
 #[test]
 fn update_doubled_name() {
     let directory = Directory::new("here".to_string());
@@ -254,8 +255,8 @@
     assert_eq!(directory.all()[0].address, address);
 }
 
-/// An entry that starts again takes what others read shortly before, and nothing that
-/// was stale when it started.
+/// An entry that starts uses a read by others from shortly before, but none that was
+/// stale when it started.
 #[test]
 fn heard_read_from_before_the_start() {
     for (age, expected) in [(1_900, vec!["i-1"]), (3_600_000, vec![])] {
@@ -268,8 +269,8 @@
     }
 }
 
-/// What is told of endpoints goes by their places in the list that both sides have,
-/// whatever order it came in.
+/// Verdicts refer to endpoints by place in the sorted list, whatever the order of the
+/// list as read.
 #[test]
 fn told_verdicts_go_by_place() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
@@ -298,8 +299,8 @@
     assert_eq!(usable(&directory), ["i-2", "i-3"], "replaced for good");
 }
 
-/// What an entry met is told by place, once; from whom it heard, as long as it did so
-/// lately.
+/// Observations are reported once, by place; recent activity is reported for as long as
+/// it is recent.
 #[test]
 fn sights_told_by_place() {
     let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
@@ -320,8 +321,8 @@
 }
 
 proptest! {
-    /// Lists of several readers come late, twice and crossed while endpoints start
-    /// again and again: requests go to no run older than one that was known.
+    /// Lists of several readers arrive late, twice and out of order while endpoints
+    /// restart repeatedly: no run older than a known one gets requests.
     #[test]
     fn older_run_never_gets_a_request(
         lists in proptest::collection::vec(
@@ -357,9 +358,8 @@
         }
     }
 
-    /// Whatever order reads come in, also in one that should be impossible: an
-    /// endpoint that was once seen leaving gets nothing more under its identity, as
-    /// long as it is listed.
+    /// In whatever order reads arrive, an endpoint once seen leaving gets no requests
+    /// under the same identity for as long as it is listed.
     #[test]
     fn leaving_endpoint_never_comes_back(
         lists in proptest::collection::vec(
--- a/crates/direct/tests/all/logged.rs
+++ b/crates/direct/tests/all/logged.rs
@@ -1,4 +1,4 @@
-//! What the log says of requests that failed, and what `trace` makes of it.
+//! Log lines of failed requests, and what `trace` makes of them.
 
 use crate::endpoint::{Act, StandIn};
 use crate::entry::{Entry, Got, LONG, demo, request_as, set};
@@ -10,10 +10,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// Every line that this test program logs.
+/// All lines logged by this test program.
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 static BEGIN: Once = Once::new();
-/// Far longer than anything takes; only a test that fails waits so long.
+/// Far longer than any operation takes; only a failing test waits that long.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 struct Lines;
@@ -61,8 +61,8 @@
     }
 }
 
-/// A request that was refused left one line that says so, with its cause, and
-/// the caller was told the same cause.
+/// Checks that a refused request is logged once, with its cause, and that the caller got
+/// the same cause.
 fn refused_once(id: &str, got: &Got, cause: &str) {
     let lines = about(id);
     let of = |event: &str| {
@@ -82,7 +82,7 @@
     assert!(got.body.contains(&format!("\"{cause}\"")), "{got:?}");
 }
 
-/// Routes with keys, small bodies and short times.
+/// Routes with keys, small bodies and short timeouts.
 fn strict() -> RouteSet {
     let mut set = set();
     set.limits.body = 16;
@@ -114,7 +114,7 @@
         let got = entry.call_as(id, line, headers, body).await;
         refused_once(id, &got, cause);
     }
-    // The body that is announced never comes.
+    // The announced body never arrives.
     let headers = format!("{KEY}content-length: 9\r\n");
     let text = format!(
         "POST /once/ HTTP/1.1\r\nhost: test\r\nx-request-id: log-slow\r\n\
@@ -170,7 +170,7 @@
     refused_once("log-stop", &got, "stopping");
 }
 
-/// From the id alone to the cause: a refusal that did not run.
+/// From the id alone to the cause of a refusal that did not run.
 #[tokio::test]
 async fn trace_refused_says_why() {
     begin();
@@ -184,7 +184,7 @@
     );
 }
 
-/// A stream that ended in the middle.
+/// From the id alone to the cause of a stream that broke off.
 #[tokio::test]
 async fn trace_broken_stream_says_why() {
     begin();
@@ -202,7 +202,8 @@
     assert!(text.contains("last_event=2"), "{text}");
 }
 
-/// A non-idempotent call whose answer is missing: it may have run.
+/// From the id alone to a non-idempotent request whose response was lost, so that it may
+/// have run.
 #[tokio::test]
 async fn trace_unknown_outcome_says_why() {
     begin();
@@ -223,8 +224,8 @@
     trace(id, &logs).expect("lines are about it")
 }
 
-/// Attempts of one request have ids of their own and come to any entry; their lines share
-/// what the request asks, and no line tells it whole.
+/// Attempts of one request have different ids and come to different entries. Their lines
+/// share the abbreviated fingerprint, and no line contains the content itself.
 #[tokio::test]
 async fn content_same_for_attempts_of_one_request() {
     begin();
@@ -250,8 +251,8 @@
     assert_eq!(told[0].len(), 8);
 }
 
-/// From the id of a request that was not sent on to the endpoints that ended under others
-/// that asked the same, at other entries, and to who found that.
+/// From the id of a quarantined request to the endpoints that ended under requests with
+/// the same content at other entries, and to the control instance that quarantined it.
 #[test]
 fn trace_quarantined_shows_crashes_of_the_same_content() {
     let refused = "time=9 event=request-refused request=r9 content=aa status=503 cause=quarantined ms=0";
--- a/crates/direct/tests/all/main.rs
+++ b/crates/direct/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! The direct path over sockets, against endpoints that misbehave on command,
-//! and its parts without sockets.
+//! Integration tests of the direct path: over sockets with scripted endpoints that fail
+//! on command, and for its parts without sockets.
 
 mod ages;
 mod answers;
--- a/crates/direct/tests/all/outcomes.rs
+++ b/crates/direct/tests/all/outcomes.rs
@@ -1,5 +1,4 @@
-//! What callers are told about whether their request ran, and what is sent
-//! again.
+//! Outcomes reported to callers, and which requests are resent.
 
 use crate::endpoint::{Act, StandIn};
 use crate::entry::{EARNING, Entry, set};
@@ -32,8 +31,8 @@
         );
         let entry = Entry::before(&[&a, &b]).await;
         entry.earn().await;
-        // Each endpoint does its act only after the earning ones; ask until
-        // one of them is met.
+        // Endpoints perform the act only after the earning requests; send until one of
+        // them is met.
         let mut got = entry.call("POST /once/", "", "").await;
         let mut calls = EARNING + 1;
         while got.status == 200 {
@@ -54,8 +53,7 @@
         let broken = StandIn::start(vec![act; 50]).await;
         let entry = Entry::before(&[&endpoint, &broken]).await;
         entry.earn().await;
-        // The budget allows some of these; whoever gets an answer gets a
-        // whole one.
+        // The budget covers some resends; every successful response must be complete.
         for _ in 0..EARNING {
             let got = entry.call("GET /safe/", "", "").await;
             assert!(matches!(got.status, 200 | 502), "{}", got.status);
@@ -97,7 +95,7 @@
     let endpoint = StandIn::start(vec![Act::Hang]).await;
     let entry = Entry::before(&[&endpoint]).await;
     let call = entry.call("POST /once/", "", "");
-    // The call is dropped, which closes its connection.
+    // Dropping the call closes its connection.
     let ended = tokio::time::timeout(Duration::from_millis(200), call).await;
     assert!(ended.is_err(), "the endpoint hangs");
     endpoint.left().await;
@@ -134,9 +132,8 @@
     assert!(served > 0 && !endpoints[1].seen().is_empty());
 }
 
-/// An endpoint was replaced by another of its service at the same address, and
-/// the list still has the old one: it is asked once, and not again while the
-/// list lags.
+/// An endpoint was replaced by another one of its service at the same address, and the
+/// list still has the old one: it is tried once, and not again while the list lags.
 #[tokio::test]
 async fn misdirected_endpoint_is_gone() {
     let replaced = StandIn::start(vec![Act::Misdirect; 40]).await;
@@ -152,8 +149,8 @@
     assert!(replaced.seen().len() <= 1, "{}", replaced.seen().len());
 }
 
-/// A burst: endpoints answer later than the objective, and the service has no
-/// second send left. Whoever left would get nothing; whoever waits is served.
+/// Endpoints respond later than the objective, and the budget does not cover a resend:
+/// giving up the wait would gain nothing, so the request is served by the slow endpoint.
 #[tokio::test]
 async fn slow_answer_awaited_without_budget() {
     let slow = || vec![Act::Slow(Duration::from_millis(700), "late"); 4];
@@ -168,7 +165,7 @@
     assert_eq!(sum(&[&endpoints[0], &endpoints[1]]), 1, "sent once");
 }
 
-/// The same with second sends left: another endpoint is tried.
+/// With budget for resends, another endpoint is tried.
 #[tokio::test]
 async fn slow_answer_left_with_budget() {
     let slow = StandIn::start(vec![Act::Hang; 40]).await;
@@ -181,8 +178,8 @@
     for _ in 0..3 {
         entry.earn().await;
     }
-    // One of two endpoints hangs. The entry has three second sends left, so the
-    // first three requests that meet it are served, and so is every other one.
+    // One of two endpoints hangs. The budget covers three resends, so the first three
+    // requests that meet it are served, as are all others.
     for _ in 0..10 * EARNING {
         entry.list(&[&quick, &slow]);
         let got = entry.call("GET /safe/", "", "").await;
--- a/crates/direct/tests/all/settings.rs
+++ b/crates/direct/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! Parsing the settings of an entry.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::Settings;
@@ -11,8 +11,8 @@
     Settings::parse("entry.json", &text).map_err(|faults| faults.to_string())
 }
 
-/// Readers read often enough for the bound, and an interval that is too long for it is
-/// refused with the longest that is not.
+/// The default read interval shrinks to fit the bound for leaving endpoints; an explicit
+/// one that is too long is rejected with the longest valid one.
 #[test]
 fn list_every_fits_leaving_within() {
     let settings = parse("").expect("defaults fit");
--- a/crates/direct/tests/all/streams.rs
+++ b/crates/direct/tests/all/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: whole events, in order, and going on at another endpoint.
+//! Streams: only complete events, in order, and resumption at another endpoint.
 
 use crate::endpoint::{Act, StandIn};
 use crate::entry::Entry;
@@ -57,7 +57,7 @@
     );
     let entry = Entry::before(&[&a, &b]).await;
     entry.earn().await;
-    // Whichever endpoint is asked first breaks off, the other one goes on.
+    // The endpoint tried first breaks the stream, the other one resumes it.
     let acts = Arc::new(Mutex::new(VecDeque::from(vec![
         broken(),
         Act::Stream(vec![THREE], true),
@@ -75,9 +75,9 @@
     assert_eq!(resumed.len(), 1);
 }
 
-/// A stream goes on at another endpoint because the first one fell silent, not
-/// because it broke: the first one's connection is closed before the other is
-/// asked, or both would work on the request.
+/// A stream moves to another endpoint because the first one fell silent without breaking
+/// the connection. That connection must be closed before the other endpoint is tried, or
+/// both would work on the request.
 #[tokio::test]
 async fn stream_moved_leaves_the_silent_endpoint_first() {
     let (a, b) = (
--- a/crates/direct/tests/all/usage.rs
+++ b/crates/direct/tests/all/usage.rs
@@ -1,4 +1,4 @@
-//! Requests that endpoints begin are counted, and told to control.
+//! Counting of requests that endpoints start, and reporting of the counts to control.
 
 use crate::control::Instance;
 use crate::endpoint::{Act, StandIn};
@@ -9,17 +9,17 @@
 use tokio::time::{Instant, sleep};
 
 const PAUSE: Duration = Duration::from_millis(20);
-/// One window for the whole test.
+/// Longer than the test, so that it needs one window only.
 const WINDOW: Duration = Duration::from_secs(86_400);
 
-/// Requests of the workspace that control was told of, all windows together.
+/// Requests reported to control, summed over all windows.
 fn told(instance: &Instance) -> u64 {
     let closing = Closing {
         windows: Windows::new(Duration::from_millis(1)),
         patience: Duration::ZERO,
         alone: Duration::ZERO,
     };
-    // Every window is over for this closing, so what is open is all there.
+    // With these settings, every window has ended, so the open counts are all there are.
     let time = instance.usage.open(0, &closing, 0).time.unwrap_or_default();
     let window = Windows::new(WINDOW).at(time);
     let open = instance.usage.open(window, &closing, 0);
@@ -35,7 +35,7 @@
     }
 }
 
-/// An entry that counts, before one endpoint, and the instance that it tells.
+/// An entry that counts usage, its only endpoint, and the control instance it reports to.
 async fn counting(acts: Vec<Act>) -> (Entry, Instance, StandIn) {
     let endpoint = StandIn::start(acts).await;
     let instance = Instance::start(1).await;
@@ -63,8 +63,8 @@
     told_of(&instance, 3).await;
 }
 
-/// An endpoint that goes on after it broke a connection has run the request; one that ends
-/// under a request may not have begun it.
+/// An endpoint that is still up after it broke a connection has run the request. One that
+/// ended during a request may not have started it.
 #[tokio::test]
 async fn count_answer_that_was_lost() {
     let (entry, instance, _endpoint) = counting(vec![Act::Break]).await;
@@ -72,11 +72,12 @@
     told_of(&instance, 1).await;
 }
 
-/// The last word of an entry that stops.
+/// An entry that stops sends a final report.
 #[tokio::test]
 async fn tell_once_more_at_the_end() {
     let (entry, instance, endpoint) = counting(Vec::new()).await;
-    // Somebody goes on telling, or the instance would take itself for forsaken.
+    // A second entry keeps reporting; the instance would otherwise assume that it is
+    // isolated.
     let windows = Windows::new(WINDOW);
     let _other = Entry::counting(&[&endpoint], vec![instance.address], windows).await;
     for _ in 0..5 {
@@ -86,7 +87,7 @@
     told_of(&instance, 5).await;
 }
 
-/// Nobody asked for it: nothing is counted or told.
+/// Without the usage duty, nothing is counted or reported.
 #[tokio::test]
 async fn count_nothing_where_it_is_no_duty() {
     let endpoint = StandIn::start(Vec::new()).await;
--- a/crates/direct/tests/all/withdrawn.rs
+++ b/crates/direct/tests/all/withdrawn.rs
@@ -1,16 +1,12 @@
-//! Requests that were given up while their bytes were still on their way.
+//! Requests that were given up while their bytes were still in transit.
 //!
-//! Seen: an endpoint had been shown as leaving for seconds, and requests reached it,
-//! sent by entries of other failure domains; entries could not connect to it before.
-//! How it comes about: the way to an endpoint is blocked; an entry writes a request, gets
-//! no answer, tells its caller so and closes the connection. The system goes on delivering
-//! what was written, for as long as it takes, and the endpoint runs it when the way is
-//! free again: after it began to leave, and for nobody.
-//! Cause: giving a request up ended the waiting for it, and not the request. A connection
-//! that still owes an answer was closed, which leaves its bytes under way.
-//! Proof: the endpoint here takes a few bytes only. Of a request that was given up, all
-//! arrived later, with a proper end; since such connections are reset, a part does, and
-//! the reset. That it is what was seen, the record of it is too short to prove.
+//! Guards against requests that run at an endpoint seconds after it was shown as leaving.
+//! The network path to the endpoint is blocked: the entry writes a request, gets no
+//! response, reports that to its caller and closes the connection. The kernel keeps
+//! delivering the written bytes, and the endpoint runs the request once the path is free
+//! again, after it began to leave and for no caller. A connection with an outstanding
+//! response is therefore reset. The endpoint here accepts only a few bytes: without the
+//! reset, all bytes of an abandoned request arrive later, with a proper end.
 
 use crate::entry::{Entry, set};
 use dogwoodhill_core::prelude::*;
@@ -22,15 +18,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Less than what the system takes from the entry, and more than what it takes on the
-/// endpoint's side.
+/// Less than the send buffer of the entry takes, and more than the receive buffer of the
+/// endpoint.
 const BODY: usize = 512 << 10;
-/// Bytes that the endpoint's system takes unread.
+/// Size of the endpoint's receive buffer.
 const UNREAD: usize = 4_096;
-/// Longest wait for something that comes about by itself.
+/// Timeout of waits for a condition.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// An endpoint whose system takes only a few bytes until they are read.
+/// A listener whose connections have a small receive buffer.
 fn narrow() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(UNREAD).expect("a size");
@@ -41,7 +37,7 @@
     TcpListener::from_std(socket.into()).expect("a runtime")
 }
 
-/// An entry that gives requests up after 300 ms, before one endpoint.
+/// An entry with a request timeout of 300 ms and one endpoint.
 async fn impatient(endpoint: SocketAddr) -> Entry {
     let mut set = set();
     for route in &mut set.routes {
@@ -60,7 +56,7 @@
     entry
 }
 
-/// Everything that comes on a connection until it ends, and whether it ended properly.
+/// Number of bytes received on a connection, and whether it ended properly.
 async fn all(mut stream: TcpStream) -> (usize, bool) {
     let mut count = 0;
     let mut bytes = vec![0; 64 << 10];
@@ -89,8 +85,9 @@
     );
 }
 
-/// A connection that owes nothing more is closed and not reset: one whose answer said that
-/// it ends, and one that was kept until the endpoint was off the list.
+/// A connection without an outstanding response is closed rather than reset, both if the
+/// response ended it and if it stayed in the pool until the endpoint was removed from the
+/// list.
 #[tokio::test]
 async fn answered_connection_closes_properly() {
     for ends in ["connection: close\r\n", ""] {
