--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -17,7 +17,7 @@
 use dogwoodhill_daemon::health;
 use dogwoodhill_daemon::platform::{FileList, HttpList, PlatformList};
 use dogwoodhill_daemon::prelude::*;
-use dogwoodhill_policy::gate::{Ask, Gate, Refusal};
+use dogwoodhill_policy::gate::{AdmissionRequest, Gate, Refusal};
 use dogwoodhill_policy::limit::Limit;
 use dogwoodhill_wire::prelude::*;
 use error_stack::Report;
@@ -168,30 +168,30 @@
         self.attempts.with_label_values(&[result]).inc();
     }
 
-    fn admit(&self, attempt: &Attempt) -> Result<Slot, Reason> {
+    fn admit(&self, attempt: &Attempt) -> Result<Slot, RefusalReason> {
         let own = attempt.service == self.settings.service
             && attempt.endpoint == self.settings.endpoint;
         if !own {
-            return Err(Reason::Misdirected);
+            return Err(RefusalReason::Misdirected);
         }
         if attempt.remaining.is_zero() {
-            return Err(Reason::Late);
+            return Err(RefusalReason::Late);
         }
         self.entitled(attempt)?;
-        let ask = Ask {
+        let ask = AdmissionRequest {
             attempt: attempt.attempt,
             tier: attempt.tier,
             due: attempt.due,
         };
         self.gate.admit(&ask).map_err(|refusal| match refusal {
-            Refusal::Full => Reason::Full,
-            Refusal::Leaving => Reason::Leaving,
-            Refusal::Repeated => Reason::Repeated,
+            Refusal::Full => RefusalReason::Full,
+            Refusal::Leaving => RefusalReason::Leaving,
+            Refusal::Repeated => RefusalReason::Repeated,
         })
     }
 
     /// Checks the lease.
-    fn entitled(&self, attempt: &Attempt) -> Result<(), Reason> {
+    fn entitled(&self, attempt: &Attempt) -> Result<(), RefusalReason> {
         self.holding.superseded(attempt.fence);
         match (
             self.holding.right(std::time::Instant::now()),
@@ -201,7 +201,7 @@
                 self.gate.set_fence(fence);
                 Ok(())
             }
-            _ => Err(Reason::Misdirected),
+            _ => Err(RefusalReason::Misdirected),
         }
     }
 
@@ -225,7 +225,7 @@
                 Ok(Relay::new(attempt, response, gate, slot, most, started))
             }
             Ok(Err(SendError::Unreachable | SendError::Invalid)) => {
-                Err(Body::Refused(Reason::Unreachable))
+                Err(Body::Refused(RefusalReason::Unreachable))
             }
             Ok(Err(lost @ SendError::Lost)) => {
                 self.gate.saw_end(false);
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -9,7 +9,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::backoff::{Backoff, Retry};
-use dogwoodhill_policy::permits::{Limit, LimitNews, Observation, Permit, Permits};
+use dogwoodhill_policy::permits::{Limit, LimitReport, Observation, Permit, Permits};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -52,20 +52,20 @@
         }
         // Most endpoints name no limit.
         if limit != Limit::Unnamed || self.is_limited() {
-            self.change_limit("answer", |permits| permits.hear(uptime(), limit));
+            self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
     }
 
     /// Applies the retry delay named in a rejection by the endpoint.
     pub fn turned_away(&self, retry: Retry) {
-        if retry == Retry::Unsaid {
+        if retry == Retry::Unspecified {
             return;
         }
         let now = uptime();
         let left = {
             let mut backoff = self.backoff();
-            backoff.ask(now, retry);
-            backoff.left(now).unwrap_or_default()
+            backoff.record(now, retry);
+            backoff.remaining(now).unwrap_or_default()
         };
         self.admission.backed_off.store(true, Ordering::Release);
         Event::new("endpoint-backoff")
@@ -81,7 +81,7 @@
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
         }
-        self.backoff().left(uptime())
+        self.backoff().remaining(uptime())
     }
 
     fn backoff(&self) -> MutexGuard<'_, Backoff> {
@@ -93,7 +93,7 @@
 
     /// Applies the limit that control derived from the reports of all entries.
     pub(super) fn told_limit(&self, observed: Observation) {
-        self.change_limit("control", |permits| permits.told(observed));
+        self.change_limit("control", |permits| permits.merge(observed));
     }
 
     fn change_limit(&self, by: &str, change: impl FnOnce(&mut Permits) -> bool) {
@@ -123,13 +123,13 @@
     /// Whether the endpoint admits a request now.
     pub(super) fn open(&self) -> bool {
         let accepting = self.accepting().is_ok();
-        accepting && (!self.is_limited() || self.permits().open(uptime()))
+        accepting && (!self.is_limited() || self.permits().demand(uptime()))
     }
 
     /// Time until the endpoint is expected to admit a request.
     pub(super) fn opens_in(&self) -> Duration {
         let rest = self.backoff_left().unwrap_or_default();
-        let ready = !self.is_limited() || self.permits().ready(uptime());
+        let ready = !self.is_limited() || self.permits().is_available(uptime());
         rest.max(if ready { Duration::ZERO } else { PERMIT_PAUSE })
     }
 
@@ -177,13 +177,13 @@
     }
 
     /// Limit observations and permit demand to report to control, if any.
-    pub(super) fn limit_news(&self, now: Duration) -> Option<LimitNews> {
-        self.permits().news(now)
+    pub(super) fn limit_news(&self, now: Duration) -> Option<LimitReport> {
+        self.permits().report(now)
     }
 
     /// Applies permits granted by control in response to a request sent at `asked`.
     pub(super) fn granted(&self, asked: Duration, permits: u32, wanted: u32) {
-        self.permits().granted(asked, permits);
+        self.permits().receive_grant(asked, permits);
         if permits > 0 {
             Event::new("permits-granted")
                 .field("endpoint", self.run())
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -7,16 +7,16 @@
 use super::admission::Admission;
 use super::standing::Standing;
 use super::{Lane, Want, log_change};
-use crate::dialect::{Listed, Load, Prompt};
+use crate::dialect::{EndpointRecord, Load, Prompt};
 use crate::pool::{self, Pool, Unconnected};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
-use dogwoodhill_policy::pace::Pace;
-use dogwoodhill_policy::packing::Packing;
-use dogwoodhill_policy::rate::ReadRate;
-use dogwoodhill_policy::sightings::{Sight, Verdict};
-use dogwoodhill_policy::trust::{Record, Trust};
-use dogwoodhill_policy::wait::Waits;
+use dogwoodhill_policy::event_gap::EventGap;
+use dogwoodhill_policy::health::{Health, HealthRecord};
+use dogwoodhill_policy::packing::Occupancy;
+use dogwoodhill_policy::prefill_rate::PrefillRate;
+use dogwoodhill_policy::queue_wait::QueueWait;
+use dogwoodhill_policy::shared_health::{HealthReport, Verdict};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -45,7 +45,7 @@
     /// Name; the start is part of [`Endpoint::run`].
     pub id: EndpointId,
     /// Start of the process, once known.
-    born: OnceLock<Born>,
+    born: OnceLock<StartTime>,
     /// Service that the endpoint runs.
     pub service: ServiceId,
     /// Address for requests.
@@ -62,7 +62,7 @@
     gone: AtomicBool,
     start: Instant,
     /// Prefill rate, shared by the endpoints of the service.
-    rate: Arc<Mutex<ReadRate>>,
+    rate: Arc<Mutex<PrefillRate>>,
     view: Mutex<View>,
     /// Time and result of the last check whether the process has ended.
     looked: tokio::sync::Mutex<Option<(Instant, bool)>>,
@@ -75,11 +75,11 @@
     /// The endpoint.
     pub(super) endpoint: &'a Arc<Endpoint>,
     /// Current trust.
-    pub(super) trust: Trust,
+    pub(super) trust: Health,
     /// For placing prompts by prefix and wait.
     pub(super) candidate: Candidate,
     /// For packing latency-sensitive streams.
-    pub(super) packing: Packing,
+    pub(super) packing: Occupancy,
     /// Usual time between two events of a stream.
     pub(super) pace: Option<Duration>,
 }
@@ -87,13 +87,13 @@
 /// Estimated state of an endpoint.
 #[derive(Debug)]
 struct View {
-    record: Record,
+    record: HealthRecord,
     load: Load,
     loaded: Duration,
     active: u32,
-    waits: Waits,
+    waits: QueueWait,
     slowness: f64,
-    pace: Pace,
+    pace: EventGap,
     shared: Vec<(u64, Duration)>,
 }
 
@@ -107,27 +107,27 @@
     }
 
     /// Time until prefill of a prompt sent now would begin.
-    fn wait(&self, now: Duration, rate: ReadRate, background: bool) -> Duration {
-        let own = self.reading(rate, self.waits.ahead(background));
+    fn wait(&self, now: Duration, rate: PrefillRate, background: bool) -> Duration {
+        let own = self.reading(rate, self.waits.tokens_ahead(background));
         own.max(self.waits.predicted(now))
     }
 
-    fn reading(&self, rate: ReadRate, tokens: f64) -> Duration {
-        rate.reading(tokens).mul_f64(self.slowness)
+    fn reading(&self, rate: PrefillRate, tokens: f64) -> Duration {
+        rate.prefill_time(tokens).mul_f64(self.slowness)
     }
 }
 
 impl Endpoint {
     pub(super) fn new(
-        listed: Listed,
+        listed: EndpointRecord,
         start: Instant,
-        rate: Arc<Mutex<ReadRate>>,
+        rate: Arc<Mutex<PrefillRate>>,
     ) -> Self {
         Self {
             // By name only, so that prefixes map to the same endpoint after its restart,
             // and at entries that have not received its start.
             hash: affinity::hash(listed.run.id.as_bytes()),
-            born: listed.run.born.map_or_else(OnceLock::new, OnceLock::from),
+            born: listed.run.start.map_or_else(OnceLock::new, OnceLock::from),
             id: listed.run.id,
             service: listed.service,
             address: listed.address,
@@ -139,13 +139,13 @@
             start,
             rate,
             view: Mutex::new(View {
-                record: Record::default(),
+                record: HealthRecord::default(),
                 load: Load::default(),
                 loaded: Duration::ZERO,
                 active: 0,
-                waits: Waits::default(),
+                waits: QueueWait::default(),
                 slowness: 1.0,
-                pace: Pace::default(),
+                pace: EventGap::default(),
                 shared: Vec::new(),
             }),
             looked: tokio::sync::Mutex::default(),
@@ -160,7 +160,7 @@
 
     /// Whether `run` may be this one; an unknown start matches any.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
-        let same = match (self.born.get(), run.born) {
+        let same = match (self.born.get(), run.start) {
             (Some(own), Some(other)) => *own == other,
             _ => true,
         };
@@ -168,14 +168,14 @@
     }
 
     /// Whether `listed` describes this run at this address.
-    pub(super) fn is_listed_as(&self, listed: &Listed) -> bool {
+    pub(super) fn is_listed_as(&self, listed: &EndpointRecord) -> bool {
         self.runs_as(&listed.run)
             && self.address == listed.address
             && self.service == listed.service
     }
 
     /// Sets the start if it was unknown.
-    pub(super) fn learn_start(&self, born: Option<Born>) {
+    pub(super) fn learn_start(&self, born: Option<StartTime>) {
         if let Some(born) = born {
             self.born.get_or_init(|| born);
         }
@@ -210,7 +210,7 @@
         let fresh = prompt.tokens.saturating_sub(prompt.shared_tokens);
         let known = prompt.shared.is_some_and(|key| view.remember(key, now));
         let tokens = if known { fresh } else { prompt.tokens };
-        let ahead = view.waits.ahead(standing.background);
+        let ahead = view.waits.tokens_ahead(standing.background);
         let expected = view.reading(rate, ahead + f64::from(tokens)) + STEP;
         view.waits.sent(now, f64::from(tokens), standing.background);
         drop(view);
@@ -231,13 +231,13 @@
     /// Records that bytes arrived.
     pub fn heard(&self) {
         let now = self.start.elapsed();
-        self.view().record.heard(now);
+        self.view().record.received(now);
     }
 
     /// Time since the last bytes arrived; `None` if there never were any.
     pub fn silence(&self) -> Option<Duration> {
         let now = self.start.elapsed();
-        self.view().record.unheard(now)
+        self.view().record.idle_time(now)
     }
 
     /// Whether the process has ended since `broke`, when a connection to it broke, so
@@ -290,7 +290,7 @@
     /// Records the result of a response.
     pub fn judged(&self, failed: bool) {
         let now = self.start.elapsed();
-        self.view().record.judged(now, failed);
+        self.view().record.record_outcome(now, failed);
     }
 
     /// Records that a request timed out; `failed` marks a wait long enough to count as a
@@ -303,14 +303,14 @@
     /// Records that the endpoint is unreachable or has been silent for too long.
     pub fn unreached(&self) {
         let now = self.start.elapsed();
-        self.view().record.unreached(now);
+        self.view().record.mark_unreachable(now);
         self.pool.clear();
     }
 
     /// Records that a connection attempt got no reply.
     pub fn unanswered(&self) {
         let now = self.start.elapsed();
-        self.view().record.unanswered(now);
+        self.view().record.connect_timed_out(now);
         self.pool.clear();
     }
 
@@ -319,19 +319,19 @@
     pub fn deserted(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
-        self.view().record.deserted(now, sent)
+        self.view().record.should_abandon(now, sent)
     }
 
     /// Records that the process has restarted as another endpoint.
     pub(super) fn mark_over(&self) {
         let now = self.start.elapsed();
-        self.view().record.over(now);
+        self.view().record.mark_superseded(now);
     }
 
     /// Records a pause before an event of a latency-sensitive stream.
     pub fn paced(&self, pause: Duration) {
         let now = self.start.elapsed();
-        self.view().pace.event(now, pause);
+        self.view().pace.record(now, pause);
     }
 
     /// Records a load reported by the endpoint.
@@ -343,9 +343,9 @@
     }
 
     /// Observations since the last report to control, if any.
-    pub(crate) fn sight(&self) -> Option<Sight> {
+    pub(crate) fn sight(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
-        self.view().record.sight(now)
+        self.view().record.take_sighting(now)
     }
 
     /// Applies the verdict of all entries; `None` if there is none.
@@ -354,13 +354,13 @@
             self.replaced();
         }
         let now = self.start.elapsed();
-        self.view().record.told(now, verdict);
+        self.view().record.set_verdict(now, verdict);
     }
 
     /// Current trust in the endpoint.
-    pub fn trust(&self) -> Trust {
+    pub fn trust(&self) -> Health {
         let now = self.start.elapsed();
-        self.view().record.trust(now)
+        self.view().record.health(now)
     }
 
     /// Evaluates the endpoint for a request.
@@ -369,18 +369,18 @@
         want: &Want<'_>,
         domain: &str,
         now: Duration,
-        rate: ReadRate,
+        rate: PrefillRate,
     ) -> Look<'a> {
         let view = self.view();
         Look {
             endpoint: self,
-            trust: view.record.trust(now),
+            trust: view.record.health(now),
             candidate: self.candidate(&view, want, domain, now, rate),
-            packing: Packing {
+            packing: Occupancy {
                 busy: view.busy(now),
                 slots: f64::from(self.slots),
             },
-            pace: view.pace.known(now),
+            pace: view.pace.mean(now),
         }
     }
 
@@ -390,10 +390,10 @@
         want: &Want<'_>,
         domain: &str,
         now: Duration,
-        rate: ReadRate,
+        rate: PrefillRate,
     ) -> Candidate {
         let prompt = want.prompt;
-        let seen = prompt.shared.and_then(|key| {
+        let last_sent = prompt.shared.and_then(|key| {
             let at = view.shared.binary_search_by_key(&key, |item| item.0).ok()?;
             Some(now.saturating_sub(view.shared[at].1))
         });
@@ -406,13 +406,13 @@
         Candidate {
             hash: self.hash,
             wait,
-            reading: view.reading(rate, f64::from(prompt.shared_tokens)),
+            prefill: view.reading(rate, f64::from(prompt.shared_tokens)),
             distance: if self.domain == domain {
                 Duration::ZERO
             } else {
                 DISTANCE
             },
-            seen,
+            last_sent,
         }
     }
 
@@ -432,11 +432,11 @@
         }
     }
 
-    fn rate(&self) -> ReadRate {
+    fn rate(&self) -> PrefillRate {
         *self.lock_rate()
     }
 
-    fn lock_rate(&self) -> MutexGuard<'_, ReadRate> {
+    fn lock_rate(&self) -> MutexGuard<'_, PrefillRate> {
         self.rate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -514,21 +514,21 @@
         let took = now.saturating_sub(self.since);
         let mut view = self.endpoint.view();
         let background = self.standing.background;
-        view.waits.left(self.since, self.tokens, background);
-        view.record.begun(took);
+        view.waits.dequeued(self.since, self.tokens, background);
+        view.record.record_first_byte(took);
         if background {
             return;
         }
         let rate = {
             let mut rate = self.endpoint.lock_rate();
             if self.certain {
-                rate.learn(self.tokens, took.saturating_sub(STEP));
+                rate.observe(self.tokens, took.saturating_sub(STEP));
             }
             *rate
         };
         let reading = view.reading(rate, self.tokens) + STEP;
         let waited = took.saturating_sub(reading);
-        view.waits.learn(now, waited);
+        view.waits.record(now, waited);
         self.standing.waited(now, waited);
         let ratio = took.as_secs_f64() / self.expected.as_secs_f64();
         let slowness = view.slowness * (1.0 + (ratio.min(10.0) - 1.0) * NEWEST);
@@ -545,7 +545,7 @@
         view.active = view.active.saturating_sub(1);
         if std::mem::take(&mut self.unread) {
             let background = self.standing.background;
-            view.waits.left(self.since, self.tokens, background);
+            view.waits.dequeued(self.since, self.tokens, background);
             self.standing.left(self.since, self.tokens);
         }
     }
--- a/crates/direct/src/job/crash.rs
+++ b/crates/direct/src/job/crash.rs
@@ -8,11 +8,11 @@
 use crate::exchange::Loss;
 use crate::request::Shared;
 use crate::usage::Begun;
-use dogwoodhill_core::fingerprint::shown;
+use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::affinity::hash;
-use dogwoodhill_policy::quarantine::{LostRequest, SUSPECTED};
+use dogwoodhill_policy::quarantine::{LostRequest, SUSPECT_CRASHES};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::task::JoinHandle;
@@ -32,19 +32,19 @@
     /// state of control.
     pub(super) async fn quarantined(&self) -> Option<Duration> {
         let suspects = &self.shared.suspects;
-        let left = suspects.standing(self.fingerprint).left;
+        let left = suspects.standing(self.fingerprint).remaining;
         if left.is_some() || !self.apart {
             return left;
         }
         suspects.refresh().await;
-        suspects.standing(self.fingerprint).left
+        suspects.standing(self.fingerprint).remaining
     }
 
     /// Whether it may be resent after it may have run. After two crashes, another send
     /// would most likely crash one more endpoint and serve nobody. The same holds after
     /// two broken connections, which may not be known as crashes yet.
     pub(super) fn harmless(&self) -> bool {
-        self.broken < SUSPECTED && self.crashes() < SUSPECTED
+        self.broken < SUSPECT_CRASHES && self.crashes() < SUSPECT_CRASHES
     }
 
     /// Checks in the background whether the endpoint that broke its connection has ended,
@@ -111,7 +111,7 @@
         let Self {
             shared, id, lost, ..
         } = self;
-        let content = shown(lost.request);
+        let content = short_form(lost.request);
         let crashes = shared.suspects.lost(&endpoint, lost);
         shared
             .stats
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/lists.rs
@@ -1,14 +1,16 @@
 //! State of the endpoint list in an entry, from its own reads and from those of other
 //! entries.
 
-use crate::dialect::Listed;
+use crate::dialect::EndpointRecord;
 use crate::directory::{Directory, Endpoint};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
-use dogwoodhill_policy::reads::{CONNECT_TIMEOUT, Doubt, LEAVING_WITHIN, Reads, STALE};
-use dogwoodhill_policy::sightings::Verdict;
-use dogwoodhill_wire::demand::{EndpointSight, EndpointVerdict, Totals};
-use dogwoodhill_wire::list::{Content, Contents, ListRead, Mark};
+use dogwoodhill_policy::list_reads::{
+    CONNECT_TIMEOUT, DEFAULT_LEAVING_WITHIN, ListReads, STALE_AFTER, ShrinkGuard,
+};
+use dogwoodhill_policy::shared_health::Verdict;
+use dogwoodhill_wire::demand::{DemandReply, EndpointObservation, EndpointVerdict};
+use dogwoodhill_wire::list::{ListHistory, ListRead, ListSnapshot, Mark};
 use std::pin::pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -45,10 +47,10 @@
 
 #[derive(Debug, Default)]
 struct State {
-    reads: Reads,
-    doubt: Doubt,
+    reads: ListReads,
+    doubt: ShrinkGuard,
     /// The list in use, and earlier versions of it.
-    contents: Contents,
+    contents: ListHistory,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
     /// not used.
     places: Vec<Option<Arc<Endpoint>>>,
@@ -71,7 +73,7 @@
 
 impl Default for Lists {
     fn default() -> Self {
-        Self::new(LEAVING_WITHIN)
+        Self::new(DEFAULT_LEAVING_WITHIN)
     }
 }
 
@@ -80,7 +82,7 @@
     /// `within`.
     pub fn new(within: Duration) -> Self {
         let state = State {
-            reads: Reads::new(within),
+            reads: ListReads::new(within),
             ..State::default()
         };
         Self {
@@ -113,10 +115,10 @@
         directory: &Directory,
         asked: Duration,
         took: Duration,
-        endpoints: Vec<Listed>,
+        endpoints: Vec<EndpointRecord>,
     ) {
         let mut state = self.state();
-        let content = Content::new(endpoints);
+        let content = ListSnapshot::new(endpoints);
         let mark = content.mark;
         if state.reads.take(self.at(asked), took) {
             log_taken(
@@ -135,16 +137,21 @@
     }
 
     /// Applies control's response to a report that was sent at `asked`.
-    pub fn heard(&self, directory: &Directory, asked: Duration, totals: &mut Totals) {
+    pub fn heard(
+        &self,
+        directory: &Directory,
+        asked: Duration,
+        totals: &mut DemandReply,
+    ) {
         let mut state = self.state();
-        if totals.reader && !state.reads.reader() {
+        if totals.reader && !state.reads.is_reader() {
             self.appointed.notify_one();
         }
-        state.reads.appoint(totals.reader);
+        state.reads.set_reader(totals.reader);
         let Some(list) = totals.list.take() else {
             let now = self.now();
             state.control = None;
-            state.reads.awaited(now);
+            state.reads.defer_to_readers(now);
             return;
         };
         state.control = Some(list.mark);
@@ -157,7 +164,7 @@
             state.hear(&totals.verdicts);
             return;
         }
-        let Some(content) = state.contents.heard(&list) else {
+        let Some(content) = state.contents.resolve(&list) else {
             if !std::mem::replace(&mut state.lost, true) {
                 Event::new("list-changes-unusable")
                     .field("told", format!("{:016x}", list.mark))
@@ -168,7 +175,7 @@
         let before = state.contents.newest().endpoints.len();
         let now = self.now();
         let after = content.endpoints.len();
-        if state.doubt.believes(now, before, after) && state.reads.take(read, list.took) {
+        if state.doubt.accepts(now, before, after) && state.reads.take(read, list.took) {
             log_taken(
                 &state,
                 &content,
@@ -184,7 +191,7 @@
 
     /// Observations at endpoints since the last call: events by place in the list in use,
     /// and a bitmap of the places with recent activity.
-    pub fn sights(&self) -> (Vec<EndpointSight>, Vec<u8>) {
+    pub fn sights(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
         let mut sights = Vec::new();
         let mut heard = vec![0; state.places.len().div_ceil(8)];
@@ -193,12 +200,12 @@
             else {
                 continue;
             };
-            if sight.heard {
+            if sight.alive {
                 heard[place / 8] |= 1 << (place % 8);
             }
             if sight.replaced || sight.unreached || sight.answered > 0 {
-                sights.push(EndpointSight {
-                    place: place as u32,
+                sights.push(EndpointObservation {
+                    list_index: place as u32,
                     replaced: sight.replaced,
                     unreached: sight.unreached,
                     answered: sight.answered,
@@ -231,7 +238,7 @@
             };
             ListRead {
                 mark: own.mark,
-                ..contents.told(known, age, own.took)
+                ..contents.read_for(known, age, own.took)
             }
         });
         (if *lost { 0 } else { mark }, read)
@@ -240,7 +247,7 @@
     /// Time until this entry reads the list itself, unless a newer read arrives earlier.
     pub fn due(&self, interval: Duration, spread: f64) -> Duration {
         let now = self.now();
-        self.state().reads.due(now, interval, spread)
+        self.state().reads.next_read_delay(now, interval, spread)
     }
 
     /// Age of the list in use: time since its read was requested, as estimated by this
@@ -285,17 +292,18 @@
 
     /// Whether any read of the list is known.
     pub fn known(&self) -> bool {
-        self.state().reads.known()
+        self.state().reads.has_read()
     }
 
     /// Whether this entry reads on behalf of the others.
     pub fn reader(&self) -> bool {
-        self.state().reads.reader()
+        self.state().reads.is_reader()
     }
 
-    /// Converts an uptime to the clock of reads, which starts [`STALE`] before the entry.
+    /// Converts an uptime to the clock of reads, which starts [`STALE_AFTER`] before the
+    /// entry.
     fn at(&self, uptime: Duration) -> Duration {
-        (uptime + STALE).saturating_sub(self.start)
+        (uptime + STALE_AFTER).saturating_sub(self.start)
     }
 
     fn now(&self) -> Duration {
@@ -319,7 +327,13 @@
 }
 
 /// Logs that a different list comes into use, with its origin and its age.
-fn log_taken(state: &State, content: &Content, by: &str, age: Duration, took: Duration) {
+fn log_taken(
+    state: &State,
+    content: &ListSnapshot,
+    by: &str,
+    age: Duration,
+    took: Duration,
+) {
     let before = state.contents.newest().mark;
     if before != content.mark {
         Event::new("list-taken")
@@ -335,7 +349,7 @@
 
 impl State {
     /// Makes a list the one in use.
-    fn put(&mut self, directory: &Directory, content: Content) {
+    fn put(&mut self, directory: &Directory, content: ListSnapshot) {
         directory.update(Vec::clone(&content.endpoints));
         let listed = content.endpoints.iter();
         let places = listed.map(|listed| directory.running(&listed.run));
@@ -348,7 +362,7 @@
     fn hear(&self, verdicts: &[EndpointVerdict]) {
         let mut told = vec![None; self.places.len()];
         for verdict in verdicts {
-            if let Some(place) = told.get_mut(verdict.place as usize) {
+            if let Some(place) = told.get_mut(verdict.list_index as usize) {
                 *place = Some(Verdict::from(verdict.verdict));
             }
         }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -11,7 +11,7 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::usage::{Counted, Ledger};
-use dogwoodhill_wire::usage::{TellUsage, USAGE_PATH, UsageHeard};
+use dogwoodhill_wire::usage::{EntryUsage, USAGE_PATH, UsageReply};
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -95,17 +95,17 @@
     }
 
     /// Report to the instance at `address`, relative to what its last run acknowledged.
-    fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> TellUsage {
+    fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> EntryUsage {
         // Read before the counts: what is counted in between is reported twice rather
         // than left out.
         let through = self.now();
         let state = self.state();
         let last = state.last.filter(|last| last.0 == address);
-        TellUsage {
+        EntryUsage {
             entry: entry.to_string(),
             run: self.run,
             wall: wall(),
-            windows: state.ledger.news(last.map_or(0, |last| last.1)),
+            windows: state.ledger.unacknowledged(last.map_or(0, |last| last.1)),
             through,
             last: ends,
         }
@@ -116,16 +116,16 @@
         &self,
         address: SocketAddr,
         asked: Duration,
-        told: &TellUsage,
-        heard: &UsageHeard,
+        told: &EntryUsage,
+        heard: &UsageReply,
     ) {
         let now = uptime();
         let way = now.saturating_sub(asked);
         let mut state = self.state();
         state.last = Some((address, heard.instance));
         state.ledger.acknowledged(heard.instance, &told.windows);
-        state.ledger.fixed(heard.next);
-        state.holder = heard.holder;
+        state.ledger.finalize_before(heard.next);
+        state.holder = heard.reporter;
         if let Some(time) = heard.now
             && (way <= QUICK || state.offset.is_none())
         {
@@ -144,11 +144,11 @@
             let told = self.news(&follower.name, address, ends);
             let asked = uptime();
             let call = follower.caller.call(address, USAGE_PATH, &told);
-            let heard: Option<UsageHeard> =
+            let heard: Option<UsageReply> =
                 timeout(PATIENCE, call).await.ok().and_then(Result::ok);
             if let Some(heard) = heard {
                 self.heard(address, asked, &told, &heard);
-                if heard.settled {
+                if heard.has_quorum {
                     return true;
                 }
             }
