--- /dev/null
+++ b/crates/direct/src/control_sync.rs
@@ -0,0 +1,188 @@
+//! Exchanging state with control: demand per service, the endpoint list, and endpoints
+//! that are lost or failing.
+//!
+//! Twice a second, an entry reports its demand and observations to one control instance,
+//! and receives the sums over all entries, the newest read of the list, and verdicts on
+//! its endpoints. It reports at once after reading the list, and soon after losing an
+//! endpoint. All entries use the same instance while it responds: the first by address of
+//! the instances that control announced, or of those in the settings until then.
+
+use crate::request::SharedState;
+use crate::route_follower::RouteFollower;
+use derive_more::Display;
+use dogwoodhill_core::prelude::*;
+use dogwoodhill_daemon::prelude::uptime;
+use dogwoodhill_wire::client::CallError;
+use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, DemandReport, Echo, Stamp};
+use rand::RngExt;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use tokio::time::{sleep, timeout};
+
+/// Interval between reports. A burst is known to all entries within two intervals.
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval until an entry that starts has the endpoint list. It cannot serve until then,
+/// and a hundred entries may start at once.
+const FIRST_SYNC_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay of the report after an endpoint was lost; losses within it are reported
+/// together. Where thirty endpoints are lost at once, each entry reports six times a
+/// second instead of once per endpoint.
+const LOSS_DELAY: Duration = Duration::from_millis(150);
+/// Jitter of the interval, so that entries do not report in step.
+const JITTER: std::ops::Range<f64> = 0.8..1.2;
+/// Timeout of a report.
+const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout while the entry has no list. The response carries the whole list then, which
+/// takes a second where hundreds of entries start at once and use one instance on 100
+/// Mbit/s. A shorter timeout would request the list again while it is in transit.
+const FIRST_SYNC_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Control instances tried per interval: one more than may fail at once where five
+/// instances replicate the log.
+const MAX_INSTANCES: usize = 3;
+
+/// Exchanges state with control in an endless loop.
+pub async fn run(follower: Arc<RouteFollower>, shared: Arc<SharedState>) {
+    let mut synced = false;
+    let mut stamps = Stamps::default();
+    loop {
+        let jitter = rand::rng().random_range(JITTER);
+        let has_list = shared.list_tracker.has_read();
+        let interval = if has_list {
+            SYNC_INTERVAL
+        } else {
+            FIRST_SYNC_INTERVAL
+        };
+        tokio::select! {
+            () = sleep(interval.mul_f64(jitter)) => {}
+            () = shared.list_tracker.list_read.notified() => {}
+            () = shared.suspects.refresh_requested.notified() => {}
+            () = shared.list_tracker.endpoint_lost.notified() => sleep(LOSS_DELAY).await,
+        }
+        let result = sync(&follower, &shared, &mut stamps).await;
+        shared.suspects.notify_refreshed();
+        if result.is_ok() != synced {
+            synced = result.is_ok();
+            let reason = result.as_ref().err();
+            Event::new("demand-agreed")
+                .field("agreed", synced)
+                .field(
+                    "reason",
+                    reason.map_or("-".to_string(), SyncError::to_string),
+                )
+                .info();
+        }
+        match result {
+            Ok(totals) => shared.directory.apply_totals(&totals),
+            // Without control, the entry relies on its own observations.
+            Err(_) => {
+                shared.suspects.control_failed();
+                let entries = shared.entries.load(Ordering::Relaxed);
+                shared.directory.limits_unavailable(entries);
+            }
+        }
+    }
+}
+
+/// Why the exchange failed, at the instance tried last.
+#[derive(Debug, Display)]
+enum SyncError {
+    #[display("no control instance is known")]
+    NoInstance,
+    #[display("{_0} did not answer in time")]
+    TimedOut(SocketAddr),
+    #[display("{_0}")]
+    Failed(CallError),
+}
+
+/// The last stamp of each control instance, with the time of the request for it.
+#[derive(Debug, Default)]
+struct Stamps(Vec<(SocketAddr, Stamp, Duration)>);
+
+impl Stamps {
+    /// Capacity; larger than the number of instances ever contacted.
+    const CAPACITY: usize = 16;
+
+    fn record(&mut self, address: SocketAddr, stamp: Stamp, sent_at: Duration) {
+        self.0.retain(|known| known.0 != address);
+        self.0.truncate(Self::CAPACITY - 1);
+        self.0.insert(0, (address, stamp, sent_at));
+    }
+
+    fn echo(&self, address: SocketAddr) -> Option<Echo> {
+        let known = self.0.iter().find(|known| known.0 == address);
+        known.map(|(_, stamp, sent_at)| Echo {
+            stamp: *stamp,
+            since: uptime().saturating_sub(*sent_at),
+        })
+    }
+}
+
+async fn sync(
+    follower: &RouteFollower,
+    shared: &SharedState,
+    stamps: &mut Stamps,
+) -> Result<DemandReply, SyncError> {
+    let (list_mark, list) = shared.list_tracker.report();
+    let (observations, responding) = shared.list_tracker.observations();
+    let (limits, limits_mark) = shared.directory.limit_report();
+    let mut report = DemandReport {
+        entry: follower.name.clone(),
+        services: shared.directory.demand_report(),
+        list_mark,
+        list,
+        observations,
+        responding,
+        echo: None,
+        losses: Vec::new(),
+        served: Vec::new(),
+        suspects_mark: 0,
+        limits,
+        limits_mark,
+        preferred: true,
+    };
+    let instances = follower.control().instances();
+    let call_timeout = if shared.list_tracker.has_read() {
+        SYNC_TIMEOUT
+    } else {
+        FIRST_SYNC_TIMEOUT
+    };
+    let mut error = SyncError::NoInstance;
+    for address in instances.into_iter().take(MAX_INSTANCES) {
+        report.echo = stamps.echo(address);
+        let run = report.echo.map_or(0, |echo| echo.stamp.run);
+        let observations = shared.suspects.report(run);
+        report.losses.clone_from(&observations.losses);
+        report.served.clone_from(&observations.served);
+        report.suspects_mark = observations.mark;
+        let sent_at = uptime();
+        let call = follower.caller.call(address, DEMAND_PATH, &report);
+        let result: Result<Result<DemandReply, CallError>, _> =
+            timeout(call_timeout, call).await;
+        error = match result {
+            Ok(Ok(mut totals)) => {
+                stamps.record(address, totals.stamp, sent_at);
+                shared
+                    .suspects
+                    .acknowledged(totals.stamp.run, &observations);
+                shared.suspects.apply_control(totals.suspects.take());
+                shared.directory.apply_limits(
+                    sent_at,
+                    &report.limits,
+                    totals.limits.as_ref(),
+                    &totals.permits,
+                );
+                shared.list_tracker.apply_control(
+                    &shared.directory,
+                    sent_at,
+                    &mut totals,
+                );
+                return Ok(totals);
+            }
+            Ok(Err(error)) => SyncError::Failed(error),
+            Err(_) => SyncError::TimedOut(address),
+        };
+        report.preferred = false;
+    }
+    Err(error)
+}
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -15,15 +15,15 @@
 
 /// Metadata of a caller's request, parsed from its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct RequestMeta {
     /// Identifies this attempt; a caller's retry has another one.
     pub id: RequestId,
     /// How long the caller waits, from the time of parsing.
-    pub patience: Option<Duration>,
+    pub max_wait: Option<Duration>,
     /// Workspace key, in clear text.
     pub key: Option<String>,
     /// Last event received by the caller, where it resumes a stream.
-    pub resume: Option<EventId>,
+    pub resume_after: Option<EventId>,
     /// Properties of the prompt, for placement.
     pub prompt: Prompt,
 }
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
     /// Hash of the prefix shared with other requests; `None` without one.
-    pub shared: Option<u64>,
+    pub prefix: Option<u64>,
     /// Length of that prefix, in tokens.
-    pub shared_tokens: u32,
+    pub prefix_tokens: u32,
     /// Length of the whole prompt, in tokens.
     pub tokens: u32,
     /// Upper bound on generated tokens.
-    pub output: u32,
+    pub max_output: u32,
 }
 
 /// Parses the headers of callers' requests.
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// [`Malformed`] if a required header is missing or has an invalid value.
-    fn read(&self, headers: &HeaderMap) -> Result<Ask, Malformed>;
+    fn read(&self, headers: &HeaderMap) -> Result<RequestMeta, Malformed>;
 }
 
 /// A required header is missing or invalid.
@@ -65,9 +65,9 @@
 
 /// Metadata sent to an endpoint along with the method, path and body.
 #[derive(Clone, Debug)]
-pub struct Tell<'a> {
+pub struct ForwardMeta<'a> {
     /// Time left until the entry gives the request up.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Identity of the intended endpoint, so that another one can refuse the request.
     pub endpoint: &'a str,
     /// Workspace of the caller, if the route has one.
@@ -78,24 +78,24 @@
     /// objective.
     pub background: bool,
     /// Last event received by the caller; the stream resumes after it.
-    pub resume: Option<EventId>,
+    pub resume_after: Option<EventId>,
 }
 
 /// Metadata parsed from the head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Said {
+pub struct ResponseMeta {
     /// Request id that the response echoes.
-    pub request: Option<RequestId>,
+    pub request_id: Option<RequestId>,
     /// Whether the header that only endpoints set is present.
     pub proof: bool,
     /// Whether the endpoint reports that it did not run the request.
-    pub refused: bool,
+    pub not_run: bool,
     /// Load of the endpoint, if reported.
     pub load: Option<Load>,
     /// Whether the connection can be reused.
-    pub keeps: bool,
+    pub reusable: bool,
     /// Idle timeout of the connection at the endpoint.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Limit on the request rate of all entries together.
     pub limit: Limit,
     /// Delay after which a rejected request may be retried.
@@ -118,11 +118,11 @@
 /// Writes the headers of requests to endpoints and parses those of responses.
 pub trait EndpointDialect: Send + Sync + Debug {
     /// Converts a caller's headers into those of the request to the endpoint. Headers
-    /// reserved to the router are removed from the caller's and set from `tell`.
-    fn write(&self, headers: &mut HeaderMap, tell: &Tell<'_>);
+    /// reserved to the router are removed from the caller's and set from `meta`.
+    fn write(&self, headers: &mut HeaderMap, meta: &ForwardMeta<'_>);
 
     /// Parses the head of a response.
-    fn read(&self, status: StatusCode, headers: &HeaderMap) -> Said;
+    fn read(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMeta;
 }
 
 /// The endpoint list could not be read; the previous one stays in use.
@@ -197,7 +197,7 @@
     pub fn add(&mut self, entry: Result<EndpointRecord, Flaw>) {
         match entry {
             Ok(listed) => self.endpoints.push(listed),
-            Err(flaw) => self.left_out(flaw, 1),
+            Err(flaw) => self.add_flaw(flaw, 1),
         }
     }
 
@@ -205,12 +205,12 @@
     pub fn append(&mut self, page: Self) {
         self.endpoints.extend(page.endpoints);
         for (flaw, count) in page.flaws {
-            self.left_out(flaw, count);
+            self.add_flaw(flaw, count);
         }
         self.next = page.next;
     }
 
-    fn left_out(&mut self, flaw: Flaw, more: usize) {
+    fn add_flaw(&mut self, flaw: Flaw, more: usize) {
         match self.flaws.iter_mut().find(|item| item.0 == flaw) {
             Some((_, count)) => *count += more,
             None => self.flaws.push((flaw, more)),
@@ -228,11 +228,11 @@
 }
 
 /// Pending fetch of one page of the list.
-pub type Fetch<'a> =
+pub type FetchFuture<'a> =
     Pin<Box<dyn Future<Output = Result<ListContent, ListError>> + Send + 'a>>;
 
 /// Source of the endpoint list.
 pub trait EndpointList: Send + Sync + Debug {
     /// Fetches the page that `token` names, or the first one.
-    fn fetch(&self, token: Option<PageToken>) -> Fetch<'_>;
+    fn fetch(&self, token: Option<PageToken>) -> FetchFuture<'_>;
 }
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -1,13 +1,13 @@
 //! Daemon of an entry: startup, tasks and shutdown.
 
-use crate::agree;
+use crate::control_sync;
 use crate::dialect::{CallerDialect, EndpointDialect, EndpointList};
 use crate::directory::Directory;
-use crate::follow::{Control, Fetching, Follower};
-use crate::listing;
-use crate::lists::Lists;
-use crate::request::Shared;
-use crate::routes::Routes;
+use crate::list_reader;
+use crate::list_tracker::ListTracker;
+use crate::request::SharedState;
+use crate::route_follower::{ControlAddresses, FetchState, RouteFollower};
+use crate::routes::RouteActivator;
 use crate::serve;
 use crate::settings::Settings;
 use crate::stats::Stats;
@@ -37,10 +37,10 @@
 const BACKLOG: u32 = 1_024;
 /// Time before the end of the grace period at which the entry exits by itself, so that
 /// its last log lines are written.
-const RESERVE: Duration = Duration::from_millis(400);
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
 /// Timeout of the final usage report.
-const LAST_WORD: Duration = Duration::from_millis(250);
+const FINAL_REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Adapters to the protocols and formats of a deployment.
 #[derive(Debug)]
@@ -71,9 +71,9 @@
     callers: TcpListener,
     status: Listener,
     settings: Settings,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     metrics: Metrics,
-    follower: Arc<Follower>,
+    follower: Arc<RouteFollower>,
     list: Box<dyn EndpointList>,
     ready_path: String,
 }
@@ -99,38 +99,38 @@
         let stats = Stats::new(&metrics);
         let usage = settings.usage;
         let usage = usage.map(|windows| Arc::new(Usage::new(windows, stats.clone())));
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(SharedState {
             routes: ArcSwapOption::empty(),
             routes_changed: Notify::new(),
             directory: Directory::new(settings.domain.clone()),
-            lists: Lists::new(settings.leaving_within),
+            list_tracker: ListTracker::new(settings.leaving_within),
             callers: dialects.callers,
             endpoints: dialects.endpoints,
-            fingerprints: Fingerprinter::new(&settings.secret),
+            fingerprinter: Fingerprinter::new(&settings.secret),
             suspects: Suspects::new(&settings.name, stats.clone()),
             usage,
             stats,
             drain,
-            stopping: OnceLock::new(),
+            drain_started: OnceLock::new(),
             grace: settings.grace,
             allowance: settings.allowance,
             entries: AtomicU32::new(0),
             budgets: Mutex::default(),
         });
-        let control = Control {
+        let control = ControlAddresses {
             seeds: settings.control.clone(),
-            told: Vec::new(),
+            announced: Vec::new(),
         };
-        let sink = Routes {
+        let sink = RouteActivator {
             shared: Arc::clone(&shared),
             format: dialects.routes,
         };
-        let follower = Arc::new(Follower {
+        let follower = Arc::new(RouteFollower {
             sink: Arc::new(sink),
             caller: PeerClient::new(settings.secret.clone()),
             name: settings.name.clone(),
             control: Mutex::new(control),
-            fetching: Fetching::new(&settings.name),
+            fetch_state: FetchState::new(&settings.name),
         });
         Ok(Self {
             callers,
@@ -156,7 +156,7 @@
     }
 
     /// State shared by all requests, for embedding an entry.
-    pub fn shared(&self) -> Arc<Shared> {
+    pub fn shared(&self) -> Arc<SharedState> {
         Arc::clone(&self.shared)
     }
 
@@ -183,25 +183,28 @@
             list,
             ready_path,
         } = self;
-        let seeds = Arc::clone(&follower);
-        let counting = shared.usage.clone();
-        let counting = counting.map(|counted| {
-            let task = usage::run(Arc::clone(&counted), Arc::clone(&follower));
-            (counted, Arc::clone(&follower), tokio::spawn(task))
+        let settings_follower = Arc::clone(&follower);
+        let usage_task = shared.usage.clone();
+        let usage_task = usage_task.map(|usage| {
+            let task = usage::run(Arc::clone(&usage), Arc::clone(&follower));
+            (usage, Arc::clone(&follower), tokio::spawn(task))
         });
-        let helpers = [
-            tokio::spawn(agree::run(Arc::clone(&follower), Arc::clone(&shared))),
+        let tasks = [
+            tokio::spawn(control_sync::run(
+                Arc::clone(&follower),
+                Arc::clone(&shared),
+            )),
             tokio::spawn(follower.run()),
-            tokio::spawn(listing::follow(
+            tokio::spawn(list_reader::run(
                 Arc::clone(&shared),
                 list,
-                settings.list_every,
+                settings.list_interval,
             )),
             tokio::spawn(async move {
                 while changed.changed().await.is_ok() {
                     let settings = changed.borrow_and_update().clone();
                     if let Some(settings) = settings {
-                        seeds.control().seeds = settings.control;
+                        settings_follower.control().seeds = settings.control;
                     }
                 }
             }),
@@ -209,33 +212,41 @@
         let health = status_routes(&shared, &metrics, &ready_path);
         // The status listener is never drained: readiness is reported as false until the
         // process exits.
-        let answering =
+        let status_server =
             tokio::spawn(status.serve(health, Drain::default(), Duration::ZERO));
         let drain = shared.drain.clone();
         let stop = async {
             drain.wait().await;
-            let begun = Instant::now();
-            let _ = shared.stopping.set(begun);
-            sleep_until(begun + settings.linger).await;
+            let drain_start = Instant::now();
+            let _ = shared.drain_started.set(drain_start);
+            sleep_until(drain_start + settings.linger).await;
         };
         serve::accept(callers, Arc::clone(&shared), stop).await;
-        let begun = shared.stopping.get().copied().unwrap_or_else(Instant::now);
-        let last = begun + settings.grace.saturating_sub(RESERVE);
+        let drain_start = shared
+            .drain_started
+            .get()
+            .copied()
+            .unwrap_or_else(Instant::now);
+        let last = drain_start + settings.grace.saturating_sub(EXIT_RESERVE);
         let finished = timeout_at(last, drain.idle()).await.is_ok();
         Event::new("entry-stopped")
             .field("finished", finished)
             .field("cut", drain.busy())
-            .field("after_ms", begun.elapsed().as_millis())
+            .field("after_ms", drain_start.elapsed().as_millis())
             .info();
-        if let Some((counted, follower, task)) = counting {
+        if let Some((usage, follower, task)) = usage_task {
             task.abort();
-            let told =
-                timeout_at(Instant::now() + LAST_WORD, counted.tell(&follower, true));
-            let told = told.await.unwrap_or(false);
-            Event::new("usage-last-told").field("heard", told).info();
+            let reported = timeout_at(
+                Instant::now() + FINAL_REPORT_TIMEOUT,
+                usage.report(&follower, true),
+            );
+            let reported = reported.await.unwrap_or(false);
+            Event::new("usage-last-told")
+                .field("heard", reported)
+                .info();
         }
-        helpers.iter().for_each(tokio::task::JoinHandle::abort);
-        answering.abort();
+        tasks.iter().for_each(tokio::task::JoinHandle::abort);
+        status_server.abort();
     }
 }
 
@@ -250,21 +261,21 @@
 }
 
 /// Whether the entry can serve: it has routes and endpoints and is not draining.
-fn ready(shared: &Shared) -> bool {
+fn ready(shared: &SharedState) -> bool {
     let routes = shared.routes.load().is_some();
     routes && !shared.directory.all().is_empty() && !shared.drain.begun()
 }
 
-fn status_routes(shared: &Arc<Shared>, metrics: &Metrics, path: &str) -> Router {
-    let asked = Arc::clone(shared);
+fn status_routes(shared: &Arc<SharedState>, metrics: &Metrics, path: &str) -> Router {
+    let ready_state = Arc::clone(shared);
     let health_ready = {
         let shared = Arc::clone(shared);
         Arc::new(move || ready(&shared))
     };
     let answer = move || {
-        let up = ready(&asked);
+        let is_ready = ready(&ready_state);
         async move {
-            if up {
+            if is_ready {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -8,24 +8,24 @@
 mod demand;
 mod endpoint;
 mod limits;
+mod queue_position;
 mod snapshot;
-mod standing;
 
-pub use admission::Hold;
-pub use endpoint::{Endpoint, Sent};
-pub use standing::Standing;
+pub use admission::AdmissionError;
+pub use endpoint::{Endpoint, InFlight};
+pub use queue_position::QueuePosition;
 
 use crate::dialect::{EndpointRecord, Prompt};
 use arc_swap::ArcSwap;
-use demand::Demand;
+use demand::DemandState;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
 use dogwoodhill_policy::event_gap;
 use dogwoodhill_policy::health::Health;
 use dogwoodhill_policy::incarnations::{Incarnations, RunAge};
 use dogwoodhill_policy::packing;
-use endpoint::Look;
-use limits::ControlContact;
+use endpoint::Evaluation;
+use limits::LimitSync;
 use rand::RngExt;
 use snapshot::{Group, Snapshot};
 use std::cmp::{Ordering, Reverse};
@@ -35,7 +35,7 @@
 
 /// Share of an even split of the endpoints' prefill capacity that an entry assumes before
 /// it has an estimate of its own; entries get uneven numbers of callers.
-const LEAST_SHARE: f64 = 0.5;
+const MIN_CAPACITY_SHARE: f64 = 0.5;
 
 /// All known endpoints of an entry.
 #[derive(Debug)]
@@ -44,41 +44,41 @@
     domain: DomainId,
     start: Instant,
     /// Random offset at which this entry's window into a large group starts.
-    spread: u64,
+    window_offset: u64,
     /// By service, sorted.
-    demand: Mutex<Vec<(ServiceId, Demand)>>,
+    demand: Mutex<Vec<(ServiceId, DemandState)>>,
     runs: Mutex<Incarnations>,
-    contact: Mutex<ControlContact>,
+    limit_sync: Mutex<LimitSync>,
 }
 
 /// Placement requirements of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct PlacementQuery<'a> {
     /// Service to choose an endpoint of.
     pub service: &'a str,
     /// Size and shared prefix of the prompt.
     pub prompt: &'a Prompt,
     /// Lane of the request.
-    pub lane: Lane,
+    pub class: LatencyClass,
     /// Whether the request yields to those of its tier that can still meet their
     /// objective.
     pub background: bool,
     /// Whether the service has requests of both lanes.
-    pub mixed: bool,
+    pub has_classes: bool,
     /// Endpoints already tried.
     pub tried: &'a [Incarnation],
     /// Fingerprint of a request suspected of crashing endpoints. It is placed away from
     /// similar requests, so that the culprit among them can be identified.
-    pub apart: Option<Fingerprint>,
+    pub isolate: Option<Fingerprint>,
 }
 
 /// An endpoint chosen for a request, with the inputs of the choice.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct Placement {
     /// The chosen endpoint.
     pub endpoint: Arc<Endpoint>,
     /// Trust in the endpoint at the time of the choice.
-    pub trust: Health,
+    pub health: Health,
     /// Endpoints of the service that are not leaving.
     pub known: usize,
     /// Those of them that are reserved for latency-sensitive streams.
@@ -87,11 +87,11 @@
 
 /// Class of requests, with endpoints preferred for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
+pub enum LatencyClass {
     /// Latency-sensitive streams; their endpoints are kept free of long prompts.
-    Fragile,
+    Sensitive,
     /// All other requests.
-    Other,
+    Tolerant,
 }
 
 impl Directory {
@@ -101,10 +101,10 @@
             snapshot: ArcSwap::default(),
             domain,
             start: Instant::now(),
-            spread: rand::random(),
+            window_offset: rand::random(),
             demand: Mutex::default(),
             runs: Mutex::default(),
-            contact: Mutex::default(),
+            limit_sync: Mutex::default(),
         }
     }
 
@@ -114,7 +114,7 @@
     pub fn update(&self, listed: Vec<EndpointRecord>) {
         let snapshot = self.snapshot.load();
         let old = &snapshot.all;
-        let endpoints = self.arrange(old, listed);
+        let endpoints = self.merge(old, listed);
         if old.is_empty() {
             // At startup, thousands of log lines would delay the first requests.
             Event::new("endpoints-listed")
@@ -131,7 +131,7 @@
     }
 
     /// The endpoints of a list, sorted by name: those of `old` that stay, and new ones.
-    fn arrange(
+    fn merge(
         &self,
         old: &[Arc<Endpoint>],
         mut listed: Vec<EndpointRecord>,
@@ -163,17 +163,17 @@
             let stays = known.filter(|known| known.is_listed_as(&listed));
             let endpoint = match stays {
                 Some(known) => Arc::clone(known),
-                None => self.begin(old, run, listed),
+                None => self.add_endpoint(old, run, listed),
             };
             endpoint.learn_start(run.start);
-            endpoint.mark(leaving);
+            endpoint.update_leaving(leaving);
             Some(endpoint)
         });
         endpoints.collect()
     }
 
     /// Creates an endpoint without any observations.
-    fn begin(
+    fn add_endpoint(
         &self,
         old: &[Arc<Endpoint>],
         run: &Incarnation,
@@ -182,12 +182,14 @@
         if !old.is_empty() {
             log_change("endpoint-listed", run, &listed.service);
         }
-        let rate = self.shared_rate(&listed.service);
+        let rate = self.shared_prefill_rate(&listed.service);
         Arc::new(Endpoint::new(listed, self.start, rate))
     }
 
-    fn contact(&self) -> MutexGuard<'_, ControlContact> {
-        self.contact.lock().unwrap_or_else(PoisonError::into_inner)
+    fn limit_sync(&self) -> MutexGuard<'_, LimitSync> {
+        self.limit_sync
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// All endpoints, sorted by name.
@@ -196,7 +198,7 @@
     }
 
     /// The endpoint whose current run is `run`, if it is listed.
-    pub fn running(&self, run: &Incarnation) -> Option<Arc<Endpoint>> {
+    pub fn find_run(&self, run: &Incarnation) -> Option<Arc<Endpoint>> {
         let snapshot = self.snapshot.load();
         let known = find(&snapshot.all, &run.id)?;
         known.runs_as(run).then(|| Arc::clone(known))
@@ -205,33 +207,35 @@
     /// Chooses an endpoint. Sound endpoints are preferred to failing ones, and those to
     /// silent ones; among equally trusted ones, those of the request's lane are
     /// preferred.
-    pub fn place(&self, want: &Want<'_>) -> Option<Placed> {
+    pub fn place(&self, query: &PlacementQuery<'_>) -> Option<Placement> {
         let snapshot = self.snapshot.load();
-        let group = snapshot.group(want.service)?;
+        let group = snapshot.group(query.service)?;
         let known = group.len();
-        if let Some(request) = want.apart {
-            return self.place_apart(want, group, request);
+        if let Some(request) = query.isolate {
+            return self.place_isolated(query, group, request);
         }
-        let reserved = self.reserved(want, known);
+        let reserved = self.reserved(query, known);
         let (fragile, rest) = (0..reserved, reserved..known);
-        let (own, others) = match want.lane {
-            Lane::Fragile => (fragile, rest),
-            Lane::Other => (rest, fragile),
+        let (own, others) = match query.class {
+            LatencyClass::Sensitive => (fragile, rest),
+            LatencyClass::Tolerant => (rest, fragile),
         };
-        let own = self.looks(want, group, own);
+        let own = self.evaluate_range(query, group, own);
         // The other lane is considered only if the own one has no sound endpoint.
-        let sound = own.iter().any(|look| look.trust == Health::Sound);
+        let sound = own
+            .iter()
+            .any(|evaluation| evaluation.health == Health::Sound);
         let others = if sound {
             Vec::new()
         } else {
-            self.looks(want, group, others)
+            self.evaluate_range(query, group, others)
         };
         // Long prompts stay out of the other lane while any endpoint of their own is
         // left, even a silent one: under load, silence is mostly queueing, and a long
         // prompt would delay streams that are more urgent. Short prompts do no harm in
         // either lane.
-        let turns = match want.lane {
-            Lane::Other => [
+        let preference = match query.class {
+            LatencyClass::Tolerant => [
                 (Health::Sound, &own),
                 (Health::Failing, &own),
                 (Health::Silent, &own),
@@ -239,7 +243,7 @@
                 (Health::Failing, &others),
                 (Health::Silent, &others),
             ],
-            Lane::Fragile => [
+            LatencyClass::Sensitive => [
                 (Health::Sound, &own),
                 (Health::Sound, &others),
                 (Health::Failing, &own),
@@ -248,12 +252,14 @@
                 (Health::Silent, &others),
             ],
         };
-        turns.into_iter().find_map(|(trust, looks)| {
-            let looks = looks.iter().filter(|look| look.trust == trust);
-            let endpoint = choose(want, looks.collect())?;
-            Some(Placed {
+        preference.into_iter().find_map(|(health, evaluations)| {
+            let evaluations = evaluations
+                .iter()
+                .filter(|evaluation| evaluation.health == health);
+            let endpoint = choose(query, evaluations.collect())?;
+            Some(Placement {
                 endpoint: Arc::clone(endpoint),
-                trust,
+                health,
                 known,
                 reserved,
             })
@@ -262,29 +268,29 @@
 
     /// Chooses by the fingerprint alone rather than by a shared prefix, so that requests
     /// that were lost together and are retried together go to different endpoints.
-    fn place_apart(
+    fn place_isolated(
         &self,
-        want: &Want<'_>,
+        query: &PlacementQuery<'_>,
         group: &Group,
         request: Fingerprint,
-    ) -> Option<Placed> {
+    ) -> Option<Placement> {
         let key = request as u64;
         let order = |endpoint: &&Arc<Endpoint>| {
-            let doubt = match endpoint.trust() {
+            let tier = match endpoint.health() {
                 Health::Sound => 0,
                 Health::Failing => 1,
                 Health::Silent => 2,
             };
-            (doubt, Reverse(affinity::mix(key ^ endpoint.hash)))
+            (tier, Reverse(affinity::mix(key ^ endpoint.hash)))
         };
         let usable = group.iter().filter(|endpoint| {
-            let tried = want.tried.iter().any(|run| endpoint.runs_as(run));
-            !tried && endpoint.open()
+            let tried = query.tried.iter().any(|run| endpoint.runs_as(run));
+            !tried && endpoint.admits()
         });
         let endpoint = usable.min_by_key(order)?;
-        Some(Placed {
+        Some(Placement {
             endpoint: Arc::clone(endpoint),
-            trust: endpoint.trust(),
+            health: endpoint.health(),
             known: group.len(),
             reserved: 0,
         })
@@ -292,81 +298,88 @@
 
     /// Time until an endpoint of a service is expected to admit a request; `None` if the
     /// service has none.
-    pub fn opens_in(&self, service: &str) -> Option<Duration> {
+    pub fn admits_in(&self, service: &str) -> Option<Duration> {
         let snapshot = self.snapshot.load();
         let group = snapshot.group(service)?;
         let staying = group.iter().filter(|endpoint| !endpoint.leaving());
-        staying.map(|endpoint| endpoint.opens_in()).min()
+        staying.map(|endpoint| endpoint.admits_in()).min()
     }
 
     /// Evaluates the usable endpoints of a range.
-    fn looks<'a>(
+    fn evaluate_range<'a>(
         &self,
-        want: &Want<'_>,
+        query: &PlacementQuery<'_>,
         group: &'a Group,
         range: Range<usize>,
-    ) -> Vec<Look<'a>> {
+    ) -> Vec<Evaluation<'a>> {
         let now = self.start.elapsed();
-        let rate = self.rate(want.service);
-        let look = |endpoint: &'a Arc<Endpoint>| {
-            let tried = want.tried.iter().any(|run| endpoint.runs_as(run));
-            let usable = !tried && endpoint.open();
-            usable.then(|| endpoint.look(want, &self.domain, now, rate))
+        let rate = self.prefill_rate(query.service);
+        let evaluate = |endpoint: &'a Arc<Endpoint>| {
+            let tried = query.tried.iter().any(|run| endpoint.runs_as(run));
+            let usable = !tried && endpoint.admits();
+            usable.then(|| endpoint.evaluate(query, &self.domain, now, rate))
         };
-        match want.lane {
-            Lane::Fragile => {
-                let some = group.window(range, self.spread);
-                some.filter_map(look).collect()
+        match query.class {
+            LatencyClass::Sensitive => {
+                let some = group.window(range, self.window_offset);
+                some.filter_map(evaluate).collect()
             }
-            Lane::Other => {
-                let key = want.prompt.shared.unwrap_or_else(rand::random);
-                group.ranked(range, key).filter_map(look).collect()
+            LatencyClass::Tolerant => {
+                let key = query.prompt.prefix.unwrap_or_else(rand::random);
+                group.ranked(range, key).filter_map(evaluate).collect()
             }
         }
     }
 
     /// Predicts the queue position of a request of `rank` with the given objective.
     /// `entries` is the number of entries that send to the same endpoints.
-    pub fn stand(
+    pub fn queue_position(
         &self,
-        want: &Want<'_>,
+        query: &PlacementQuery<'_>,
         rank: usize,
         objective: Duration,
         entries: u32,
-    ) -> Standing {
-        if want.lane == Lane::Fragile || want.prompt.tokens == 0 {
-            return Standing::default();
+    ) -> QueuePosition {
+        if query.class == LatencyClass::Sensitive || query.prompt.tokens == 0 {
+            return QueuePosition::default();
         }
         let now = self.start.elapsed();
         let snapshot = self.snapshot.load();
-        let known = snapshot.group(want.service).map_or(0, Group::len);
-        let all = known as f64 * self.rate(want.service).tokens_per_ms() * 1_000.0;
-        let least = all * LEAST_SHARE / f64::from(entries.max(1));
-        let backlog = Arc::clone(&Demand::of(&mut self.demand(), want.service).backlog);
-        let (wait, hopeful) = {
+        let known = snapshot.group(query.service).map_or(0, Group::len);
+        let all =
+            known as f64 * self.prefill_rate(query.service).tokens_per_ms() * 1_000.0;
+        let least = all * MIN_CAPACITY_SHARE / f64::from(entries.max(1));
+        let backlog =
+            Arc::clone(&DemandState::entry(&mut self.demand(), query.service).backlog);
+        let (predicted_wait, in_time) = {
             let backlog = backlog.lock().unwrap_or_else(PoisonError::into_inner);
-            let hopeful = backlog.can_meet_objective(now, rank, least, objective);
-            (backlog.predicted_wait(now, rank, least), hopeful)
+            let in_time = backlog.can_meet_objective(now, rank, least, objective);
+            (backlog.predicted_wait(now, rank, least), in_time)
         };
-        Standing {
+        QueuePosition {
             backlog: Some(backlog),
             rank,
-            wait,
-            background: !hopeful,
+            predicted_wait,
+            background: !in_time,
         }
     }
 }
 
 /// Chooses among equally trusted endpoints.
-fn choose<'a>(want: &Want<'_>, looks: Vec<&Look<'a>>) -> Option<&'a Arc<Endpoint>> {
-    match want.lane {
-        Lane::Fragile => packed(looks),
-        Lane::Other => {
-            let candidates: Vec<Candidate> =
-                looks.iter().map(|look| look.candidate).collect();
-            let key = want.prompt.shared.unwrap_or_else(rand::random);
+fn choose<'a>(
+    query: &PlacementQuery<'_>,
+    evaluations: Vec<&Evaluation<'a>>,
+) -> Option<&'a Arc<Endpoint>> {
+    match query.class {
+        LatencyClass::Sensitive => choose_packed(evaluations),
+        LatencyClass::Tolerant => {
+            let candidates: Vec<Candidate> = evaluations
+                .iter()
+                .map(|evaluation| evaluation.candidate)
+                .collect();
+            let key = query.prompt.prefix.unwrap_or_else(rand::random);
             let at = affinity::choose(key, &candidates)?;
-            Some(looks[at].endpoint)
+            Some(evaluations[at].endpoint)
         }
     }
 }
@@ -374,16 +387,26 @@
 /// Chooses among endpoints that are fast enough for short pauses, plus as many slow ones
 /// as are needed. The less busy of two random candidates wins: if all entries took the
 /// first endpoint with room, they would all take the same one.
-fn packed<'a>(mut looks: Vec<&Look<'a>>) -> Option<&'a Arc<Endpoint>> {
-    let slow_from = event_gap::slow_threshold(looks.iter().filter_map(|look| look.pace));
-    looks.sort_by_key(|look| look.pace.is_some_and(|pace| pace > slow_from));
-    let quick =
-        looks.partition_point(|look| look.pace.is_none_or(|pace| pace <= slow_from));
-    let most = packing::endpoints_used(looks.iter().map(|look| look.packing), quick);
+fn choose_packed<'a>(mut evaluations: Vec<&Evaluation<'a>>) -> Option<&'a Arc<Endpoint>> {
+    let slow_from = event_gap::slow_threshold(
+        evaluations
+            .iter()
+            .filter_map(|evaluation| evaluation.event_gap),
+    );
+    evaluations.sort_by_key(|evaluation| {
+        evaluation.event_gap.is_some_and(|pace| pace > slow_from)
+    });
+    let fast = evaluations.partition_point(|evaluation| {
+        evaluation.event_gap.is_none_or(|pace| pace <= slow_from)
+    });
+    let used = packing::endpoints_used(
+        evaluations.iter().map(|evaluation| evaluation.occupancy),
+        fast,
+    );
     let mut random = rand::rng();
-    let mut draw = || (most > 0).then(|| looks[random.random_range(0..most)]);
+    let mut draw = || (used > 0).then(|| evaluations[random.random_range(0..used)]);
     let (a, b) = (draw()?, draw()?);
-    let less = if a.packing.busy <= b.packing.busy {
+    let less = if a.occupancy.busy <= b.occupancy.busy {
         a
     } else {
         b
@@ -399,10 +422,10 @@
 
 /// Retires an endpoint; `successor` is the endpoint that has its name now.
 fn retire(known: &Endpoint, successor: Option<&Arc<Endpoint>>) {
-    known.mark(true);
+    known.update_leaving(true);
     known.pool.clear();
     if successor.is_some_and(|next| !next.runs_as(&known.run())) {
-        known.mark_over();
+        known.mark_superseded();
     }
     log_change("endpoint-gone", &known.run(), &known.service);
 }
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -15,11 +15,11 @@
 
 /// Retry delay for an endpoint without permits: the interval at which entries request
 /// them.
-const PERMIT_PAUSE: Duration = Duration::from_millis(500);
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Why a request is not sent to the endpoint chosen for it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Hold {
+pub enum AdmissionError {
     /// The endpoint is shutting down or gone.
     #[display("leaving")]
     Leaving,
@@ -44,7 +44,7 @@
 
 impl Endpoint {
     /// Applies the rate limit named in a response of the endpoint.
-    pub fn heard_limit(&self, limit: Limit) {
+    pub fn apply_named_limit(&self, limit: Limit) {
         if limit == Limit::Unreadable {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
@@ -57,7 +57,7 @@
     }
 
     /// Applies the retry delay named in a rejection by the endpoint.
-    pub fn turned_away(&self, retry: Retry) {
+    pub fn record_rejection(&self, retry: Retry) {
         if retry == Retry::Unspecified {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /// Remaining backoff; `None` if there is none.
-    pub fn backoff_left(&self) -> Option<Duration> {
+    pub fn remaining_backoff(&self) -> Option<Duration> {
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
         }
@@ -92,7 +92,7 @@
     }
 
     /// Applies the limit that control derived from the reports of all entries.
-    pub(super) fn told_limit(&self, observed: Observation) {
+    pub(super) fn apply_shared_limit(&self, observed: Observation) {
         self.change_limit("control", |permits| permits.merge(observed));
     }
 
@@ -121,25 +121,29 @@
     }
 
     /// Whether the endpoint admits a request now.
-    pub(super) fn open(&self) -> bool {
-        let accepting = self.accepting().is_ok();
+    pub(super) fn admits(&self) -> bool {
+        let accepting = self.check_available().is_ok();
         accepting && (!self.is_limited() || self.permits().demand(uptime()))
     }
 
     /// Time until the endpoint is expected to admit a request.
-    pub(super) fn opens_in(&self) -> Duration {
-        let rest = self.backoff_left().unwrap_or_default();
+    pub(super) fn admits_in(&self) -> Duration {
+        let rest = self.remaining_backoff().unwrap_or_default();
         let ready = !self.is_limited() || self.permits().is_available(uptime());
-        rest.max(if ready { Duration::ZERO } else { PERMIT_PAUSE })
+        rest.max(if ready {
+            Duration::ZERO
+        } else {
+            PERMIT_RETRY_DELAY
+        })
     }
 
     /// Whether the endpoint is neither leaving nor backed off.
-    fn accepting(&self) -> Result<(), Hold> {
+    fn check_available(&self) -> Result<(), AdmissionError> {
         if self.leaving() {
-            return Err(Hold::Leaving);
+            return Err(AdmissionError::Leaving);
         }
-        match self.backoff_left() {
-            Some(_) => Err(Hold::BackedOff),
+        match self.remaining_backoff() {
+            Some(_) => Err(AdmissionError::BackedOff),
             None => Ok(()),
         }
     }
@@ -149,13 +153,13 @@
     ///
     /// # Errors
     ///
-    /// [`Hold`] if the request must not be sent.
-    pub fn admit(&self) -> Result<Permit, Hold> {
-        self.accepting()?;
+    /// [`AdmissionError`] if the request must not be sent.
+    pub fn admit(&self) -> Result<Permit, AdmissionError> {
+        self.check_available()?;
         if !self.is_limited() {
             return Ok(Permit { until: None });
         }
-        self.permits().take(uptime()).ok_or(Hold::Limited)
+        self.permits().take(uptime()).ok_or(AdmissionError::Limited)
     }
 
     /// Checks admission again for a request with a permit of which nothing has been sent
@@ -163,33 +167,41 @@
     ///
     /// # Errors
     ///
-    /// [`Hold`] if the request must not be sent any more.
-    pub fn admit_late(&self, permit: Permit) -> Result<(), Hold> {
-        let holds = match permit.until {
+    /// [`AdmissionError`] if the request must not be sent any more.
+    pub fn readmit(&self, permit: Permit) -> Result<(), AdmissionError> {
+        let still_valid = match permit.until {
             Some(until) => uptime() < until,
             None => !self.is_limited(),
         };
-        if holds {
-            self.accepting()
+        if still_valid {
+            self.check_available()
         } else {
             self.admit().map(|_| ())
         }
     }
 
     /// Limit observations and permit demand to report to control, if any.
-    pub(super) fn limit_news(&self, now: Duration) -> Option<LimitReport> {
+    pub(super) fn limit_report(&self, now: Duration) -> Option<LimitReport> {
         self.permits().report(now)
     }
 
-    /// Applies permits granted by control in response to a request sent at `asked`.
-    pub(super) fn granted(&self, asked: Duration, permits: u32, wanted: u32) {
-        self.permits().receive_grant(asked, permits);
+    /// Applies permits granted by control in response to a request sent at `requested_at`.
+    pub(super) fn apply_permits(
+        &self,
+        requested_at: Duration,
+        permits: u32,
+        wanted: u32,
+    ) {
+        self.permits().receive_grant(requested_at, permits);
         if permits > 0 {
             Event::new("permits-granted")
                 .field("endpoint", self.run())
                 .field("permits", permits)
                 .field("wanted", wanted)
-                .field("asked_ms", uptime().saturating_sub(asked).as_millis())
+                .field(
+                    "asked_ms",
+                    uptime().saturating_sub(requested_at).as_millis(),
+                )
                 .info();
         }
     }
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -1,7 +1,7 @@
 //! Demand, stream disturbance and prefill rate per service, from this entry's
 //! observations and from the sums over all entries.
 
-use super::{Directory, Lane, Want};
+use super::{Directory, LatencyClass, PlacementQuery};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backlog::Backlog;
 use dogwoodhill_policy::interference::Interference;
@@ -12,19 +12,19 @@
 
 /// Endpoint time per generated token, in seconds: a decoding step of 6.5 ms shared by
 /// some thirty streams.
-const TOKEN_WORK: f64 = 0.000_2;
+const TOKEN_TIME_S: f64 = 0.000_2;
 /// Demand for one service, and its queue of prompts awaiting prefill.
 #[derive(Debug, Default)]
-pub(super) struct Demand {
-    pub(super) shares: Reservation,
-    pub(super) disturbance: Interference,
+pub(super) struct DemandState {
+    pub(super) reservation: Reservation,
+    pub(super) interference: Interference,
     pub(super) backlog: Arc<Mutex<Backlog>>,
     pub(super) rate: Arc<Mutex<PrefillRate>>,
 }
 
-impl Demand {
+impl DemandState {
     /// The state of a service, created on first use.
-    pub(super) fn of<'a>(
+    pub(super) fn entry<'a>(
         all: &'a mut Vec<(ServiceId, Self)>,
         service: &str,
     ) -> &'a mut Self {
@@ -39,25 +39,30 @@
 
 impl Directory {
     /// Records the work of a request, which determines the sizes of the lanes.
-    pub fn note(&self, want: &Want<'_>) {
+    pub fn record_demand(&self, query: &PlacementQuery<'_>) {
         let now = self.start.elapsed();
         let reading = self
-            .rate(want.service)
-            .prefill_time(f64::from(want.prompt.tokens));
-        let writing = f64::from(want.prompt.output) * TOKEN_WORK;
+            .prefill_rate(query.service)
+            .prefill_time(f64::from(query.prompt.tokens));
+        let writing = f64::from(query.prompt.max_output) * TOKEN_TIME_S;
         let work = reading + Duration::from_secs_f64(writing);
         let mut all = self.demand();
-        let demand = Demand::of(&mut all, want.service);
-        let fragile = want.lane == Lane::Fragile;
-        demand.shares.record(now, fragile, work);
+        let demand = DemandState::entry(&mut all, query.service);
+        let sensitive = query.class == LatencyClass::Sensitive;
+        demand.reservation.record(now, sensitive, work);
     }
 
     /// Whether streams of `service` that tolerate a pause of `shortest`, the shortest of
     /// all, are separated from those that tolerate up to `longest`.
-    pub fn apart(&self, service: &str, shortest: Duration, longest: Duration) -> bool {
+    pub fn separates_classes(
+        &self,
+        service: &str,
+        shortest: Duration,
+        longest: Duration,
+    ) -> bool {
         let now = self.start.elapsed();
         let mut all = self.demand();
-        let disturbance = &mut Demand::of(&mut all, service).disturbance;
+        let disturbance = &mut DemandState::entry(&mut all, service).interference;
         if shortest >= longest {
             return false;
         }
@@ -75,22 +80,22 @@
     }
 
     /// Records the longest pause of a completed stream.
-    pub fn streamed(&self, want: &Want<'_>, longest: Duration) {
-        if want.lane == Lane::Other {
+    pub fn record_stream(&self, query: &PlacementQuery<'_>, longest: Duration) {
+        if query.class == LatencyClass::Tolerant {
             let now = self.start.elapsed();
             let mut all = self.demand();
-            let demand = Demand::of(&mut all, want.service);
-            demand.disturbance.record_stream(now, longest);
+            let demand = DemandState::entry(&mut all, query.service);
+            demand.interference.record_stream(now, longest);
         }
     }
 
     /// Recent demand at this entry, for the other entries.
-    pub fn demanded(&self) -> Vec<ServiceDemand> {
+    pub fn demand_report(&self) -> Vec<ServiceDemand> {
         let now = self.start.elapsed();
         let all = self.demand();
         let services = all.iter().map(|(service, demand)| {
-            let (latency_sensitive, other) = demand.shares.local_work(now);
-            let (pause, streams) = demand.disturbance.local_estimate(now);
+            let (latency_sensitive, other) = demand.reservation.local_work(now);
+            let (pause, streams) = demand.interference.local_estimate(now);
             let streams = streams as f64;
             ServiceDemand {
                 service: service.clone(),
@@ -104,45 +109,45 @@
     }
 
     /// Applies the sums over all entries.
-    pub fn agree(&self, totals: &DemandReply) {
+    pub fn apply_totals(&self, totals: &DemandReply) {
         let now = self.start.elapsed();
         let mut all = self.demand();
         for total in &totals.services {
-            let demand = Demand::of(&mut all, &total.service);
+            let demand = DemandState::entry(&mut all, &total.service);
             demand
-                .shares
+                .reservation
                 .set_total(now, total.latency_sensitive, total.other);
             let pause = Duration::try_from_secs_f64(total.pauses / total.streams);
             let pause = pause.unwrap_or_default();
             demand
-                .disturbance
+                .interference
                 .set_shared_estimate(now, pause, total.streams as usize);
         }
     }
 
     /// Number of endpoints reserved for latency-sensitive streams.
-    pub(super) fn reserved(&self, want: &Want<'_>, endpoints: usize) -> usize {
-        if !want.mixed {
+    pub(super) fn reserved(&self, query: &PlacementQuery<'_>, endpoints: usize) -> usize {
+        if !query.has_classes {
             return 0;
         }
         let mut all = self.demand();
         let now = self.start.elapsed();
-        let demand = Demand::of(&mut all, want.service);
-        demand.shares.reserved(now, endpoints)
+        let demand = DemandState::entry(&mut all, query.service);
+        demand.reservation.reserved(now, endpoints)
     }
 
     /// Prefill rate of a service's endpoints.
-    pub(super) fn rate(&self, service: &str) -> PrefillRate {
-        let shared = self.shared_rate(service);
+    pub(super) fn prefill_rate(&self, service: &str) -> PrefillRate {
+        let shared = self.shared_prefill_rate(service);
         let rate = shared.lock().unwrap_or_else(PoisonError::into_inner);
         *rate
     }
 
-    pub(super) fn shared_rate(&self, service: &str) -> Arc<Mutex<PrefillRate>> {
-        Arc::clone(&Demand::of(&mut self.demand(), service).rate)
+    pub(super) fn shared_prefill_rate(&self, service: &str) -> Arc<Mutex<PrefillRate>> {
+        Arc::clone(&DemandState::entry(&mut self.demand(), service).rate)
     }
 
-    pub(super) fn demand(&self) -> MutexGuard<'_, Vec<(ServiceId, Demand)>> {
+    pub(super) fn demand(&self) -> MutexGuard<'_, Vec<(ServiceId, DemandState)>> {
         self.demand.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -5,10 +5,10 @@
 //! responses.
 
 use super::admission::Admission;
-use super::standing::Standing;
-use super::{Lane, Want, log_change};
+use super::queue_position::QueuePosition;
+use super::{LatencyClass, PlacementQuery, log_change};
 use crate::dialect::{EndpointRecord, Load, Prompt};
-use crate::pool::{self, Pool, Unconnected};
+use crate::pool::{self, ConnectError, Pool};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::{self, Candidate};
 use dogwoodhill_policy::event_gap::EventGap;
@@ -24,20 +24,20 @@
 use tokio::time::sleep;
 
 /// Additional latency of an endpoint in another failure domain: one round trip.
-const DISTANCE: Duration = Duration::from_millis(3);
+const DOMAIN_LATENCY: Duration = Duration::from_millis(3);
 /// Time in which a process that has begun to exit closes its sockets.
-const SETTLES: Duration = Duration::from_millis(20);
+const EXIT_TIME: Duration = Duration::from_millis(20);
 /// Prompt prefixes remembered per endpoint.
-const SHARED_KEPT: usize = 512;
+const MAX_PREFIXES: usize = 512;
 /// Time constant of the decay of a reported load, in seconds. An entry gets a report of
 /// each of some endpoints about once in two seconds.
-const LOAD_FADES: f64 = 4.0;
+const LOAD_DECAY_S: f64 = 4.0;
 /// Weight of the newest first event in the moving average of slowness.
-const NEWEST: f64 = 0.1;
+const SLOWNESS_WEIGHT: f64 = 0.1;
 /// Bounds of the estimated slowness.
-const SLOWNESS: (f64, f64) = (0.5, 30.0);
+const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 30.0);
 /// Time to the first event in addition to queueing and prefill.
-const STEP: Duration = Duration::from_millis(25);
+const FIRST_EVENT_TIME: Duration = Duration::from_millis(25);
 
 /// One run of an endpoint.
 #[derive(Debug)]
@@ -62,57 +62,62 @@
     gone: AtomicBool,
     start: Instant,
     /// Prefill rate, shared by the endpoints of the service.
-    rate: Arc<Mutex<PrefillRate>>,
-    view: Mutex<View>,
+    prefill_rate: Arc<Mutex<PrefillRate>>,
+    estimates: Mutex<Estimates>,
     /// Time and result of the last check whether the process has ended.
-    looked: tokio::sync::Mutex<Option<(Instant, bool)>>,
+    last_check: tokio::sync::Mutex<Option<(Instant, bool)>>,
     pub(super) admission: Admission,
 }
 
 /// Snapshot of an endpoint for one placement.
 #[derive(Debug)]
-pub(super) struct Look<'a> {
+pub(super) struct Evaluation<'a> {
     /// The endpoint.
     pub(super) endpoint: &'a Arc<Endpoint>,
     /// Current trust.
-    pub(super) trust: Health,
+    pub(super) health: Health,
     /// For placing prompts by prefix and wait.
     pub(super) candidate: Candidate,
     /// For packing latency-sensitive streams.
-    pub(super) packing: Occupancy,
+    pub(super) occupancy: Occupancy,
     /// Usual time between two events of a stream.
-    pub(super) pace: Option<Duration>,
+    pub(super) event_gap: Option<Duration>,
 }
 
 /// Estimated state of an endpoint.
 #[derive(Debug)]
-struct View {
-    record: HealthRecord,
+struct Estimates {
+    health: HealthRecord,
     load: Load,
-    loaded: Duration,
-    active: u32,
-    waits: QueueWait,
+    load_time: Duration,
+    own_active: u32,
+    queue_wait: QueueWait,
     slowness: f64,
-    pace: EventGap,
-    shared: Vec<(u64, Duration)>,
+    event_gap: EventGap,
+    prefixes: Vec<(u64, Duration)>,
 }
 
-impl View {
+impl Estimates {
     /// Requests running or queued: the decayed reported load, but at least the entry's
     /// own.
-    fn busy(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.loaded).as_secs_f64();
-        let told = f64::from(self.load.running + self.load.waiting);
-        (told * (-age / LOAD_FADES).exp()).max(f64::from(self.active))
+    fn active_requests(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.load_time).as_secs_f64();
+        let reported = f64::from(self.load.running + self.load.waiting);
+        (reported * (-age / LOAD_DECAY_S).exp()).max(f64::from(self.own_active))
     }
 
     /// Time until prefill of a prompt sent now would begin.
-    fn wait(&self, now: Duration, rate: PrefillRate, background: bool) -> Duration {
-        let own = self.reading(rate, self.waits.tokens_ahead(background));
-        own.max(self.waits.predicted(now))
+    fn predicted_wait(
+        &self,
+        now: Duration,
+        rate: PrefillRate,
+        background: bool,
+    ) -> Duration {
+        let own = self.prefill_time(rate, self.queue_wait.tokens_ahead(background));
+        own.max(self.queue_wait.predicted(now))
     }
 
-    fn reading(&self, rate: PrefillRate, tokens: f64) -> Duration {
+    fn prefill_time(&self, rate: PrefillRate, tokens: f64) -> Duration {
         rate.prefill_time(tokens).mul_f64(self.slowness)
     }
 }
@@ -121,7 +126,7 @@
     pub(super) fn new(
         listed: EndpointRecord,
         start: Instant,
-        rate: Arc<Mutex<PrefillRate>>,
+        prefill_rate: Arc<Mutex<PrefillRate>>,
     ) -> Self {
         Self {
             // By name only, so that prefixes map to the same endpoint after its restart,
@@ -137,18 +142,18 @@
             gone: AtomicBool::new(false),
             pool: Pool::default(),
             start,
-            rate,
-            view: Mutex::new(View {
-                record: HealthRecord::default(),
+            prefill_rate,
+            estimates: Mutex::new(Estimates {
+                health: HealthRecord::default(),
                 load: Load::default(),
-                loaded: Duration::ZERO,
-                active: 0,
-                waits: QueueWait::default(),
+                load_time: Duration::ZERO,
+                own_active: 0,
+                queue_wait: QueueWait::default(),
                 slowness: 1.0,
-                pace: EventGap::default(),
-                shared: Vec::new(),
+                event_gap: EventGap::default(),
+                prefixes: Vec::new(),
             }),
-            looked: tokio::sync::Mutex::default(),
+            last_check: tokio::sync::Mutex::default(),
             admission: Admission::default(),
         }
     }
@@ -187,7 +192,7 @@
     }
 
     /// Marks the endpoint as gone: another process responds at its address.
-    fn replaced(&self) {
+    fn mark_replaced(&self) {
         if !self.gone.swap(true, Ordering::AcqRel) {
             log_change("endpoint-replaced", &self.run(), &self.service);
             self.pool.clear();
@@ -195,49 +200,58 @@
     }
 
     /// Called when another run responded to a request meant for this one.
-    pub fn misdirected(&self) {
-        self.view().record.replaced();
-        self.replaced();
+    pub fn record_misdirected(&self) {
+        self.estimates().health.replaced();
+        self.mark_replaced();
     }
 
     /// Counts a request as active until the guard is dropped.
-    pub fn enter(self: &Arc<Self>, prompt: &Prompt, standing: &Standing) -> Sent {
+    pub fn begin_request(
+        self: &Arc<Self>,
+        prompt: &Prompt,
+        position: &QueuePosition,
+    ) -> InFlight {
         let now = self.start.elapsed();
-        let rate = self.rate();
-        let mut view = self.view();
-        view.record.sent(now);
-        view.active += 1;
-        let fresh = prompt.tokens.saturating_sub(prompt.shared_tokens);
-        let known = prompt.shared.is_some_and(|key| view.remember(key, now));
+        let rate = self.prefill_rate();
+        let mut estimates = self.estimates();
+        estimates.health.sent(now);
+        estimates.own_active += 1;
+        let fresh = prompt.tokens.saturating_sub(prompt.prefix_tokens);
+        let known = prompt
+            .prefix
+            .is_some_and(|key| estimates.remember_prefix(key, now));
         let tokens = if known { fresh } else { prompt.tokens };
-        let ahead = view.waits.tokens_ahead(standing.background);
-        let expected = view.reading(rate, ahead + f64::from(tokens)) + STEP;
-        view.waits.sent(now, f64::from(tokens), standing.background);
-        drop(view);
-        standing.sent(now, f64::from(tokens));
-        Sent {
+        let ahead = estimates.queue_wait.tokens_ahead(position.background);
+        let expected =
+            estimates.prefill_time(rate, ahead + f64::from(tokens)) + FIRST_EVENT_TIME;
+        estimates
+            .queue_wait
+            .sent(now, f64::from(tokens), position.background);
+        drop(estimates);
+        position.sent(now, f64::from(tokens));
+        InFlight {
             endpoint: Arc::clone(self),
-            standing: standing.clone(),
-            tokens: f64::from(tokens),
-            certain: known || prompt.shared_tokens == 0,
+            position: position.clone(),
+            uncached_tokens: f64::from(tokens),
+            exclusive_prefix: known || prompt.prefix_tokens == 0,
             expected,
-            since: now,
-            unread: true,
-            begun: false,
-            waits: true,
+            sent_at: now,
+            awaiting_prefill: true,
+            responded: false,
+            active: true,
         }
     }
 
     /// Records that bytes arrived.
-    pub fn heard(&self) {
+    pub fn record_activity(&self) {
         let now = self.start.elapsed();
-        self.view().record.received(now);
+        self.estimates().health.received(now);
     }
 
     /// Time since the last bytes arrived; `None` if there never were any.
     pub fn silence(&self) -> Option<Duration> {
         let now = self.start.elapsed();
-        self.view().record.idle_time(now)
+        self.estimates().health.idle_time(now)
     }
 
     /// Whether the process has ended since `broke`, when a connection to it broke, so
@@ -248,7 +262,7 @@
             return false;
         }
         // Connections that break together are checked together.
-        let mut last = self.looked.lock().await;
+        let mut last = self.last_check.lock().await;
         if let Some((at, ended)) = *last
             && at >= broke
         {
@@ -257,160 +271,163 @@
         let at = Instant::now();
         // A process that ends closes its sockets one after the other, and may have
         // accepted the new connection before it closed its listener.
-        let ended = match self.refuses().await {
+        let ended = match self.refuses_connections().await {
             Some(ended) => ended,
-            None => self.refuses().await.unwrap_or(false),
+            None => self.refuses_connections().await.unwrap_or(false),
         };
         *last = Some((at, ended));
         ended
     }
 
     /// Whether new connections are refused; `None` if one was made but closed again.
-    async fn refuses(&self) -> Option<bool> {
+    async fn refuses_connections(&self) -> Option<bool> {
         match pool::connect(self.address).await {
-            Ok(line) => {
-                sleep(SETTLES).await;
-                if line.sender.is_closed() {
+            Ok(connection) => {
+                sleep(EXIT_TIME).await;
+                if connection.sender.is_closed() {
                     return None;
                 }
-                self.pool.give(line, None);
+                self.pool.release(connection, None);
                 Some(false)
             }
-            Err(Unconnected::Refused) => {
-                self.unreached();
+            Err(ConnectError::Refused) => {
+                self.mark_unreachable();
                 Some(true)
             }
-            Err(Unconnected::Unanswered) => {
-                self.unanswered();
+            Err(ConnectError::TimedOut) => {
+                self.connect_timed_out();
                 Some(false)
             }
         }
     }
 
     /// Records the result of a response.
-    pub fn judged(&self, failed: bool) {
+    pub fn record_outcome(&self, failed: bool) {
         let now = self.start.elapsed();
-        self.view().record.record_outcome(now, failed);
+        self.estimates().health.record_outcome(now, failed);
     }
 
     /// Records that a request timed out; `failed` marks a wait long enough to count as a
     /// failure.
-    pub fn timed_out(&self, failed: bool) {
+    pub fn record_timeout(&self, failed: bool) {
         let now = self.start.elapsed();
-        self.view().record.timed_out(now, failed);
+        self.estimates().health.timed_out(now, failed);
     }
 
     /// Records that the endpoint is unreachable or has been silent for too long.
-    pub fn unreached(&self) {
+    pub fn mark_unreachable(&self) {
         let now = self.start.elapsed();
-        self.view().record.mark_unreachable(now);
+        self.estimates().health.mark_unreachable(now);
         self.pool.clear();
     }
 
     /// Records that a connection attempt got no reply.
-    pub fn unanswered(&self) {
+    pub fn connect_timed_out(&self) {
         let now = self.start.elapsed();
-        self.view().record.connect_timed_out(now);
+        self.estimates().health.connect_timed_out(now);
         self.pool.clear();
     }
 
     /// Whether a request that has waited there for `waited` should move to another
     /// endpoint.
-    pub fn deserted(&self, waited: Duration) -> bool {
+    pub fn should_abandon(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
-        self.view().record.should_abandon(now, sent)
+        self.estimates().health.should_abandon(now, sent)
     }
 
     /// Records that the process has restarted as another endpoint.
-    pub(super) fn mark_over(&self) {
+    pub(super) fn mark_superseded(&self) {
         let now = self.start.elapsed();
-        self.view().record.mark_superseded(now);
+        self.estimates().health.mark_superseded(now);
     }
 
     /// Records a pause before an event of a latency-sensitive stream.
-    pub fn paced(&self, pause: Duration) {
+    pub fn record_event_gap(&self, pause: Duration) {
         let now = self.start.elapsed();
-        self.view().pace.record(now, pause);
+        self.estimates().event_gap.record(now, pause);
     }
 
     /// Records a load reported by the endpoint.
-    pub fn loaded(&self, load: Load) {
+    pub fn set_load(&self, load: Load) {
         let now = self.start.elapsed();
-        let mut view = self.view();
-        view.load = load;
-        view.loaded = now;
+        let mut estimates = self.estimates();
+        estimates.load = load;
+        estimates.load_time = now;
     }
 
     /// Observations since the last report to control, if any.
-    pub(crate) fn sight(&self) -> Option<HealthReport> {
+    pub(crate) fn take_sighting(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
-        self.view().record.take_sighting(now)
+        self.estimates().health.take_sighting(now)
     }
 
     /// Applies the verdict of all entries; `None` if there is none.
-    pub(crate) fn told(&self, verdict: Option<Verdict>) {
+    pub(crate) fn set_verdict(&self, verdict: Option<Verdict>) {
         if verdict == Some(Verdict::Replaced) {
-            self.replaced();
+            self.mark_replaced();
         }
         let now = self.start.elapsed();
-        self.view().record.set_verdict(now, verdict);
+        self.estimates().health.set_verdict(now, verdict);
     }
 
     /// Current trust in the endpoint.
-    pub fn trust(&self) -> Health {
+    pub fn health(&self) -> Health {
         let now = self.start.elapsed();
-        self.view().record.health(now)
+        self.estimates().health.health(now)
     }
 
     /// Evaluates the endpoint for a request.
-    pub(super) fn look<'a>(
+    pub(super) fn evaluate<'a>(
         self: &'a Arc<Self>,
-        want: &Want<'_>,
+        query: &PlacementQuery<'_>,
         domain: &str,
         now: Duration,
         rate: PrefillRate,
-    ) -> Look<'a> {
-        let view = self.view();
-        Look {
+    ) -> Evaluation<'a> {
+        let estimates = self.estimates();
+        Evaluation {
             endpoint: self,
-            trust: view.record.health(now),
-            candidate: self.candidate(&view, want, domain, now, rate),
-            packing: Occupancy {
-                busy: view.busy(now),
+            health: estimates.health.health(now),
+            candidate: self.candidate(&estimates, query, domain, now, rate),
+            occupancy: Occupancy {
+                busy: estimates.active_requests(now),
                 slots: f64::from(self.slots),
             },
-            pace: view.pace.mean(now),
+            event_gap: estimates.event_gap.mean(now),
         }
     }
 
     fn candidate(
         &self,
-        view: &View,
-        want: &Want<'_>,
+        estimates: &Estimates,
+        query: &PlacementQuery<'_>,
         domain: &str,
         now: Duration,
         rate: PrefillRate,
     ) -> Candidate {
-        let prompt = want.prompt;
-        let last_sent = prompt.shared.and_then(|key| {
-            let at = view.shared.binary_search_by_key(&key, |item| item.0).ok()?;
-            Some(now.saturating_sub(view.shared[at].1))
+        let prompt = query.prompt;
+        let last_sent = prompt.prefix.and_then(|key| {
+            let at = estimates
+                .prefixes
+                .binary_search_by_key(&key, |item| item.0)
+                .ok()?;
+            Some(now.saturating_sub(estimates.prefixes[at].1))
         });
-        let reads = prompt.tokens > 0 && want.lane == Lane::Other;
+        let reads = prompt.tokens > 0 && query.class == LatencyClass::Tolerant;
         let wait = if reads {
-            view.wait(now, rate, want.background)
+            estimates.predicted_wait(now, rate, query.background)
         } else {
-            self.queueing(view, now)
+            self.contention_cost(estimates, now)
         };
         Candidate {
             hash: self.hash,
             wait,
-            prefill: view.reading(rate, f64::from(prompt.shared_tokens)),
+            prefill: estimates.prefill_time(rate, f64::from(prompt.prefix_tokens)),
             distance: if self.domain == domain {
                 Duration::ZERO
             } else {
-                DISTANCE
+                DOMAIN_LATENCY
             },
             last_sent,
         }
@@ -419,140 +436,150 @@
     /// Cost of the requests already running, for plain services and for streams that only
     /// share the endpoint's decoding steps. A full endpoint costs as much as four times
     /// the latency to another failure domain.
-    fn queueing(&self, view: &View, now: Duration) -> Duration {
-        let share = view.busy(now) / f64::from(self.slots);
-        DISTANCE.mul_f64(4.0 * share * view.slowness)
+    fn contention_cost(&self, estimates: &Estimates, now: Duration) -> Duration {
+        let share = estimates.active_requests(now) / f64::from(self.slots);
+        DOMAIN_LATENCY.mul_f64(4.0 * share * estimates.slowness)
     }
 
     /// Updates whether the endpoint is shutting down, from the list or from its own
     /// responses. This is final for a run: a later list that says otherwise is outdated.
-    pub fn mark(&self, leaving: bool) {
+    pub fn update_leaving(&self, leaving: bool) {
         if leaving && !self.leaving.swap(true, Ordering::AcqRel) {
             log_change("endpoint-leaving", &self.run(), &self.service);
         }
     }
 
-    fn rate(&self) -> PrefillRate {
+    fn prefill_rate(&self) -> PrefillRate {
         *self.lock_rate()
     }
 
     fn lock_rate(&self) -> MutexGuard<'_, PrefillRate> {
-        self.rate.lock().unwrap_or_else(PoisonError::into_inner)
+        self.prefill_rate
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn view(&self) -> MutexGuard<'_, View> {
+    fn estimates(&self) -> MutexGuard<'_, Estimates> {
         // Estimates stay valid even if a thread panicked while it held the lock.
-        self.view.lock().unwrap_or_else(PoisonError::into_inner)
+        self.estimates
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl View {
+impl Estimates {
     /// Remembers a prefix; returns whether it was already remembered.
-    fn remember(&mut self, key: u64, now: Duration) -> bool {
-        match self.shared.binary_search_by_key(&key, |item| item.0) {
+    fn remember_prefix(&mut self, key: u64, now: Duration) -> bool {
+        match self.prefixes.binary_search_by_key(&key, |item| item.0) {
             Ok(at) => {
-                self.shared[at].1 = now;
+                self.prefixes[at].1 = now;
                 true
             }
             Err(at) => {
-                self.shared.insert(at, (key, now));
-                if self.shared.len() > SHARED_KEPT {
-                    self.forget_oldest();
+                self.prefixes.insert(at, (key, now));
+                if self.prefixes.len() > MAX_PREFIXES {
+                    self.evict_oldest_prefix();
                 }
                 false
             }
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest_prefix(&mut self) {
         let oldest = self
-            .shared
+            .prefixes
             .iter()
             .enumerate()
             .min_by_key(|(_, item)| item.1);
         if let Some(at) = oldest.map(|(at, _)| at) {
-            self.shared.remove(at);
+            self.prefixes.remove(at);
         }
     }
 }
 
 /// A request in flight at an endpoint; dropping it ends the accounting.
 #[derive(Debug)]
-pub struct Sent {
+pub struct InFlight {
     endpoint: Arc<Endpoint>,
-    standing: Standing,
-    tokens: f64,
+    position: QueuePosition,
+    uncached_tokens: f64,
     /// Whether the prefix cannot have been cached there by another entry's request.
-    certain: bool,
+    exclusive_prefix: bool,
     expected: Duration,
-    since: Duration,
-    unread: bool,
-    begun: bool,
-    waits: bool,
+    sent_at: Duration,
+    awaiting_prefill: bool,
+    responded: bool,
+    active: bool,
 }
 
-impl Sent {
+impl InFlight {
     /// The endpoint that the request was sent to.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
         &self.endpoint
     }
 
     /// Prompt tokens that are not expected to be in the endpoint's prefix cache.
-    pub fn unread_tokens(&self) -> u32 {
-        self.tokens as u32
+    pub fn uncached_tokens(&self) -> u32 {
+        self.uncached_tokens as u32
     }
 
     /// Records the first bytes of the response, which imply that prefill is complete.
-    pub fn begun(&mut self) {
+    pub fn record_first_byte(&mut self) {
         let now = self.endpoint.start.elapsed();
-        if !std::mem::take(&mut self.unread) {
+        if !std::mem::take(&mut self.awaiting_prefill) {
             return;
         }
-        self.begun = true;
-        self.standing.left(self.since, self.tokens);
-        self.standing.read(now, self.tokens);
-        let took = now.saturating_sub(self.since);
-        let mut view = self.endpoint.view();
-        let background = self.standing.background;
-        view.waits.dequeued(self.since, self.tokens, background);
-        view.record.record_first_byte(took);
+        self.responded = true;
+        self.position.dequeued(self.sent_at, self.uncached_tokens);
+        self.position.prefilled(now, self.uncached_tokens);
+        let took = now.saturating_sub(self.sent_at);
+        let mut estimates = self.endpoint.estimates();
+        let background = self.position.background;
+        estimates
+            .queue_wait
+            .dequeued(self.sent_at, self.uncached_tokens, background);
+        estimates.health.record_first_byte(took);
         if background {
             return;
         }
         let rate = {
             let mut rate = self.endpoint.lock_rate();
-            if self.certain {
-                rate.observe(self.tokens, took.saturating_sub(STEP));
+            if self.exclusive_prefix {
+                rate.observe(self.uncached_tokens, took.saturating_sub(FIRST_EVENT_TIME));
             }
             *rate
         };
-        let reading = view.reading(rate, self.tokens) + STEP;
+        let reading =
+            estimates.prefill_time(rate, self.uncached_tokens) + FIRST_EVENT_TIME;
         let waited = took.saturating_sub(reading);
-        view.waits.record(now, waited);
-        self.standing.waited(now, waited);
+        estimates.queue_wait.record(now, waited);
+        self.position.record_wait(now, waited);
         let ratio = took.as_secs_f64() / self.expected.as_secs_f64();
-        let slowness = view.slowness * (1.0 + (ratio.min(10.0) - 1.0) * NEWEST);
-        view.slowness = slowness.clamp(SLOWNESS.0, SLOWNESS.1);
+        let slowness =
+            estimates.slowness * (1.0 + (ratio.min(10.0) - 1.0) * SLOWNESS_WEIGHT);
+        estimates.slowness = slowness.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
     }
 
     /// Ends the accounting of the request.
-    pub fn ended(&mut self) {
-        if !std::mem::take(&mut self.waits) {
+    pub fn finish(&mut self) {
+        if !std::mem::take(&mut self.active) {
             return;
         }
-        let mut view = self.endpoint.view();
-        view.record.ended(self.begun);
-        view.active = view.active.saturating_sub(1);
-        if std::mem::take(&mut self.unread) {
-            let background = self.standing.background;
-            view.waits.dequeued(self.since, self.tokens, background);
-            self.standing.left(self.since, self.tokens);
+        let mut estimates = self.endpoint.estimates();
+        estimates.health.ended(self.responded);
+        estimates.own_active = estimates.own_active.saturating_sub(1);
+        if std::mem::take(&mut self.awaiting_prefill) {
+            let background = self.position.background;
+            estimates
+                .queue_wait
+                .dequeued(self.sent_at, self.uncached_tokens, background);
+            self.position.dequeued(self.sent_at, self.uncached_tokens);
         }
     }
 }
 
-impl Drop for Sent {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.ended();
+        self.finish();
     }
 }
--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -8,78 +8,78 @@
 
 /// Time without a response of any control instance after which an entry limits its own
 /// rate to limited endpoints. Another instance would have taken over by then.
-const AUTONOMOUS_AFTER: Duration = Duration::from_secs(2);
+const AUTONOMY_DELAY: Duration = Duration::from_secs(2);
 
 /// State of the exchange of limits with control.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ControlContact {
+pub(super) struct LimitSync {
     /// Mark of the limits last received.
     mark: u64,
     /// When control first failed to respond, since its last response.
-    unheard: Option<Duration>,
+    failing_since: Option<Duration>,
 }
 
 impl Directory {
     /// Limit observations to report to control, and the mark of the limits last received.
-    pub fn limit_news(&self) -> (Vec<EndpointLimit>, u64) {
+    pub fn limit_report(&self) -> (Vec<EndpointLimit>, u64) {
         let now = uptime();
         let all = self.all();
         let news = all.iter().filter_map(|endpoint| {
-            let news = endpoint.limit_news(now)?;
+            let news = endpoint.limit_report(now)?;
             Some(EndpointLimit::new(now, endpoint.run(), news))
         });
-        (news.collect(), self.contact().mark)
+        (news.collect(), self.limit_sync().mark)
     }
 
-    /// Applies a response of control to a report that was sent at `asked` with the
-    /// observations `told`.
-    pub fn hear_limits(
+    /// Applies a response of control to a report that was sent at `requested_at` with the
+    /// observations `reported`.
+    pub fn apply_limits(
         &self,
-        asked: Duration,
-        told: &[EndpointLimit],
+        requested_at: Duration,
+        reported: &[EndpointLimit],
         limits: Option<&EndpointLimits>,
         permits: &[EndpointPermits],
     ) {
-        let was_lost = self.contact().unheard.take().is_some();
+        let was_lost = self.limit_sync().failing_since.take().is_some();
         if was_lost {
             let all = self.all();
             all.iter().for_each(|endpoint| endpoint.end_autonomy());
         }
-        for told in told {
-            let Some(endpoint) = self.running(&told.run) else {
+        for reported in reported {
+            let Some(endpoint) = self.find_run(&reported.run) else {
                 continue;
             };
-            let granted = permits.iter().find(|permits| permits.run == told.run);
+            let granted = permits.iter().find(|permits| permits.run == reported.run);
             let granted = granted.map_or(0, |granted| granted.permits);
-            endpoint.granted(asked, granted, told.wanted);
+            endpoint.apply_permits(requested_at, granted, reported.wanted);
         }
         if let Some(limits) = limits {
             // Limits of endpoints that are not listed here yet are requested again.
             let applied = limits
                 .limits
                 .iter()
-                .filter(|limit| self.apply(asked, limit));
-            let whole = applied.count() == limits.limits.len();
-            self.contact().mark = if whole { limits.mark } else { 0 };
+                .filter(|limit| self.apply_limit(requested_at, limit));
+            let complete = applied.count() == limits.limits.len();
+            self.limit_sync().mark = if complete { limits.mark } else { 0 };
         }
     }
 
-    /// Applies a limit as of `asked`. Returns whether its endpoint is listed.
-    fn apply(&self, asked: Duration, limit: &EndpointLimit) -> bool {
-        let Some(endpoint) = self.running(&limit.run) else {
+    /// Applies a limit as of `requested_at`. Returns whether its endpoint is listed.
+    fn apply_limit(&self, requested_at: Duration, limit: &EndpointLimit) -> bool {
+        let Some(endpoint) = self.find_run(&limit.run) else {
             return false;
         };
-        if let Some(news) = limit.read(asked) {
-            endpoint.told_limit(news.observed);
+        if let Some(news) = limit.read(requested_at) {
+            endpoint.apply_shared_limit(news.observed);
         }
         true
     }
 
     /// Called when no control instance responded; this entry is one of `entries`.
-    pub fn miss_limits(&self, entries: u32) {
+    pub fn limits_unavailable(&self, entries: u32) {
         let now = uptime();
-        let since = *self.contact().unheard.get_or_insert(now);
-        if now.saturating_sub(since) >= AUTONOMOUS_AFTER {
+        let since = *self.limit_sync().failing_since.get_or_insert(now);
+        if now.saturating_sub(since) >= AUTONOMY_DELAY {
             let all = self.all();
             let limited = all.iter().filter(|endpoint| endpoint.is_limited());
             limited.for_each(|endpoint| endpoint.begin_autonomy(entries));
--- a/crates/direct/src/directory/standing.rs
+++ b/crates/direct/src/directory/queue_position.rs
@@ -6,34 +6,38 @@
 
 /// A request's position in its service's queue of prompts awaiting prefill.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct QueuePosition {
     /// `None` for requests without a long prompt.
     pub(super) backlog: Option<Arc<Mutex<Backlog>>>,
     pub(super) rank: usize,
     /// Predicted wait when the request arrived.
-    pub wait: Duration,
+    pub predicted_wait: Duration,
     /// Whether the request yields to the others of its tier.
     pub background: bool,
 }
 
-impl Standing {
+impl QueuePosition {
     pub(super) fn sent(&self, now: Duration, tokens: f64) {
-        self.with(|backlog| backlog.sent(now, self.rank, tokens, self.background));
+        self.with_backlog(|backlog| {
+            backlog.sent(now, self.rank, tokens, self.background)
+        });
     }
 
-    pub(super) fn left(&self, since: Duration, tokens: f64) {
-        self.with(|backlog| backlog.dequeued(since, self.rank, tokens, self.background));
+    pub(super) fn dequeued(&self, since: Duration, tokens: f64) {
+        self.with_backlog(|backlog| {
+            backlog.dequeued(since, self.rank, tokens, self.background)
+        });
     }
 
-    pub(super) fn read(&self, now: Duration, tokens: f64) {
-        self.with(|backlog| backlog.prefilled(now, tokens));
+    pub(super) fn prefilled(&self, now: Duration, tokens: f64) {
+        self.with_backlog(|backlog| backlog.prefilled(now, tokens));
     }
 
-    pub(super) fn waited(&self, now: Duration, wait: Duration) {
-        self.with(|backlog| backlog.record_wait(now, wait));
+    pub(super) fn record_wait(&self, now: Duration, wait: Duration) {
+        self.with_backlog(|backlog| backlog.record_wait(now, wait));
     }
 
-    fn with(&self, act: impl FnOnce(&mut Backlog)) {
+    fn with_backlog(&self, act: impl FnOnce(&mut Backlog)) {
         if let Some(backlog) = &self.backlog {
             act(&mut backlog.lock().unwrap_or_else(PoisonError::into_inner));
         }
--- a/crates/direct/src/directory/snapshot.rs
+++ b/crates/direct/src/directory/snapshot.rs
@@ -8,7 +8,7 @@
 
 /// Candidates per placement. Evaluating one takes a lock and some 150 ns, and a choice
 /// among sixteen is as good as among a thousand.
-const MOST: usize = 16;
+const MAX_CANDIDATES: usize = 16;
 
 /// An applied list.
 #[derive(Debug, Default)]
@@ -78,18 +78,18 @@
         range: Range<usize>,
         key: u64,
     ) -> impl Iterator<Item = &Arc<Endpoint>> {
-        let mut first: Vec<(u64, usize)> = Vec::with_capacity(MOST + 1);
+        let mut first: Vec<(u64, usize)> = Vec::with_capacity(MAX_CANDIDATES + 1);
         for (at, hash) in range.clone().zip(&self.hashes[range]) {
             let rank = (mix(key ^ hash), at);
-            if first.len() < MOST {
+            if first.len() < MAX_CANDIDATES {
                 first.push(rank);
-                if first.len() == MOST {
+                if first.len() == MAX_CANDIDATES {
                     first.sort_unstable_by(|a, b| b.cmp(a));
                 }
-            } else if rank > first[MOST - 1] {
+            } else if rank > first[MAX_CANDIDATES - 1] {
                 let place = first.partition_point(|other| *other > rank);
                 first.insert(place, rank);
-                first.truncate(MOST);
+                first.truncate(MAX_CANDIDATES);
             }
         }
         let mut places: Vec<usize> = first.into_iter().map(|(_, at)| at).collect();
@@ -106,12 +106,13 @@
         spread: u64,
     ) -> impl Iterator<Item = &Arc<Endpoint>> {
         let count = range.len();
-        let from = if count > MOST {
+        let start = if count > MAX_CANDIDATES {
             (spread % count as u64) as usize
         } else {
             0
         };
-        let places = (0..count.min(MOST)).map(move |i| range.start + (from + i) % count);
+        let places = (0..count.min(MAX_CANDIDATES))
+            .map(move |i| range.start + (start + i) % count);
         places.map(|at| &self.endpoints[at])
     }
 }
--- /dev/null
+++ b/crates/direct/src/dispatch.rs
@@ -0,0 +1,593 @@
+//! Sending a request to endpoints until one responds.
+//!
+//! The order of events determines which outcome may be reported. Once a send may have
+//! run, no later refusal may report "not run". A non-idempotent request is resent only
+//! after an endpoint's own refusal or if no byte was sent. Resends are covered by the
+//! service's resend budget. A request that has crashed endpoints is not resent
+//! (`dispatch::crash`).
+
+mod crash;
+mod refusal;
+
+use crate::dialect::{EventId, ForwardMeta, RequestMeta};
+use crate::directory::{Endpoint, LatencyClass, PlacementQuery, QueuePosition};
+use crate::exchange::{
+    self, CompleteResponse, EndpointResponse, Loss, OutboundRequest, SendContext,
+    SendOutcome,
+};
+use crate::race::{Winner, race_response};
+use crate::request::SharedState;
+use crate::response::{RefusalCause, ResponseBody};
+use crate::stats::RequestRecord;
+use crate::stream::{
+    CHANNEL_CAPACITY, CHECK_INTERVAL, EventSource, Pauses, Relay, StreamItem,
+};
+use crate::usage::StartCounter;
+use bytes::Bytes;
+use dogwoodhill_core::fingerprint::short_form;
+use dogwoodhill_core::prelude::*;
+use dogwoodhill_daemon::prelude::*;
+use dogwoodhill_policy::quarantine::SUSPECT_CRASHES;
+use dogwoodhill_route::prelude::*;
+use http::{HeaderMap, Response, StatusCode};
+use rand::RngExt;
+use std::fmt::Display;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, sleep_until, timeout_at};
+
+/// Failed connection attempts, at different endpoints, after which a request is refused.
+/// No byte was sent, so they do not count as sends.
+const MAX_CONNECT_FAILURES: usize = 3;
+/// Time without a response after which an idempotent request is sent to another endpoint,
+/// as a multiple of its objective. Callers of streams give up after four.
+const MOVE_AFTER_OBJECTIVES: f64 = 2.5;
+
+/// An admitted request.
+#[derive(Debug)]
+pub(crate) struct AdmittedRequest {
+    /// Deadline.
+    pub(crate) deadline: Instant,
+    /// Route set that was applied.
+    pub(crate) table: Arc<RouteTable>,
+    pub(crate) outbound: OutboundRequest,
+    pub(crate) meta: RequestMeta,
+    pub(crate) admitted: Admitted,
+    /// Hash of the request's content.
+    pub(crate) fingerprint: Fingerprint,
+}
+
+/// A request being sent to endpoints.
+#[derive(Debug)]
+pub struct Dispatch {
+    /// Deadline.
+    pub deadline: Instant,
+    /// Last event received by the caller.
+    pub resume_after: Option<EventId>,
+    shared: Arc<SharedState>,
+    record: Option<RequestRecord>,
+    meta: RequestMeta,
+    admitted: Admitted,
+    outbound: OutboundRequest,
+    fingerprint: Fingerprint,
+    service: ServiceId,
+    has_classes: bool,
+    class: LatencyClass,
+    position: QueuePosition,
+    tried: Vec<Incarnation>,
+    /// Whether it is suspected of crashing endpoints.
+    suspected: bool,
+    sends: usize,
+    /// Start of the last send.
+    sent_at: Duration,
+    /// Number of connections that broke during its sends.
+    broken_connections: usize,
+    /// Whether the next send is already debited from the budget.
+    prepaid: bool,
+    may_have_run: bool,
+    /// Counts its usage once an endpoint has started it.
+    start_counter: Arc<StartCounter>,
+    _drain_guard: Busy,
+}
+
+/// Result of sending a request.
+#[derive(Debug)]
+pub enum DispatchResult {
+    /// A response arrived.
+    Response(Box<EndpointResponse>),
+    /// No response arrived; the router responds itself.
+    Refuse(RefusalCause),
+}
+
+impl Dispatch {
+    pub(crate) fn new(
+        shared: Arc<SharedState>,
+        prepared: AdmittedRequest,
+        mut record: RequestRecord,
+        drain_guard: Busy,
+    ) -> Self {
+        let AdmittedRequest {
+            deadline,
+            table,
+            outbound,
+            meta,
+            admitted,
+            fingerprint,
+        } = prepared;
+        let service = pick_service(&admitted.route);
+        record.route.clone_from(&admitted.route.name);
+        record.service.clone_from(&service);
+        record.tier = admitted.tier;
+        record.prompt_tokens = meta.prompt.tokens;
+        record.max_output = meta.prompt.max_output;
+        record.routes_version = table.version();
+        record.fingerprint = short_form(fingerprint);
+        shared.credit_resend(&service);
+        let (shortest, longest) = table.pauses(&service).unwrap_or_default();
+        let has_classes = shared
+            .directory
+            .separates_classes(&service, shortest, longest);
+        let events = admitted.route.events;
+        let sensitive =
+            has_classes && events.is_some_and(|events| events.pause <= shortest);
+        let usage = shared.usage.clone();
+        let start_counter =
+            Arc::new(StartCounter::new(usage, admitted.workspace.clone()));
+        let mut dispatch = Self {
+            has_classes,
+            class: if sensitive {
+                LatencyClass::Sensitive
+            } else {
+                LatencyClass::Tolerant
+            },
+            deadline,
+            resume_after: meta.resume_after,
+            shared,
+            record: Some(record),
+            meta,
+            admitted,
+            outbound,
+            fingerprint,
+            service,
+            position: QueuePosition::default(),
+            tried: Vec::new(),
+            suspected: false,
+            sends: 0,
+            sent_at: Duration::ZERO,
+            broken_connections: 0,
+            prepaid: false,
+            may_have_run: false,
+            start_counter,
+            _drain_guard: drain_guard,
+        };
+        let directory = &dispatch.shared.directory;
+        let entries = dispatch.shared.entries.load(Ordering::Relaxed);
+        let rank = dispatch.admitted.rank.route;
+        let objective = dispatch.admitted.route.objective;
+        dispatch.suspected = dispatch.crash_count() >= SUSPECT_CRASHES;
+        dispatch.position =
+            directory.queue_position(&dispatch.query(), rank, objective, entries);
+        if !dispatch.position.background {
+            directory.record_demand(&dispatch.query());
+        }
+        if let Some(record) = dispatch.record.as_mut() {
+            record.predicted_wait = dispatch.position.predicted_wait;
+            record.background = dispatch.position.background;
+        }
+        dispatch
+    }
+
+    /// Placement requirements.
+    fn query(&self) -> PlacementQuery<'_> {
+        PlacementQuery {
+            service: &self.service,
+            prompt: &self.meta.prompt,
+            class: self.class,
+            background: self.position.background,
+            has_classes: self.has_classes,
+            tried: &self.tried,
+            isolate: self.suspected.then_some(self.fingerprint),
+        }
+    }
+
+    /// Records that its stream is complete, with the longest pause.
+    pub fn stream_completed(&self, longest: Duration) {
+        self.shared.suspects.record_served(self.fingerprint);
+        self.shared.directory.record_stream(&self.query(), longest);
+    }
+
+    /// Whether its stream is sensitive to pauses.
+    pub fn is_sensitive(&self) -> bool {
+        self.class == LatencyClass::Sensitive
+    }
+
+    /// Whether it may run more than once.
+    fn is_idempotent(&self) -> bool {
+        self.admitted.route.repeat == Repeat::Allowed
+    }
+
+    /// Whether its stream may resume at another endpoint.
+    pub fn is_resumable(&self) -> bool {
+        let events = self.admitted.route.events;
+        events.is_some_and(|events| events.resumable)
+    }
+
+    /// Its log line; present until taken.
+    fn record(&mut self) -> &mut RequestRecord {
+        self.record.as_mut().expect("a request ends once")
+    }
+
+    /// Sends the request and responds to the caller.
+    pub(crate) async fn run(mut self) -> Response<ResponseBody> {
+        if let Some(left) = self.quarantine_left().await {
+            return self.refuse_with_delay(RefusalCause::Quarantined, Some(left));
+        }
+        loop {
+            match self.send_until_response().await {
+                DispatchResult::Refuse(cause) => return self.refuse(cause),
+                DispatchResult::Response(answer) if self.is_stream(&answer) => {
+                    match self.start_stream(EventSource::new(*answer)).await {
+                        StreamStart::Responded(response) => return response,
+                        StreamStart::Lost(dispatch) => self = *dispatch,
+                    }
+                }
+                DispatchResult::Response(answer) => {
+                    let endpoint = Arc::clone(answer.in_flight.endpoint());
+                    match answer.read_body(self.deadline).await {
+                        Ok(whole) if self.may_succeed_elsewhere(whole.status) => {
+                            self.log_endpoint_left(
+                                &endpoint,
+                                format!("status-{}", whole.status.as_u16()),
+                            );
+                            match self.send_until_response().await {
+                                DispatchResult::Response(second)
+                                    if !second.status.is_server_error() =>
+                                {
+                                    let other = Arc::clone(second.in_flight.endpoint());
+                                    match second.read_body(self.deadline).await {
+                                        Ok(better) => return self.deliver(better),
+                                        Err(loss) => self.record_loss(&other, loss).await,
+                                    }
+                                    other.record_outcome(true);
+                                    return self.deliver(whole);
+                                }
+                                _ => return self.deliver(whole),
+                            }
+                        }
+                        Ok(whole) => return self.deliver(whole),
+                        Err(loss) => {
+                            self.may_have_run = true;
+                            self.log_endpoint_left(&endpoint, loss);
+                            self.record_loss(&endpoint, loss).await;
+                            if !self.is_idempotent() {
+                                return self.refuse(loss_cause(loss));
+                            }
+                        }
+                    }
+                }
+            }
+        }
+    }
+
+    fn is_stream(&self, answer: &EndpointResponse) -> bool {
+        self.admitted.route.events.is_some() && answer.status.is_success()
+    }
+
+    /// Whether another endpoint may succeed where this one failed.
+    fn may_succeed_elsewhere(&self, status: StatusCode) -> bool {
+        status.is_server_error()
+            && self.is_idempotent()
+            && self.sends < self.admitted.route.tries
+    }
+
+    /// Logs that an endpoint is not tried again.
+    pub fn log_endpoint_left(&mut self, endpoint: &Endpoint, reason: impl Display) {
+        Event::new("endpoint-left")
+            .field("request", &self.meta.id)
+            .field("content", short_form(self.fingerprint))
+            .field("endpoint", endpoint.run())
+            .field("reason", reason)
+            .field("sends", self.sends)
+            .field("trust", format!("{:?}", endpoint.health()).to_lowercase())
+            .info();
+    }
+
+    /// Sends the request until an endpoint responds or none is left.
+    pub async fn send_until_response(&mut self) -> DispatchResult {
+        let mut connect_failures = 0;
+        loop {
+            if Instant::now() >= self.deadline {
+                return DispatchResult::Refuse(self.deadline_cause());
+            }
+            if self.sends > 0 && !self.allow_resend() {
+                return DispatchResult::Refuse(self.exhausted_cause());
+            }
+            self.shared.list_tracker.await_current().await;
+            let placement = self.shared.directory.place(&self.query());
+            let Some(placement) = placement else {
+                return DispatchResult::Refuse(self.exhausted_cause());
+            };
+            let endpoint = Arc::clone(&placement.endpoint);
+            let sends = self.sends + 1;
+            let list_age = self.shared.list_tracker.age();
+            if let Some(record) = self.record.as_mut() {
+                record.placed(&placement, sends, list_age);
+            }
+            self.tried.push(endpoint.run());
+            match self.send(&endpoint).await {
+                SendOutcome::Answered(answer) => {
+                    self.sends += 1;
+                    self.may_have_run = true;
+                    if !self.is_stream(&answer) {
+                        self.start_counter.count();
+                    }
+                    return DispatchResult::Response(answer);
+                }
+                SendOutcome::Refused(reason) => {
+                    self.sends += 1;
+                    self.log_failed_send(&endpoint, &reason.to_string());
+                }
+                SendOutcome::NotAdmitted(denied) => {
+                    self.shared.stats.not_admitted(&self.service, denied);
+                    self.log_failed_send(&endpoint, &denied.to_string());
+                }
+                SendOutcome::Unsent => {
+                    connect_failures += 1;
+                    self.log_failed_send(&endpoint, "unreachable");
+                    if connect_failures >= MAX_CONNECT_FAILURES {
+                        return DispatchResult::Refuse(self.exhausted_cause());
+                    }
+                }
+                SendOutcome::Lost(loss) => {
+                    self.sends += 1;
+                    self.may_have_run = true;
+                    self.log_failed_send(&endpoint, &loss.to_string());
+                    self.record_loss(&endpoint, loss).await;
+                    if !self.is_idempotent() {
+                        return DispatchResult::Refuse(loss_cause(loss));
+                    }
+                }
+            }
+        }
+    }
+
+    async fn send(&mut self, endpoint: &Arc<Endpoint>) -> SendOutcome {
+        let started = Instant::now();
+        self.sent_at = uptime();
+        let forward = ForwardMeta {
+            remaining: self.deadline.saturating_duration_since(started),
+            endpoint: &endpoint.id,
+            workspace: self.admitted.workspace.as_deref(),
+            rank: self.admitted.rank,
+            background: self.position.background,
+            resume_after: self.resume_after,
+        };
+        let context = SendContext {
+            id: &self.meta.id,
+            prompt: &self.meta.prompt,
+            position: &self.position,
+            deadline: self.deadline,
+        };
+        let dialect = self.shared.endpoints.as_ref();
+        let exchange =
+            exchange::send(endpoint, dialect, &self.outbound, &forward, context);
+        let abandon = async {
+            tokio::select! {
+                () = self.wait_better_elsewhere(endpoint, started) => Loss::Timeout,
+                // A request still queued at an endpoint has not crashed it.
+                () = self.shared.suspects.wait_quarantined(self.fingerprint) => Loss::Withdrawn,
+            }
+        };
+        let ended = match race_response(exchange, abandon).await {
+            Winner::Response(ended) => ended,
+            Winner::Abandon(loss) => {
+                self.prepaid = loss == Loss::Timeout;
+                SendOutcome::Lost(loss)
+            }
+        };
+        if matches!(ended, SendOutcome::Lost(Loss::Timeout)) {
+            endpoint.record_timeout(true);
+        }
+        ended
+    }
+
+    /// Completes when a request that was sent at `started` should move to another endpoint.
+    /// It does so only if the resend is allowed and, at this point, debited from the
+    /// budget: otherwise a response that may still arrive, and the work done for it,
+    /// would be given up for nothing.
+    async fn wait_better_elsewhere(&self, endpoint: &Endpoint, started: Instant) {
+        let last = self.sends + 1 >= self.admitted.route.tries;
+        if !self.is_idempotent() || last || self.suspected {
+            return std::future::pending().await;
+        }
+        let move_at = self.move_delay().map(|delay| started + delay);
+        loop {
+            let now = Instant::now();
+            let next_check = now + CHECK_INTERVAL;
+            sleep_until(
+                move_at
+                    .filter(|at| *at > now)
+                    .map_or(next_check, |at| at.min(next_check)),
+            )
+            .await;
+            let slow = move_at.is_some_and(|at| at <= Instant::now());
+            let abandoned = endpoint.should_abandon(started.elapsed());
+            if (slow || abandoned) && self.prepay_resend() {
+                if abandoned {
+                    endpoint.mark_unreachable();
+                }
+                return;
+            }
+        }
+    }
+
+    /// Debits a resend from the budget if another endpoint is available.
+    fn prepay_resend(&self) -> bool {
+        let placement = self.shared.directory.place(&self.query());
+        placement.is_some() && self.shared.debit_resend(&self.service)
+    }
+
+    /// How long an idempotent request waits for the first byte before it moves to another
+    /// endpoint. `None` for a long prompt, which stays: it may be next in the queue, and
+    /// another endpoint would have to repeat the prefill.
+    fn move_delay(&self) -> Option<Duration> {
+        let route = &self.admitted.route;
+        let stays = route.events.is_some() && self.class == LatencyClass::Tolerant;
+        (!stays).then(|| route.objective.mul_f64(MOVE_AFTER_OBJECTIVES))
+    }
+
+    /// Whether a broken stream may resume and an endpoint is available for it. If so, the
+    /// next send is debited from the budget.
+    pub fn prepare_resume(&mut self) -> bool {
+        let allowed = self.is_resumable() && self.sends < self.admitted.route.tries;
+        self.prepaid = allowed && self.below_crash_limit() && self.prepay_resend();
+        self.prepaid
+    }
+
+    /// Whether another send is allowed by the route and by the service's budget.
+    fn allow_resend(&mut self) -> bool {
+        let prepaid = std::mem::take(&mut self.prepaid);
+        let allowed = self.sends < self.admitted.route.tries;
+        let allowed = allowed && (!self.may_have_run || self.below_crash_limit());
+        let allowed = allowed && (prepaid || self.shared.debit_resend(&self.service));
+        if allowed {
+            self.shared.stats.resend(&self.service, "send");
+        }
+        allowed
+    }
+
+    /// Records a send without a response, in the log and for the other entries.
+    fn log_failed_send(&self, endpoint: &Endpoint, result: &str) {
+        self.shared.list_tracker.endpoint_lost.notify_one();
+        Event::new("send-failed")
+            .field("request", &self.meta.id)
+            .field("content", short_form(self.fingerprint))
+            .field("service", &self.service)
+            .field("endpoint", endpoint.run())
+            .field("result", result)
+            .field("sends", self.sends)
+            .field(
+                "list_ms",
+                self.record.as_ref().map_or(-1, RequestRecord::list_age_ms),
+            )
+            .warn();
+    }
+
+    fn deliver(mut self, whole: CompleteResponse) -> Response<ResponseBody> {
+        self.shared.suspects.record_served(self.fingerprint);
+        self.record().answered(whole.status.as_u16());
+        self.record = None;
+        build_response(
+            whole.status,
+            whole.headers,
+            ResponseBody::whole(whole.bytes),
+        )
+    }
+
+    /// Waits for the first event of a stream, then responds with the stream.
+    async fn start_stream(mut self, mut source: EventSource) -> StreamStart {
+        let first = timeout_at(self.deadline, source.next()).await;
+        let events = match first {
+            Err(_) => return StreamStart::Responded(self.refuse(RefusalCause::Timeout)),
+            Ok(StreamItem::Broken(loss)) => {
+                self.log_endpoint_left(source.endpoint(), loss);
+                let endpoint = Arc::clone(source.endpoint());
+                self.record_loss(&endpoint, loss).await;
+                if !self.is_idempotent() {
+                    return StreamStart::Responded(self.refuse(loss_cause(loss)));
+                }
+                return StreamStart::Lost(Box::new(self));
+            }
+            Ok(StreamItem::End) => {
+                self.start_counter.count();
+                let (status, headers) = response_head(&source);
+                source.release();
+                let bytes = Bytes::new();
+                return StreamStart::Responded(self.deliver(CompleteResponse {
+                    status,
+                    headers,
+                    bytes,
+                }));
+            }
+            Ok(StreamItem::Events(events)) => events,
+        };
+        self.start_counter.count();
+        let (status, headers) = response_head(&source);
+        self.record().answered(status.as_u16());
+        let (parts, queue) = mpsc::channel(CHANNEL_CAPACITY);
+        let record = self.record.take().expect("a request ends once");
+        let relay = Relay {
+            last: None,
+            dispatch: self,
+            source: Some(source),
+            parts,
+            record,
+            pauses: Pauses::start(),
+        };
+        tokio::spawn(relay.run(events));
+        StreamStart::Responded(build_response(
+            status,
+            headers,
+            ResponseBody::stream(queue),
+        ))
+    }
+}
+
+impl Drop for Dispatch {
+    fn drop(&mut self) {
+        let Some(record) = &self.record else { return };
+        let last = self.shared.response_deadline();
+        if last.is_some_and(|last| last <= Instant::now()) {
+            record.refused(RefusalCause::Lost, None);
+        } else {
+            record.abandoned();
+        }
+    }
+}
+
+/// Result of starting a stream.
+enum StreamStart {
+    /// A response for the caller.
+    Responded(Response<ResponseBody>),
+    /// The endpoint was lost before the first event; another one may be tried.
+    Lost(Box<Dispatch>),
+}
+
+fn response_head(source: &EventSource) -> (StatusCode, HeaderMap) {
+    let answer = source.response();
+    (answer.status, answer.headers.clone())
+}
+
+fn loss_cause(loss: Loss) -> RefusalCause {
+    match loss {
+        Loss::Timeout => RefusalCause::Timeout,
+        Loss::ConnectionBroken | Loss::Mismatched | Loss::Invalid | Loss::Withdrawn => {
+            RefusalCause::Lost
+        }
+    }
+}
+
+fn build_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    reply: ResponseBody,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(reply);
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
+}
+
+/// Chooses one of a route's services at random, by weight.
+fn pick_service(route: &Route) -> ServiceId {
+    let total: u32 = route.targets.iter().map(|target| target.weight).sum();
+    let mut at = rand::rng().random_range(0..total.max(1));
+    for target in &route.targets {
+        if at < target.weight {
+            return target.service.clone();
+        }
+        at -= target.weight;
+    }
+    String::new()
+}
--- a/crates/direct/src/job/crash.rs
+++ b/crates/direct/src/dispatch/crash.rs
@@ -3,11 +3,11 @@
 //! A connection also breaks if it alone is reset, if the network loses the response, or
 //! if the endpoint closes it early. An endpoint that has ended refuses new connections.
 
-use super::Job;
+use super::Dispatch;
 use crate::directory::Endpoint;
 use crate::exchange::Loss;
-use crate::request::Shared;
-use crate::usage::Begun;
+use crate::request::SharedState;
+use crate::usage::StartCounter;
 use dogwoodhill_core::fingerprint::short_form;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
@@ -20,20 +20,20 @@
 
 /// Longest wait for the check whether an endpoint has ended before the request is resent:
 /// some round trips plus the time in which a process exits.
-const LOOK_PATIENCE: Duration = Duration::from_millis(40);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(40);
 
-impl Job {
+impl Dispatch {
     /// Number of endpoints that ended under requests with the same content.
-    pub(super) fn crashes(&self) -> usize {
+    pub(super) fn crash_count(&self) -> usize {
         self.shared.suspects.standing(self.fingerprint).crashes
     }
 
     /// Remaining quarantine, if any. A suspected request first waits for the current
     /// state of control.
-    pub(super) async fn quarantined(&self) -> Option<Duration> {
+    pub(super) async fn quarantine_left(&self) -> Option<Duration> {
         let suspects = &self.shared.suspects;
         let left = suspects.standing(self.fingerprint).remaining;
-        if left.is_some() || !self.apart {
+        if left.is_some() || !self.suspected {
             return left;
         }
         suspects.refresh().await;
@@ -43,20 +43,20 @@
     /// Whether it may be resent after it may have run. After two crashes, another send
     /// would most likely crash one more endpoint and serve nobody. The same holds after
     /// two broken connections, which may not be known as crashes yet.
-    pub(super) fn harmless(&self) -> bool {
-        self.broken < SUSPECT_CRASHES && self.crashes() < SUSPECT_CRASHES
+    pub(super) fn below_crash_limit(&self) -> bool {
+        self.broken_connections < SUSPECT_CRASHES && self.crash_count() < SUSPECT_CRASHES
     }
 
     /// Checks in the background whether the endpoint that broke its connection has ended,
     /// and records that.
-    fn look_after(&self, endpoint: &Arc<Endpoint>) -> JoinHandle<()> {
-        let broken = Broken {
+    fn check_endpoint(&self, endpoint: &Arc<Endpoint>) -> JoinHandle<()> {
+        let broken = BrokenSend {
             shared: Arc::clone(&self.shared),
-            id: self.ask.id.clone(),
-            begun: Arc::clone(&self.begun),
+            id: self.meta.id.clone(),
+            start_counter: Arc::clone(&self.start_counter),
             lost: LostRequest {
                 request: self.fingerprint,
-                workspace: self.workspace(),
+                workspace: self.workspace_hash(),
                 run: endpoint.run(),
                 domain: hash(endpoint.domain.as_bytes()),
                 sent: self.sent_at,
@@ -64,61 +64,61 @@
             },
         };
         let now = Instant::now();
-        tokio::spawn(broken.look(Arc::clone(endpoint), now))
+        tokio::spawn(broken.check(Arc::clone(endpoint), now))
     }
 
-    fn workspace(&self) -> u64 {
+    fn workspace_hash(&self) -> u64 {
         let name = self.admitted.workspace.as_deref();
         hash(name.unwrap_or_default().as_bytes())
     }
 
     /// Records how a send was lost. Waits for the check of the endpoint only if the
     /// request may be resent.
-    pub async fn note_lost(&mut self, endpoint: &Arc<Endpoint>, loss: Loss) {
+    pub async fn record_loss(&mut self, endpoint: &Arc<Endpoint>, loss: Loss) {
         match loss {
-            Loss::Broke => {}
+            Loss::ConnectionBroken => {}
             // The endpoint sent some response, so it had started the request.
-            Loss::Foreign | Loss::Spoiled => return self.begun.count(),
+            Loss::Mismatched | Loss::Invalid => return self.start_counter.count(),
             Loss::Timeout | Loss::Withdrawn => return,
         }
-        self.broken += 1;
-        let looked = self.look_after(endpoint);
-        if self.idempotent() {
+        self.broken_connections += 1;
+        let check = self.check_endpoint(endpoint);
+        if self.is_idempotent() {
             // A check that takes longer continues in the background.
-            let _ = timeout(LOOK_PATIENCE, looked).await;
+            let _ = timeout(CHECK_TIMEOUT, check).await;
         }
     }
 }
 
 /// A request whose connection broke.
 #[derive(Debug)]
-struct Broken {
-    shared: Arc<Shared>,
+struct BrokenSend {
+    shared: Arc<SharedState>,
     id: RequestId,
-    begun: Arc<Begun>,
+    start_counter: Arc<StartCounter>,
     lost: LostRequest,
 }
 
-impl Broken {
+impl BrokenSend {
     /// Checks whether `endpoint` has ended since `broke`, when the connection broke, and
     /// if so records the loss.
-    async fn look(self, endpoint: Arc<Endpoint>, broke: Instant) {
+    async fn check(self, endpoint: Arc<Endpoint>, broke: Instant) {
         if !endpoint.has_ended(broke).await {
             // An endpoint that is still up has run the request; only the response was
             // lost.
-            return self.begun.count();
+            return self.start_counter.count();
         }
         let Self {
             shared, id, lost, ..
         } = self;
         let content = short_form(lost.request);
-        let crashes = shared.suspects.lost(&endpoint, lost);
+        let crashes = shared.suspects.record_loss(&endpoint, lost);
         shared
             .stats
             .crashes
             .with_label_values(&[&*endpoint.service])
             .inc();
-        shared.lists.met.notify_one();
+        shared.list_tracker.endpoint_lost.notify_one();
         Event::new("endpoint-ended")
             .field("request", id)
             .field("content", content)
--- /dev/null
+++ b/crates/direct/src/dispatch/refusal.rs
@@ -0,0 +1,58 @@
+//! Responses to requests that get none from an endpoint.
+
+use super::Dispatch;
+use crate::request::retry_delay;
+use crate::response::{RefusalCause, ResponseBody, refuse};
+use dogwoodhill_core::prelude::*;
+use http::Response;
+use rand::RngExt;
+
+/// Share of a retry delay over which returning callers are spread.
+const JITTER: f64 = 0.25;
+
+impl Dispatch {
+    /// Cause of a refusal when no endpoint is left to try.
+    pub(super) fn exhausted_cause(&self) -> RefusalCause {
+        let admits_in = self.shared.directory.admits_in(&self.service);
+        match (self.may_have_run, self.tried.is_empty(), admits_in) {
+            (true, _, _) => RefusalCause::Lost,
+            (false, true, None) => RefusalCause::NoEndpoint,
+            (false, _, Some(wait)) if !wait.is_zero() => RefusalCause::NotAdmitted,
+            _ => RefusalCause::Full,
+        }
+    }
+
+    /// Cause of a refusal when the deadline has passed.
+    pub(super) fn deadline_cause(&self) -> RefusalCause {
+        if self.may_have_run {
+            RefusalCause::Timeout
+        } else {
+            RefusalCause::Expired
+        }
+    }
+
+    pub(super) fn refuse(self, cause: RefusalCause) -> Response<ResponseBody> {
+        let not_run = cause.outcome() == Outcome::NotRun;
+        let retry_after = not_run.then(|| self.retry_after());
+        self.refuse_with_delay(cause, retry_after)
+    }
+
+    /// Retry delay of the caller: until an endpoint admits requests again, plus jitter so
+    /// that callers do not return together.
+    pub(super) fn retry_after(&self) -> Duration {
+        let admits_in = self.shared.directory.admits_in(&self.service);
+        let wait = admits_in.unwrap_or_default();
+        let jitter = rand::rng().random_range(0.0..JITTER);
+        wait + wait.mul_f64(jitter) + retry_delay()
+    }
+
+    pub(super) fn refuse_with_delay(
+        mut self,
+        cause: RefusalCause,
+        retry_after: Option<Duration>,
+    ) -> Response<ResponseBody> {
+        self.record().refused(cause, retry_after);
+        self.record = None;
+        refuse(cause, retry_after)
+    }
+}
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,8 +1,8 @@
 //! Sending one request to one endpoint.
 
-use crate::dialect::{EndpointDialect, Prompt, Said, Tell};
-use crate::directory::{Endpoint, Hold, Sent, Standing};
-use crate::pool::{self, Line, Unconnected};
+use crate::dialect::{EndpointDialect, ForwardMeta, Prompt, ResponseMeta};
+use crate::directory::{AdmissionError, Endpoint, InFlight, QueuePosition};
+use crate::pool::{self, ConnectError, Connection};
 use bytes::Bytes;
 use derive_more::Display;
 use dogwoodhill_policy::permits::Permit;
@@ -17,7 +17,7 @@
 
 /// A request to be sent to endpoints; unchanged between attempts.
 #[derive(Clone, Debug)]
-pub struct Outbound {
+pub struct OutboundRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -30,15 +30,15 @@
 
 /// How an attempt at an endpoint ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum SendOutcome {
     /// The head of a response arrived.
-    Answered(Box<Answer>),
+    Answered(Box<EndpointResponse>),
     /// The endpoint reports that it did not run the request.
     Refused(Refusal),
     /// No byte of the request was sent.
     Unsent,
     /// The endpoint was chosen but no longer admits the request; no byte was sent.
-    Held(Hold),
+    NotAdmitted(AdmissionError),
     /// The request was sent; whether it ran is unknown.
     Lost(Loss),
 }
@@ -62,13 +62,13 @@
 pub enum Loss {
     /// The connection broke.
     #[display("connection-broke")]
-    Broke,
+    ConnectionBroken,
     /// The response names another request.
     #[display("foreign-answer")]
-    Foreign,
+    Mismatched,
     /// The response does not come from this endpoint.
     #[display("spoiled-answer")]
-    Spoiled,
+    Invalid,
     /// No response arrived in time.
     #[display("timeout")]
     Timeout,
@@ -80,45 +80,47 @@
 
 /// Head of a response, with the connection that carries its body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct EndpointResponse {
     /// Status.
     pub status: StatusCode,
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// Metadata parsed from the head.
-    pub said: Said,
+    pub meta: ResponseMeta,
     /// The unread body.
     pub body: Incoming,
     /// Connection that carries the body.
-    pub line: Line,
+    pub connection: Connection,
     /// Accounting of the request at the endpoint.
-    pub sent: Sent,
+    pub in_flight: InFlight,
 }
 
-impl Answer {
+impl EndpointResponse {
     /// Reads the whole body and returns the connection to the pool.
     ///
     /// # Errors
     ///
     /// [`Loss`] if the body is incomplete.
-    pub async fn whole(self, until: Instant) -> Result<Whole, Loss> {
-        let endpoint = Arc::clone(self.sent.endpoint());
+    pub async fn read_body(self, deadline: Instant) -> Result<CompleteResponse, Loss> {
+        let endpoint = Arc::clone(self.in_flight.endpoint());
         let body = Limited::new(self.body, MAX_ANSWER).collect();
-        let collected = timeout_at(until, body).await;
+        let collected = timeout_at(deadline, body).await;
         let bytes = match collected {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                endpoint.judged(true);
-                return Err(Loss::Broke);
+                endpoint.record_outcome(true);
+                return Err(Loss::ConnectionBroken);
             }
             Err(_) => return Err(Loss::Timeout),
         };
-        endpoint.heard();
-        self.line.answered();
-        if self.said.keeps {
-            endpoint.pool.give(self.line, self.said.idle);
+        endpoint.record_activity();
+        self.connection.response_completed();
+        if self.meta.reusable {
+            endpoint
+                .pool
+                .release(self.connection, self.meta.idle_timeout);
         }
-        Ok(Whole {
+        Ok(CompleteResponse {
             status: self.status,
             headers: self.headers,
             bytes,
@@ -128,7 +130,7 @@
 
 /// A complete response.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct CompleteResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -141,73 +143,75 @@
 pub async fn send(
     endpoint: &Arc<Endpoint>,
     dialect: &dyn EndpointDialect,
-    outbound: &Outbound,
-    tell: &Tell<'_>,
-    ask: Asked<'_>,
-) -> Ended {
-    let mut sent = endpoint.enter(ask.prompt, ask.standing);
-    let request = request(dialect, outbound, tell, endpoint);
+    outbound: &OutboundRequest,
+    forward: &ForwardMeta<'_>,
+    context: SendContext<'_>,
+) -> SendOutcome {
+    let mut in_flight = endpoint.begin_request(context.prompt, context.position);
+    let request = build_request(dialect, outbound, forward, endpoint);
     let mut permit = None;
-    let kept = send_kept(endpoint, request, &mut permit, ask.until).await;
+    let pooled = send_pooled(endpoint, request, &mut permit, context.deadline).await;
     // A pooled connection may have been closed before the request began to be written. A
     // new connection is tried once.
-    let tried = match kept {
-        Attempt::Unsent(request) => send_new(endpoint, request, permit, ask.until).await,
+    let attempted = match pooled {
+        Attempt::Unsent(request) => {
+            send_new(endpoint, request, permit, context.deadline).await
+        }
         other => other,
     };
-    match tried {
-        Attempt::Head(response, line) => {
-            endpoint.heard();
-            sent.begun();
-            read(dialect, response, line, sent, ask.id)
+    match attempted {
+        Attempt::Head(response, connection) => {
+            endpoint.record_activity();
+            in_flight.record_first_byte();
+            validate_head(dialect, response, connection, in_flight, context.id)
         }
         Attempt::Unsent(_) => {
-            endpoint.unreached();
-            Ended::Unsent
+            endpoint.mark_unreachable();
+            SendOutcome::Unsent
         }
-        Attempt::Unconnected => Ended::Unsent,
-        Attempt::Held(hold) => Ended::Held(hold),
+        Attempt::ConnectFailed => SendOutcome::Unsent,
+        Attempt::NotAdmitted(denied) => SendOutcome::NotAdmitted(denied),
         Attempt::Lost(Loss::Timeout) => {
-            endpoint.timed_out(false);
-            Ended::Lost(Loss::Timeout)
+            endpoint.record_timeout(false);
+            SendOutcome::Lost(Loss::Timeout)
         }
         Attempt::Lost(loss) => {
-            endpoint.judged(true);
-            Ended::Lost(loss)
+            endpoint.record_outcome(true);
+            SendOutcome::Lost(loss)
         }
     }
 }
 
 /// Result of one request on one connection.
 enum Attempt {
-    Head(Response<Incoming>, Line),
+    Head(Response<Incoming>, Connection),
     /// No byte was sent.
     Unsent(Request<Full<Bytes>>),
     /// No connection could be made; the endpoint's health record is already updated.
-    Unconnected,
+    ConnectFailed,
     /// The endpoint does not admit the request.
-    Held(Hold),
+    NotAdmitted(AdmissionError),
     Lost(Loss),
 }
 
 /// Sends on a pooled connection, if there is one.
-async fn send_kept(
+async fn send_pooled(
     endpoint: &Endpoint,
     request: Request<Full<Bytes>>,
     permit: &mut Option<Permit>,
-    until: Instant,
+    deadline: Instant,
 ) -> Attempt {
-    let Some(line) = endpoint.pool.take() else {
+    let Some(connection) = endpoint.pool.take() else {
         return Attempt::Unsent(request);
     };
     match endpoint.admit() {
         Ok(admitted) => *permit = Some(admitted),
-        Err(hold) => {
-            endpoint.pool.give_back(line);
-            return Attempt::Held(hold);
+        Err(denied) => {
+            endpoint.pool.release_unused(connection);
+            return Attempt::NotAdmitted(denied);
         }
     }
-    attempt(line, request, until).await
+    attempt(connection, request, deadline).await
 }
 
 /// Sends on a new connection. The placement is older than the time to connect, and the
@@ -216,66 +220,69 @@
     endpoint: &Endpoint,
     request: Request<Full<Bytes>>,
     permit: Option<Permit>,
-    until: Instant,
+    deadline: Instant,
 ) -> Attempt {
-    let line = match connect(endpoint, until).await {
-        Ok(line) => line,
+    let connection = match connect(endpoint, deadline).await {
+        Ok(connection) => connection,
         Err(reason) => {
             match reason {
-                Unconnected::Refused => endpoint.unreached(),
-                Unconnected::Unanswered => endpoint.unanswered(),
+                ConnectError::Refused => endpoint.mark_unreachable(),
+                ConnectError::TimedOut => endpoint.connect_timed_out(),
             }
-            return Attempt::Unconnected;
+            return Attempt::ConnectFailed;
         }
     };
     let admitted = match permit {
-        Some(permit) => endpoint.admit_late(permit),
+        Some(permit) => endpoint.readmit(permit),
         None => endpoint.admit().map(|_| ()),
     };
     match admitted {
-        Ok(()) => attempt(line, request, until).await,
-        Err(hold) => Attempt::Held(hold),
+        Ok(()) => attempt(connection, request, deadline).await,
+        Err(denied) => Attempt::NotAdmitted(denied),
     }
 }
 
 async fn attempt(
-    mut line: Line,
+    mut connection: Connection,
     request: Request<Full<Bytes>>,
-    until: Instant,
+    deadline: Instant,
 ) -> Attempt {
-    line.asked();
-    match timeout_at(until, line.sender.try_send_request(request)).await {
+    connection.request_started();
+    match timeout_at(deadline, connection.sender.try_send_request(request)).await {
         Err(_) => Attempt::Lost(Loss::Timeout),
-        Ok(Ok(response)) => Attempt::Head(response, line),
+        Ok(Ok(response)) => Attempt::Head(response, connection),
         Ok(Err(mut error)) => match error.take_message() {
             Some(request) => Attempt::Unsent(request),
-            None => Attempt::Lost(Loss::Broke),
+            None => Attempt::Lost(Loss::ConnectionBroken),
         },
     }
 }
 
 /// Properties of the caller's request that sending depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct SendContext<'a> {
     /// Request id.
     pub id: &'a str,
     /// Prompt.
     pub prompt: &'a Prompt,
     /// Position in the service's queue.
-    pub standing: &'a Standing,
+    pub position: &'a QueuePosition,
     /// Deadline.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
-async fn connect(endpoint: &Endpoint, until: Instant) -> Result<Line, Unconnected> {
-    let connected = timeout_at(until, pool::connect(endpoint.address)).await;
-    connected.unwrap_or(Err(Unconnected::Unanswered))
+async fn connect(
+    endpoint: &Endpoint,
+    deadline: Instant,
+) -> Result<Connection, ConnectError> {
+    let connected = timeout_at(deadline, pool::connect(endpoint.address)).await;
+    connected.unwrap_or(Err(ConnectError::TimedOut))
 }
 
-fn request(
+fn build_request(
     dialect: &dyn EndpointDialect,
-    outbound: &Outbound,
-    tell: &Tell<'_>,
+    outbound: &OutboundRequest,
+    forward: &ForwardMeta<'_>,
     endpoint: &Endpoint,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outbound.body.clone()));
@@ -283,7 +290,7 @@
     *request.uri_mut() = outbound.target.clone().into();
     let headers = request.headers_mut();
     *headers = outbound.headers.clone();
-    dialect.write(headers, tell);
+    dialect.write(headers, forward);
     if !headers.contains_key(header::HOST)
         && let Ok(host) = endpoint.address.to_string().parse()
     {
@@ -293,34 +300,34 @@
 }
 
 /// Validates the head of a response.
-fn read(
+fn validate_head(
     dialect: &dyn EndpointDialect,
     response: Response<Incoming>,
-    line: Line,
-    sent: Sent,
+    connection: Connection,
+    in_flight: InFlight,
     id: &str,
-) -> Ended {
+) -> SendOutcome {
     let (parts, body) = response.into_parts();
-    let said = dialect.read(parts.status, &parts.headers);
-    let endpoint = sent.endpoint();
-    if said.request.as_deref().is_some_and(|other| other != id) {
-        endpoint.judged(true);
-        return Ended::Lost(Loss::Foreign);
+    let meta = dialect.read(parts.status, &parts.headers);
+    let endpoint = in_flight.endpoint();
+    if meta.request_id.as_deref().is_some_and(|other| other != id) {
+        endpoint.record_outcome(true);
+        return SendOutcome::Lost(Loss::Mismatched);
     }
-    if let Some(load) = said.load {
-        endpoint.loaded(load);
+    if let Some(load) = meta.load {
+        endpoint.set_load(load);
     }
     let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
-    if said.request.is_some() && !misdirected {
-        if said.leaving {
-            endpoint.mark(true);
+    if meta.request_id.is_some() && !misdirected {
+        if meta.leaving {
+            endpoint.update_leaving(true);
         }
-        endpoint.heard_limit(said.limit);
-        if turns_away(parts.status) {
-            endpoint.turned_away(said.retry);
+        endpoint.apply_named_limit(meta.limit);
+        if is_overloaded(parts.status) {
+            endpoint.record_rejection(meta.retry);
         }
     }
-    if said.refused {
+    if meta.not_run {
         let reason = match parts.status {
             StatusCode::MISDIRECTED_REQUEST => Refusal::Misdirected,
             StatusCode::SERVICE_UNAVAILABLE => Refusal::Full,
@@ -328,36 +335,36 @@
             _ => Refusal::Expired,
         };
         if reason == Refusal::Misdirected {
-            endpoint.misdirected();
+            endpoint.record_misdirected();
         }
-        keep(body, line, &said, Arc::clone(endpoint));
-        return Ended::Refused(reason);
+        drain_refusal(body, connection, &meta, Arc::clone(endpoint));
+        return SendOutcome::Refused(reason);
     }
     // These statuses mean "not run", but the endpoint did not confirm it.
-    let unfounded =
-        turns_away(parts.status) || parts.status == StatusCode::REQUEST_TIMEOUT;
-    let foreign = unfounded
-        || said.request.is_none()
+    let unconfirmed =
+        is_overloaded(parts.status) || parts.status == StatusCode::REQUEST_TIMEOUT;
+    let invalid = unconfirmed
+        || meta.request_id.is_none()
         || parts.headers.contains_key(header::CONTENT_ENCODING);
-    if foreign || (parts.status.is_success() && !said.proof) {
-        endpoint.judged(true);
-        return Ended::Lost(Loss::Spoiled);
+    if invalid || (parts.status.is_success() && !meta.proof) {
+        endpoint.record_outcome(true);
+        return SendOutcome::Lost(Loss::Invalid);
     }
-    endpoint.judged(parts.status.is_server_error());
+    endpoint.record_outcome(parts.status.is_server_error());
     let mut headers = parts.headers;
-    strip(&mut headers);
-    Ended::Answered(Box::new(Answer {
+    strip_hop_by_hop(&mut headers);
+    SendOutcome::Answered(Box::new(EndpointResponse {
         status: parts.status,
         headers,
-        said,
+        meta,
         body,
-        line,
-        sent,
+        connection,
+        in_flight,
     }))
 }
 
 /// Whether the status means that the endpoint takes no further requests at the moment.
-fn turns_away(status: StatusCode) -> bool {
+fn is_overloaded(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -365,22 +372,27 @@
 }
 
 /// Reads the body of a refusal to its end, so that the connection can be reused.
-fn keep(body: Incoming, line: Line, said: &Said, endpoint: Arc<Endpoint>) {
-    if !said.keeps {
+fn drain_refusal(
+    body: Incoming,
+    connection: Connection,
+    meta: &ResponseMeta,
+    endpoint: Arc<Endpoint>,
+) {
+    if !meta.reusable {
         return;
     }
-    let idle = said.idle;
+    let idle_timeout = meta.idle_timeout;
     tokio::spawn(async move {
         let end = Instant::now() + std::time::Duration::from_secs(1);
         let collected = timeout_at(end, Limited::new(body, MAX_ANSWER).collect()).await;
         if matches!(collected, Ok(Ok(_))) {
-            endpoint.pool.give(line, idle);
+            endpoint.pool.release(connection, idle_timeout);
         }
     });
 }
 
 /// Removes hop-by-hop headers.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -5,12 +5,12 @@
 //! complete, and whether the endpoint is still up. The following invariants hold:
 //!
 //! * A refusal with the outcome "not run" is sent only if the endpoint itself reported it
-//!   or if no byte of the request was sent ([`exchange::Ended`]).
+//!   or if no byte of the request was sent ([`exchange::SendOutcome`]).
 //! * A response is forwarded only if it arrived on the connection of its request, names
 //!   that request, carries the endpoint's proof header and is complete. Any other
 //!   connection is closed ([`exchange`]).
 //! * A non-idempotent request is never resent once a byte of it may have arrived
-//!   ([`job`]).
+//!   ([`dispatch`]).
 //! * Only complete events of a stream are forwarded, and a stream resumes at another
 //!   endpoint only after its last complete event ([`stream`]).
 //! * Whatever ends a request early (the caller disconnects, the deadline passes, another
@@ -20,20 +20,20 @@
 //! [`dialect`] defines the traits that adapt the headers of callers and endpoints and the
 //! format of the endpoint list; [`direct`] assembles the daemon.
 
-pub mod agree;
-pub mod answer;
+pub mod control_sync;
 pub mod dialect;
 pub mod direct;
 pub mod directory;
+pub mod dispatch;
 pub mod events;
 pub mod exchange;
-pub mod first;
-pub mod follow;
-pub mod job;
-pub mod listing;
-pub mod lists;
+pub mod list_reader;
+pub mod list_tracker;
 pub mod pool;
+pub mod race;
 pub mod request;
+pub mod response;
+pub mod route_follower;
 pub mod routes;
 pub mod serve;
 pub mod settings;
--- a/crates/direct/src/listing.rs
+++ b/crates/direct/src/list_reader.rs
@@ -4,8 +4,8 @@
 //! is reported to it ([`dogwoodhill_policy::list_reads`]). If the list cannot be read,
 //! the previous one stays in use.
 
-use crate::dialect::{EndpointList, Fetch, Flaw, ListContent, ListError};
-use crate::request::Shared;
+use crate::dialect::{EndpointList, FetchFuture, Flaw, ListContent, ListError};
+use crate::request::SharedState;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_policy::list_reads::{ShrinkGuard, retry_delay};
@@ -25,24 +25,26 @@
 /// which news must reach all entries. It is several times the usual response time and
 /// applies to the first page only, so that a source that is slow under load does not get
 /// all calls twice.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+const HEDGE_DELAY: Duration = Duration::from_millis(500);
 /// Upper bound on pages: eight times the designed list size, in pages of fifty.
 const MAX_PAGES: usize = 200;
 
 /// Reads the list in an endless loop whenever it is this entry's turn; `interval` is that
 /// of entries that read on behalf of the others.
-pub async fn follow(
-    shared: Arc<Shared>,
+pub async fn run(
+    shared: Arc<SharedState>,
     list: Box<dyn EndpointList>,
     interval: Duration,
 ) {
     let mut failures: u32 = 0;
-    let mut reader = false;
+    let mut is_reader = false;
     let mut doubt = ShrinkGuard::default();
-    let mut flaws = Flaws::default();
+    let mut flaws = LoggedFlaws::default();
     let started = Instant::now();
     loop {
-        let due = shared.lists.due(interval, rand::rng().random());
+        let due = shared
+            .list_tracker
+            .next_read_in(interval, rand::rng().random());
         if due > Duration::ZERO {
             // A read by another entry ends this entry's own retries.
             if std::mem::take(&mut failures) > 0 {
@@ -50,30 +52,30 @@
             }
             tokio::select! {
                 () = sleep(due) => {}
-                () = shared.lists.appointed.notified() => {}
+                () = shared.list_tracker.appointed.notified() => {}
             }
-            if !shared.lists.due(interval, 0.0).is_zero() {
+            if !shared.list_tracker.next_read_in(interval, 0.0).is_zero() {
                 continue;
             }
         }
-        if reader != shared.lists.reader() {
-            reader = !reader;
-            Event::new("list-reader").field("reader", reader).info();
+        if is_reader != shared.list_tracker.is_reader() {
+            is_reader = !is_reader;
+            Event::new("list-reader").field("reader", is_reader).info();
         }
-        let asked = uptime();
+        let requested_at = uptime();
         let listed = fetch(list.as_ref()).await.and_then(|content| {
-            flaws.note(&shared, &content);
+            flaws.record(&shared, &content);
             let before = shared.directory.all().len();
             let after = content.endpoints.len();
-            let believed = doubt.accepts(started.elapsed(), before, after);
-            let doubtful = ListError::Doubtful { before, after };
-            if believed {
+            let plausible = doubt.accepts(started.elapsed(), before, after);
+            let implausible = ListError::Doubtful { before, after };
+            if plausible {
                 Ok(content.endpoints)
             } else {
-                Err(doubtful)
+                Err(implausible)
             }
         });
-        let rest = match listed {
+        let delay = match listed {
             Ok(listed) => {
                 if failures > 0 {
                     Event::new("list-regained")
@@ -83,9 +85,14 @@
                 }
                 failures = 0;
                 shared.stats.list_reads.with_label_values(&["used"]).inc();
-                let took = uptime().saturating_sub(asked);
-                shared.lists.read(&shared.directory, asked, took, listed);
-                note(&shared);
+                let took = uptime().saturating_sub(requested_at);
+                shared.list_tracker.apply_own_read(
+                    &shared.directory,
+                    requested_at,
+                    took,
+                    listed,
+                );
+                update_gauges(&shared);
                 continue;
             }
             Err(error) => {
@@ -96,21 +103,21 @@
                 shared.stats.list_reads.with_label_values(&["failed"]).inc();
                 let busy = matches!(error, ListError::Busy);
                 let spread = rand::rng().random();
-                retry_delay(failures, busy, reader, interval, spread)
+                retry_delay(failures, busy, is_reader, interval, spread)
             }
         };
-        sleep(rest).await;
+        sleep(delay).await;
     }
 }
 
 /// Entries skipped in the last read, by cause.
 #[derive(Debug, Default)]
-struct Flaws(Vec<(Flaw, usize)>);
+struct LoggedFlaws(Vec<(Flaw, usize)>);
 
-impl Flaws {
+impl LoggedFlaws {
     /// Counts skipped entries. A cause is logged only when its count changes, so that an
     /// entry that stays unreadable for days causes one line.
-    fn note(&mut self, shared: &Shared, content: &ListContent) {
+    fn record(&mut self, shared: &SharedState, content: &ListContent) {
         for (flaw, count) in &content.flaws {
             let label = flaw.to_string();
             let counter = shared.stats.list_flaws.with_label_values(&[&*label]);
@@ -137,11 +144,11 @@
     let mut read = ListContent::default();
     for _ in 0..MAX_PAGES {
         let token = read.next.take();
-        let asked: Fetch<'_> = match &token {
+        let pending: FetchFuture<'_> = match &token {
             None => Box::pin(first_page(list)),
             Some(token) => list.fetch(Some(token.clone())),
         };
-        let page = timeout(PAGE_TIMEOUT, asked).await;
+        let page = timeout(PAGE_TIMEOUT, pending).await;
         let page = page.unwrap_or_else(|_| {
             let problem = "no answer in time".to_string();
             Err(ListError::Unreachable { problem })
@@ -162,7 +169,7 @@
 /// Fetches the first page, from whichever of two calls responds first.
 async fn first_page(list: &dyn EndpointList) -> Result<ListContent, ListError> {
     let mut first = list.fetch(None);
-    if let Ok(page) = timeout(ASK_AGAIN, &mut first).await {
+    if let Ok(page) = timeout(HEDGE_DELAY, &mut first).await {
         return page;
     }
     let mut second = list.fetch(None);
@@ -178,13 +185,13 @@
     }
 }
 
-fn note(shared: &Shared) {
+fn update_gauges(shared: &SharedState) {
     let all = shared.directory.all();
     let leaving = all.iter().filter(|endpoint| endpoint.leaving()).count();
     let limited = all.iter().filter(|endpoint| endpoint.is_limited()).count();
-    let beliefs = &shared.stats.beliefs;
+    let gauges = &shared.stats.gauges;
     let set = |what: &str, value: usize| {
-        beliefs.with_label_values(&[what]).set(value as i64);
+        gauges.with_label_values(&[what]).set(value as i64);
     };
     set("endpoints", all.len());
     set("endpoints-leaving", leaving);
--- a/crates/direct/src/lists.rs
+++ b/crates/direct/src/list_tracker.rs
@@ -19,30 +19,30 @@
 /// Longest wait of requests for a newer list after the one in use was found to be too
 /// old. An entry that was suspended for seconds has read a new one by then. If the source
 /// is unavailable, requests wait no longer, and the previous list is used.
-const NEWS_WAIT: Duration = Duration::from_millis(100);
+const NEWER_LIST_WAIT: Duration = Duration::from_millis(100);
 
 /// The list in use, and the reads that the entry has received.
 #[derive(Debug)]
-pub struct Lists {
+pub struct ListTracker {
     /// Start of the entry, on a clock that includes the time during which the machine is
     /// suspended.
     start: Duration,
     state: Mutex<State>,
     /// When the read in use was requested, on the clock of reads, in microseconds; 0
     /// without one. Requests read it without waiting for an update of the list.
-    newest: AtomicU64,
+    newest_read: AtomicU64,
     /// How long leaving endpoints may still be sent requests.
-    within: Duration,
+    leaving_within: Duration,
     /// When a request found the list in use too old; reset by a newer one.
-    found: Mutex<Option<tokio::time::Instant>>,
+    overdue_since: Mutex<Option<tokio::time::Instant>>,
     /// Notified when this entry has read a list.
-    pub news: Notify,
+    pub list_read: Notify,
     /// Notified when this entry has lost an endpoint.
-    pub met: Notify,
+    pub endpoint_lost: Notify,
     /// Notified when this entry is appointed to read on behalf of the others.
     pub appointed: Notify,
     /// Notified when a list is first in use, and after each newer read of it.
-    listed: Notify,
+    updated: Notify,
 }
 
 #[derive(Debug, Default)]
@@ -55,53 +55,53 @@
     /// not used.
     places: Vec<Option<Arc<Endpoint>>>,
     /// This entry's newest own read.
-    own: Option<Own>,
+    own_read: Option<OwnRead>,
     /// Mark of the version that control has.
-    control: Option<Mark>,
+    control_mark: Option<Mark>,
     /// Whether a list from control could not be applied; the whole list is requested
     /// then.
-    lost: bool,
+    needs_full: bool,
 }
 
 /// A read by this entry.
 #[derive(Debug)]
-struct Own {
-    asked: Duration,
+struct OwnRead {
+    requested_at: Duration,
     took: Duration,
     mark: Mark,
 }
 
-impl Default for Lists {
+impl Default for ListTracker {
     fn default() -> Self {
         Self::new(DEFAULT_LEAVING_WITHIN)
     }
 }
 
-impl Lists {
+impl ListTracker {
     /// Creates the state without a list; leaving endpoints may be sent requests for
     /// `within`.
-    pub fn new(within: Duration) -> Self {
+    pub fn new(leaving_within: Duration) -> Self {
         let state = State {
-            reads: ListReads::new(within),
+            reads: ListReads::new(leaving_within),
             ..State::default()
         };
         Self {
             start: uptime(),
             state: Mutex::new(state),
-            newest: AtomicU64::new(0),
-            within,
-            found: Mutex::default(),
+            newest_read: AtomicU64::new(0),
+            leaving_within,
+            overdue_since: Mutex::default(),
             appointed: Notify::new(),
-            listed: Notify::new(),
-            news: Notify::new(),
-            met: Notify::new(),
+            updated: Notify::new(),
+            list_read: Notify::new(),
+            endpoint_lost: Notify::new(),
         }
     }
 
     /// Waits until the directory has an endpoint.
-    pub async fn first_list(&self, directory: &Directory) {
+    pub async fn await_first_list(&self, directory: &Directory) {
         while directory.all().is_empty() {
-            let mut listed = pin!(self.listed.notified());
+            let mut listed = pin!(self.updated.notified());
             listed.as_mut().enable();
             if directory.all().is_empty() {
                 listed.await;
@@ -109,38 +109,42 @@
         }
     }
 
-    /// Applies a read by this entry that was requested at `asked` and took `took`.
-    pub fn read(
+    /// Applies a read by this entry that was requested at `requested_at` and took `took`.
+    pub fn apply_own_read(
         &self,
         directory: &Directory,
-        asked: Duration,
+        requested_at: Duration,
         took: Duration,
         endpoints: Vec<EndpointRecord>,
     ) {
         let mut state = self.state();
         let content = ListSnapshot::new(endpoints);
         let mark = content.mark;
-        if state.reads.take(self.at(asked), took) {
-            log_taken(
+        if state.reads.take(self.read_clock(requested_at), took) {
+            log_list_change(
                 &state,
                 &content,
                 "itself",
-                uptime().saturating_sub(asked),
+                uptime().saturating_sub(requested_at),
                 took,
             );
-            state.put(directory, content);
+            state.activate(directory, content);
         }
-        state.own = Some(Own { asked, took, mark });
+        state.own_read = Some(OwnRead {
+            requested_at,
+            took,
+            mark,
+        });
         self.publish(&state);
         drop(state);
-        self.news.notify_one();
+        self.list_read.notify_one();
     }
 
-    /// Applies control's response to a report that was sent at `asked`.
-    pub fn heard(
+    /// Applies control's response to a report that was sent at `requested_at`.
+    pub fn apply_control(
         &self,
         directory: &Directory,
-        asked: Duration,
+        requested_at: Duration,
         totals: &mut DemandReply,
     ) {
         let mut state = self.state();
@@ -150,22 +154,22 @@
         state.reads.set_reader(totals.reader);
         let Some(list) = totals.list.take() else {
             let now = self.now();
-            state.control = None;
+            state.control_mark = None;
             state.reads.defer_to_readers(now);
             return;
         };
-        state.control = Some(list.mark);
-        let read = self.at(asked).checked_sub(list.age);
+        state.control_mark = Some(list.mark);
+        let read = self.read_clock(requested_at).checked_sub(list.age);
         // A read that was stale when this entry started is not used.
         let Some(read) = read else { return };
         if state.contents.newest().mark == list.mark {
             state.reads.take(read, list.took);
             self.publish(&state);
-            state.hear(&totals.verdicts);
+            state.apply_verdicts(&totals.verdicts);
             return;
         }
         let Some(content) = state.contents.resolve(&list) else {
-            if !std::mem::replace(&mut state.lost, true) {
+            if !std::mem::replace(&mut state.needs_full, true) {
                 Event::new("list-changes-unusable")
                     .field("told", format!("{:016x}", list.mark))
                     .warn();
@@ -176,27 +180,29 @@
         let now = self.now();
         let after = content.endpoints.len();
         if state.doubt.accepts(now, before, after) && state.reads.take(read, list.took) {
-            log_taken(
+            log_list_change(
                 &state,
                 &content,
                 "others",
                 now.saturating_sub(read),
                 list.took,
             );
-            state.put(directory, content);
+            state.activate(directory, content);
             self.publish(&state);
-            state.hear(&totals.verdicts);
+            state.apply_verdicts(&totals.verdicts);
         }
     }
 
     /// Observations at endpoints since the last call: events by place in the list in use,
     /// and a bitmap of the places with recent activity.
-    pub fn sights(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
+    pub fn observations(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
         let mut sights = Vec::new();
         let mut heard = vec![0; state.places.len().div_ceil(8)];
         for (place, endpoint) in state.places.iter().enumerate() {
-            let Some(sight) = endpoint.as_ref().and_then(|endpoint| endpoint.sight())
+            let Some(sight) = endpoint
+                .as_ref()
+                .and_then(|endpoint| endpoint.take_sighting())
             else {
                 continue;
             };
@@ -218,21 +224,21 @@
 
     /// What to report to control: the mark of the list in use, and this entry's newest
     /// own read, without content that control already has.
-    pub fn told(&self) -> (Mark, Option<ListRead>) {
+    pub fn report(&self) -> (Mark, Option<ListRead>) {
         let mut state = self.state();
         let State {
             contents,
-            own,
-            control,
-            lost,
+            own_read,
+            control_mark,
+            needs_full,
             ..
         } = &mut *state;
         let mark = contents.newest().mark;
-        let read = own.as_ref().map(|own| {
-            let age = uptime().saturating_sub(own.asked);
+        let read = own_read.as_ref().map(|own| {
+            let age = uptime().saturating_sub(own.requested_at);
             // An own read that is not in use has been superseded by a later one.
             let known = if own.mark == mark {
-                control.unwrap_or_default()
+                control_mark.unwrap_or_default()
             } else {
                 mark
             };
@@ -241,11 +247,11 @@
                 ..contents.read_for(known, age, own.took)
             }
         });
-        (if *lost { 0 } else { mark }, read)
+        (if *needs_full { 0 } else { mark }, read)
     }
 
     /// Time until this entry reads the list itself, unless a newer read arrives earlier.
-    pub fn due(&self, interval: Duration, spread: f64) -> Duration {
+    pub fn next_read_in(&self, interval: Duration, spread: f64) -> Duration {
         let now = self.now();
         self.state().reads.next_read_delay(now, interval, spread)
     }
@@ -253,7 +259,7 @@
     /// Age of the list in use: time since its read was requested, as estimated by this
     /// entry. `None` without a list.
     pub fn age(&self) -> Option<Duration> {
-        let newest = self.newest.load(Ordering::Relaxed);
+        let newest = self.newest_read.load(Ordering::Relaxed);
         let age = self.now().saturating_sub(Duration::from_micros(newest));
         (newest > 0).then_some(age)
     }
@@ -261,64 +267,66 @@
     /// Waits briefly if the list in use is so old that an endpoint which it shows as
     /// ready may have been leaving for too long. A newer read is in progress then; the
     /// list only gets that old if the process was suspended.
-    pub async fn in_time(&self) {
+    pub async fn await_current(&self) {
         if !self.overdue() {
             return;
         }
         let now = tokio::time::Instant::now();
-        let found = *self.found().get_or_insert(now);
+        let since = *self.overdue_since().get_or_insert(now);
         let newer = async {
             while self.overdue() {
-                let mut listed = pin!(self.listed.notified());
+                let mut listed = pin!(self.updated.notified());
                 listed.as_mut().enable();
                 if self.overdue() {
                     listed.await;
                 }
             }
         };
-        let _ = tokio::time::timeout_at(found + NEWS_WAIT, newer).await;
+        let _ = tokio::time::timeout_at(since + NEWER_LIST_WAIT, newer).await;
     }
 
     /// Whether a request placed now might reach an endpoint that has been leaving for too
     /// long.
     fn overdue(&self) -> bool {
         let age = self.age();
-        age.is_some_and(|age| age + CONNECT_TIMEOUT > self.within)
+        age.is_some_and(|age| age + CONNECT_TIMEOUT > self.leaving_within)
     }
 
-    fn found(&self) -> MutexGuard<'_, Option<tokio::time::Instant>> {
-        self.found.lock().unwrap_or_else(PoisonError::into_inner)
+    fn overdue_since(&self) -> MutexGuard<'_, Option<tokio::time::Instant>> {
+        self.overdue_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether any read of the list is known.
-    pub fn known(&self) -> bool {
+    pub fn has_read(&self) -> bool {
         self.state().reads.has_read()
     }
 
     /// Whether this entry reads on behalf of the others.
-    pub fn reader(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         self.state().reads.is_reader()
     }
 
     /// Converts an uptime to the clock of reads, which starts [`STALE_AFTER`] before the
     /// entry.
-    fn at(&self, uptime: Duration) -> Duration {
+    fn read_clock(&self, uptime: Duration) -> Duration {
         (uptime + STALE_AFTER).saturating_sub(self.start)
     }
 
     fn now(&self) -> Duration {
-        self.at(uptime())
+        self.read_clock(uptime())
     }
 
     /// Makes the time of the read in use visible to requests.
     fn publish(&self, state: &State) {
         let newest = state.reads.newest().unwrap_or_default();
         let micros = newest.as_micros() as u64;
-        self.newest.store(micros, Ordering::Relaxed);
+        self.newest_read.store(micros, Ordering::Relaxed);
         if !self.overdue() {
-            *self.found() = None;
+            *self.overdue_since() = None;
         }
-        self.listed.notify_waiters();
+        self.updated.notify_waiters();
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -327,7 +335,7 @@
 }
 
 /// Logs that a different list comes into use, with its origin and its age.
-fn log_taken(
+fn log_list_change(
     state: &State,
     content: &ListSnapshot,
     by: &str,
@@ -349,17 +357,17 @@
 
 impl State {
     /// Makes a list the one in use.
-    fn put(&mut self, directory: &Directory, content: ListSnapshot) {
+    fn activate(&mut self, directory: &Directory, content: ListSnapshot) {
         directory.update(Vec::clone(&content.endpoints));
         let listed = content.endpoints.iter();
-        let places = listed.map(|listed| directory.running(&listed.run));
+        let places = listed.map(|listed| directory.find_run(&listed.run));
         self.places = places.collect();
         self.contents.put(content);
-        self.lost = false;
+        self.needs_full = false;
     }
 
     /// Applies control's verdicts, by place; endpoints without a verdict have none.
-    fn hear(&self, verdicts: &[EndpointVerdict]) {
+    fn apply_verdicts(&self, verdicts: &[EndpointVerdict]) {
         let mut told = vec![None; self.places.len()];
         for verdict in verdicts {
             if let Some(place) = told.get_mut(verdict.list_index as usize) {
@@ -368,7 +376,7 @@
         }
         for (endpoint, verdict) in self.places.iter().zip(told) {
             if let Some(endpoint) = endpoint {
-                endpoint.told(verdict);
+                endpoint.set_verdict(verdict);
             }
         }
     }
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -1,11 +1,11 @@
 //! Connection pool of one endpoint.
 //!
 //! A connection carries one request at a time and is reused for as long as the endpoint
-//! is expected to keep it open. [`Line`] is a guard: dropping it closes the connection,
+//! is expected to keep it open. [`Connection`] is a guard: dropping it closes the connection,
 //! which cancels the request at the endpoint and discards bytes still in flight
 //! ([`crate::socket`]).
 
-use crate::socket::{Owes, Socket};
+use crate::socket::{ResponsePending, Socket};
 use bytes::Bytes;
 use dogwoodhill_policy::list_reads::CONNECT_TIMEOUT;
 use http_body_util::Full;
@@ -22,35 +22,35 @@
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 /// Share of the endpoint's idle timeout after which a connection is not reused, so that a
 /// request does not cross the endpoint's close.
-const IDLE_SHARE: f64 = 0.7;
+const IDLE_REUSE_SHARE: f64 = 0.7;
 /// Idle connections kept per endpoint.
-const KEPT: usize = 48;
+const MAX_IDLE: usize = 48;
 /// Largest head of a response, in bytes.
 const MAX_HEAD: usize = 64 * 1024;
 
 /// An HTTP/1 connection to an endpoint.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     /// Handle for sending a request.
     pub sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    until: Instant,
-    owes: Owes,
+    reusable_until: Instant,
+    response_pending: ResponsePending,
 }
 
-impl Line {
+impl Connection {
     /// Marks the start of writing a request.
-    pub fn asked(&self) {
-        self.owes.set(true);
+    pub fn request_started(&self) {
+        self.response_pending.set(true);
     }
 
     /// Marks the response as complete.
-    pub fn answered(&self) {
-        self.owes.set(false);
+    pub fn response_completed(&self) {
+        self.response_pending.set(false);
     }
 }
 
-impl Drop for Line {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -59,37 +59,39 @@
 /// Idle connections of one endpoint, the most recently used last.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: Mutex<Vec<Line>>,
+    idle: Mutex<Vec<Connection>>,
 }
 
 impl Pool {
     /// Takes an idle connection that can be reused.
-    pub fn take(&self) -> Option<Line> {
+    pub fn take(&self) -> Option<Connection> {
         let now = Instant::now();
-        let mut idle = self.lock();
-        while let Some(line) = idle.pop() {
-            if line.until > now && line.sender.is_ready() {
-                return Some(line);
+        let mut idle_connections = self.lock();
+        while let Some(connection) = idle_connections.pop() {
+            if connection.reusable_until > now && connection.sender.is_ready() {
+                return Some(connection);
             }
         }
         None
     }
 
     /// Returns a connection whose response is complete.
-    pub fn give(&self, mut line: Line, idle: Option<Duration>) {
-        line.answered();
-        let kept = idle.unwrap_or(DEFAULT_IDLE).mul_f64(IDLE_SHARE);
-        line.until = Instant::now() + kept;
-        let mut lines = self.lock();
-        if lines.len() >= KEPT {
-            lines.remove(0);
+    pub fn release(&self, mut connection: Connection, idle_timeout: Option<Duration>) {
+        connection.response_completed();
+        let lifetime = idle_timeout
+            .unwrap_or(DEFAULT_IDLE)
+            .mul_f64(IDLE_REUSE_SHARE);
+        connection.reusable_until = Instant::now() + lifetime;
+        let mut connections = self.lock();
+        if connections.len() >= MAX_IDLE {
+            connections.remove(0);
         }
-        lines.push(line);
+        connections.push(connection);
     }
 
     /// Returns a connection that was not used.
-    pub fn give_back(&self, line: Line) {
-        self.lock().push(line);
+    pub fn release_unused(&self, connection: Connection) {
+        self.lock().push(connection);
     }
 
     /// Closes all idle connections.
@@ -97,7 +99,7 @@
         self.lock().clear();
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Line>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<Connection>> {
         // The pool stays valid even if a thread panicked while it held the lock.
         self.idle
             .lock()
@@ -107,38 +109,38 @@
 
 /// Why no connection could be made. No byte of a request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unconnected {
+pub enum ConnectError {
     /// Refused: the endpoint is down or at its connection limit.
     Refused,
     /// No reply within [`CONNECT_TIMEOUT`].
-    Unanswered,
+    TimedOut,
 }
 
 /// Opens a connection.
 ///
 /// # Errors
 ///
-/// [`Unconnected`] if the connection is refused or not established in time.
-pub async fn connect(address: SocketAddr) -> Result<Line, Unconnected> {
+/// [`ConnectError`] if the connection is refused or not established in time.
+pub async fn connect(address: SocketAddr) -> Result<Connection, ConnectError> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let connected = connecting.map_err(|_| Unconnected::Unanswered)?;
-    let stream = connected.map_err(|_| Unconnected::Refused)?;
+    let connected = connecting.map_err(|_| ConnectError::TimedOut)?;
+    let stream = connected.map_err(|_| ConnectError::Refused)?;
     // Optional: without it, small packets are only delayed.
     let _ = stream.set_nodelay(true);
     let mut builder = Builder::new();
     builder.max_buf_size(MAX_HEAD);
-    let owes = Owes::default();
-    let socket = Socket::new(stream, owes.clone());
-    let shaken = builder.handshake(TokioIo::new(socket)).await;
-    let (sender, connection) = shaken.map_err(|_| Unconnected::Refused)?;
+    let response_pending = ResponsePending::default();
+    let socket = Socket::new(stream, response_pending.clone());
+    let handshaken = builder.handshake(TokioIo::new(socket)).await;
+    let (sender, driver) = handshaken.map_err(|_| ConnectError::Refused)?;
     let task = tokio::spawn(async move {
         // The error also reaches whoever awaits a response on this connection.
-        let _ = connection.await;
+        let _ = driver.await;
     });
-    Ok(Line {
+    Ok(Connection {
         sender,
         task,
-        until: Instant::now(),
-        owes,
+        reusable_until: Instant::now(),
+        response_pending,
     })
 }
--- a/crates/direct/src/first.rs
+++ b/crates/direct/src/race.rs
@@ -8,22 +8,22 @@
 
 /// Which future completed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First<A, L> {
+pub enum Winner<A, L> {
     /// The response.
-    Answer(A),
+    Response(A),
     /// The reason to abandon the endpoint; no response was ready.
-    Leave(L),
+    Abandon(L),
 }
 
 /// Waits for either future. If both are ready, the response wins and `leave` is not
 /// polled, so that its side effects do not happen.
-pub async fn answer_first<A, L>(
+pub async fn race_response<A, L>(
     answer: impl Future<Output = A>,
     leave: impl Future<Output = L>,
-) -> First<A, L> {
+) -> Winner<A, L> {
     tokio::select! {
         biased;
-        answer = answer => First::Answer(answer),
-        reason = leave => First::Leave(reason),
+        answer = answer => Winner::Response(answer),
+        reason = leave => Winner::Abandon(reason),
     }
 }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,15 +1,15 @@
 //! Receiving a request: parsing, authentication and admission.
 //!
 //! A request is read completely before any decision, so that a refusal reaches the caller
-//! on an intact connection. An admitted request becomes a [`Job`].
+//! on an intact connection. An admitted request becomes a [`Dispatch`].
 
-use crate::answer::{Cause, Reply, refuse};
-use crate::dialect::{Ask, CallerDialect, EndpointDialect, Prompt};
+use crate::dialect::{CallerDialect, EndpointDialect, Prompt, RequestMeta};
 use crate::directory::Directory;
-use crate::exchange::{self, Outbound};
-use crate::job::{Job, Prepared};
-use crate::lists::Lists;
-use crate::stats::{Record, Stats};
+use crate::dispatch::{AdmittedRequest, Dispatch};
+use crate::exchange::{self, OutboundRequest};
+use crate::list_tracker::ListTracker;
+use crate::response::{RefusalCause, ResponseBody, refuse};
+use crate::stats::{RequestRecord, Stats};
 use crate::suspects::Suspects;
 use crate::usage::Usage;
 use arc_swap::ArcSwapOption;
@@ -35,28 +35,28 @@
 /// Range of the retry delay after a refusal with a transient cause (an entry that starts,
 /// a full or a leaving endpoint), in milliseconds. Randomized so that callers that were
 /// refused together do not return together.
-const SOON_MS: std::ops::Range<u64> = 120..400;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 120..400;
 /// Longest wait of a request for the entry's first route set and endpoint list. After a
 /// restart of all processes a leader is elected within 0.3 to 0.65 s, and a list of some
 /// hundred endpoints is available after 0.2 s.
-const ROUTES_WAIT: Duration = Duration::from_millis(700);
+const STARTUP_WAIT: Duration = Duration::from_millis(700);
 /// Divisor of the caller's timeout that bounds the same wait.
-const ROUTES_SHARE: u32 = 4;
+const STARTUP_WAIT_DIVISOR: u32 = 4;
 /// Time since the start of the drain after which requests are refused, with a zero retry
 /// delay, so that they move to another entry.
-const DRAIN_REFUSES: Duration = Duration::from_millis(2_800);
+const DRAIN_REFUSE_AFTER: Duration = Duration::from_millis(2_800);
 /// Time before the end of the grace period at which pending requests are answered by the
 /// entry itself. An engine with a long queue may delay a prompt beyond the drain, and its
 /// caller must get a response rather than a closed connection. The process exits 0.4 s
 /// before the end of the grace period, and responses take some milliseconds.
-const LAST_ANSWERS: Duration = Duration::from_millis(600);
+const RESPONSE_RESERVE: Duration = Duration::from_millis(600);
 /// Upper estimate of the time per generated token, used to predict whether a stream that
 /// begins now ends before the entry stops.
-const TOKEN_TIME: Duration = Duration::from_millis(20);
+const MAX_TOKEN_TIME: Duration = Duration::from_millis(20);
 
 /// State shared by all requests of an entry.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SharedState {
     /// Active route set; `None` until the first one arrives.
     pub routes: ArcSwapOption<RouteTable>,
     /// Notified when a newer route set becomes active.
@@ -64,19 +64,19 @@
     /// Known endpoints and placement.
     pub directory: Directory,
     /// State of the endpoint list.
-    pub lists: Lists,
+    pub list_tracker: ListTracker,
     /// Parser of callers' headers.
     pub callers: Box<dyn CallerDialect>,
     /// Adapter to endpoints' headers.
     pub endpoints: Box<dyn EndpointDialect>,
     /// Hashes requests, to recognize those with the same content.
-    pub fingerprints: Fingerprinter,
+    pub fingerprinter: Fingerprinter,
     /// Metrics.
     pub stats: Stats,
     /// Drain signal of the entry.
     pub drain: Drain,
     /// When the drain began.
-    pub stopping: std::sync::OnceLock<Instant>,
+    pub drain_started: std::sync::OnceLock<Instant>,
     /// Time from the start of the drain after which the process is killed.
     pub grace: Duration,
     /// Requests suspected of crashing endpoints.
@@ -91,39 +91,44 @@
     pub budgets: Mutex<Vec<(ServiceId, Budget)>>,
 }
 
-impl Shared {
+impl SharedState {
     /// Handles one request.
-    pub async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
-        let busy = self.drain.enter();
+    pub async fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
+        let drain_guard = self.drain.enter();
         let arrived = Instant::now();
         let (parts, body) = request.into_parts();
-        let ask = self.callers.read(&parts.headers);
-        let id = ask.as_ref().map_or("-", |ask| &ask.id).to_string();
-        let mut record = Record::new(self.stats.clone(), id);
-        let mut pending = Pending(Some(&mut record));
-        let read = self.prepare(parts, body, ask.ok(), arrived).await;
-        let record = pending.take();
+        let meta = self.callers.read(&parts.headers);
+        let id = meta.as_ref().map_or("-", |meta| &meta.id).to_string();
+        let mut record = RequestRecord::new(self.stats.clone(), id);
+        let mut abandon_logger = AbandonLogger(Some(&mut record));
+        let read = self.prepare(parts, body, meta.ok(), arrived).await;
+        let record = abandon_logger.take();
         let prepared = match read {
             Ok(prepared) => prepared,
-            Err((cause, again)) => {
-                record.refused(cause, again);
-                return refuse(cause, again);
+            Err((cause, retry_after)) => {
+                record.refused(cause, retry_after);
+                return refuse(cause, retry_after);
             }
         };
-        let record =
-            std::mem::replace(record, Record::new(self.stats.clone(), String::new()));
-        let job = Job::new(Arc::clone(&self), prepared, record, busy);
-        let outlived = pin!(self.outlived());
+        let record = std::mem::replace(
+            record,
+            RequestRecord::new(self.stats.clone(), String::new()),
+        );
+        let job = Dispatch::new(Arc::clone(&self), prepared, record, drain_guard);
+        let response_deadline_passed = pin!(self.response_deadline_passed());
         tokio::select! {
             biased;
-            response = job.serve() => response,
-            () = outlived => refuse(Cause::Lost, None),
+            response = job.run() => response,
+            () = response_deadline_passed => refuse(RefusalCause::Lost, None),
         }
     }
 
     /// Activates a route set unless a newer one is active. Returns whether it was
     /// activated.
-    pub fn take_routes(&self, table: RouteTable) -> bool {
+    pub fn activate_routes(&self, table: RouteTable) -> bool {
         let table = Arc::new(table);
         let newer = |old: &Option<Arc<RouteTable>>| {
             let older = old
@@ -142,20 +147,21 @@
 
     /// Returns the active route set. An entry that starts waits briefly for the first
     /// one, and for the first endpoint list.
-    async fn routes_soon(&self, patience: Option<Duration>) -> Option<Arc<RouteTable>> {
-        let share = patience.unwrap_or(Duration::MAX) / ROUTES_SHARE;
-        let end = Instant::now() + share.min(ROUTES_WAIT);
+    async fn await_routes(&self, max_wait: Option<Duration>) -> Option<Arc<RouteTable>> {
+        let share = max_wait.unwrap_or(Duration::MAX) / STARTUP_WAIT_DIVISOR;
+        let end = Instant::now() + share.min(STARTUP_WAIT);
         let table = match self.routes.load_full() {
             Some(table) => Some(table),
-            None => timeout_at(end, self.newer_routes(None)).await.ok(),
+            None => timeout_at(end, self.await_newer_routes(None)).await.ok(),
         };
         // If there are still no endpoints, the request is refused at placement.
-        let _ = timeout_at(end, self.lists.first_list(&self.directory)).await;
+        let _ =
+            timeout_at(end, self.list_tracker.await_first_list(&self.directory)).await;
         table
     }
 
     /// Waits for a route set newer than `held`.
-    pub async fn newer_routes(&self, held: Option<Version>) -> Arc<RouteTable> {
+    pub async fn await_newer_routes(&self, held: Option<Version>) -> Arc<RouteTable> {
         loop {
             let mut changed = pin!(self.routes_changed.notified());
             changed.as_mut().enable();
@@ -173,32 +179,32 @@
         &self,
         parts: Parts,
         body: Incoming,
-        ask: Option<Ask>,
+        meta: Option<RequestMeta>,
         arrived: Instant,
-    ) -> Result<Prepared, (Cause, Option<Duration>)> {
+    ) -> Result<AdmittedRequest, (RefusalCause, Option<Duration>)> {
         let limits = self.routes.load().as_ref().map(|table| *table.limits());
         let limits = limits.unwrap_or_default();
-        let end = arrived + self.body_time(&parts, ask.as_ref());
+        let end = arrived + self.body_timeout(&parts, meta.as_ref());
         let body = read_body(body, limits.body, end).await?;
-        let ask = ask.ok_or((Cause::Malformed, None))?;
-        let table = self.routes_soon(ask.patience).await;
-        let table = table.ok_or_else(|| (Cause::NoRoutes, Some(soon())))?;
-        let host = host(&parts).ok_or((Cause::Malformed, None))?;
-        let admitted = table.admit(&host, parts.uri.path(), ask.key.as_deref());
+        let meta = meta.ok_or((RefusalCause::Malformed, None))?;
+        let table = self.await_routes(meta.max_wait).await;
+        let table = table.ok_or_else(|| (RefusalCause::NoRoutes, Some(retry_delay())))?;
+        let host = host(&parts).ok_or((RefusalCause::Malformed, None))?;
+        let admitted = table.admit(&host, parts.uri.path(), meta.key.as_deref());
         let admitted = admitted.map_err(|denied| match denied {
-            Denied::Route => (Cause::UnknownRoute, None),
-            Denied::Key => (Cause::UnknownKey, None),
+            Denied::Route => (RefusalCause::UnknownRoute, None),
+            Denied::Key => (RefusalCause::UnknownKey, None),
         })?;
-        if self.too_late(&admitted.route, &ask.prompt) {
-            return Err((Cause::Stopping, Some(Duration::ZERO)));
+        if self.outlasts_drain(&admitted.route, &meta.prompt) {
+            return Err((RefusalCause::Stopping, Some(Duration::ZERO)));
         }
         let target = parts.uri.path_and_query().cloned();
-        let target = target.ok_or((Cause::Malformed, None))?;
+        let target = target.ok_or((RefusalCause::Malformed, None))?;
         let wait = admitted
             .route
             .timeout
-            .min(ask.patience.unwrap_or(Duration::MAX));
-        let fingerprint = self.fingerprints.of(&RequestContent {
+            .min(meta.max_wait.unwrap_or(Duration::MAX));
+        let fingerprint = self.fingerprinter.of(&RequestContent {
             workspace: admitted.workspace.as_ref(),
             method: parts.method.as_str(),
             host: &host,
@@ -206,65 +212,65 @@
             body: &body,
         });
         let mut headers = parts.headers;
-        exchange::strip(&mut headers);
-        Ok(Prepared {
-            until: arrived + wait,
+        exchange::strip_hop_by_hop(&mut headers);
+        Ok(AdmittedRequest {
+            deadline: arrived + wait,
             table,
-            outbound: Outbound {
+            outbound: OutboundRequest {
                 method: parts.method,
                 target,
                 headers,
                 body,
             },
-            ask,
+            meta,
             admitted,
             fingerprint,
         })
     }
 
     /// Timeout of reading the body: that of the route or that of the caller.
-    fn body_time(&self, parts: &Parts, ask: Option<&Ask>) -> Duration {
-        let patience = ask.and_then(|ask| ask.patience).unwrap_or(BODY_TIMEOUT);
+    fn body_timeout(&self, parts: &Parts, meta: Option<&RequestMeta>) -> Duration {
+        let max_wait = meta.and_then(|meta| meta.max_wait).unwrap_or(BODY_TIMEOUT);
         let table = self.routes.load();
         let host = host(parts).unwrap_or_default();
         let route = table
             .as_ref()
             .and_then(|table| table.find(&host, parts.uri.path()));
-        route.map_or(patience, |route| route.timeout.min(patience))
+        route.map_or(max_wait, |route| route.timeout.min(max_wait))
     }
 
     /// When pending requests get a response of the entry itself; `None` unless it drains.
-    pub(crate) fn last_answers(&self) -> Option<Instant> {
-        let begun = self.stopping.get()?;
-        Some(*begun + self.grace.saturating_sub(LAST_ANSWERS))
+    pub(crate) fn response_deadline(&self) -> Option<Instant> {
+        let drain_start = self.drain_started.get()?;
+        Some(*drain_start + self.grace.saturating_sub(RESPONSE_RESERVE))
     }
 
     /// Completes when the entry drains and pending requests cannot wait any longer.
-    async fn outlived(&self) {
+    async fn response_deadline_passed(&self) {
         self.drain.wait().await;
-        let begun = Instant::now();
-        let last = begun + self.grace.saturating_sub(LAST_ANSWERS);
-        sleep_until(self.last_answers().unwrap_or(last)).await;
+        let drain_start = Instant::now();
+        let last = drain_start + self.grace.saturating_sub(RESPONSE_RESERVE);
+        sleep_until(self.response_deadline().unwrap_or(last)).await;
     }
 
     /// Whether the entry is expected to stop before the request completes.
-    fn too_late(&self, route: &Route, prompt: &Prompt) -> bool {
-        let Some(begun) = self.stopping.get() else {
+    fn outlasts_drain(&self, route: &Route, prompt: &Prompt) -> bool {
+        let Some(drain_start) = self.drain_started.get() else {
             return false;
         };
-        let writing = TOKEN_TIME * prompt.output;
-        let lasting = (route.objective + writing).min(route.timeout);
-        let since = begun.elapsed();
-        since >= DRAIN_REFUSES || since + lasting >= self.grace
+        let generation = MAX_TOKEN_TIME * prompt.max_output;
+        let duration = (route.objective + generation).min(route.timeout);
+        let since = drain_start.elapsed();
+        since >= DRAIN_REFUSE_AFTER || since + duration >= self.grace
     }
 
     /// Credits the service's resend budget for one request.
-    pub(crate) fn earn(&self, service: &str) {
+    pub(crate) fn credit_resend(&self, service: &str) {
         self.with_budget(service, Budget::earn);
     }
 
     /// Debits the service's resend budget for one resend. Returns whether it was covered.
-    pub(crate) fn spend(&self, service: &str) -> bool {
+    pub(crate) fn debit_resend(&self, service: &str) -> bool {
         self.with_budget(service, Budget::spend)
     }
 
@@ -284,15 +290,15 @@
 }
 
 /// Logs a request whose caller disconnects while it is being read.
-struct Pending<'a>(Option<&'a mut Record>);
+struct AbandonLogger<'a>(Option<&'a mut RequestRecord>);
 
-impl<'a> Pending<'a> {
-    fn take(&mut self) -> &'a mut Record {
+impl<'a> AbandonLogger<'a> {
+    fn take(&mut self) -> &'a mut RequestRecord {
         self.0.take().expect("taken once")
     }
 }
 
-impl Drop for Pending<'_> {
+impl Drop for AbandonLogger<'_> {
     fn drop(&mut self) {
         if let Some(record) = &self.0 {
             record.abandoned();
@@ -304,12 +310,14 @@
     body: Incoming,
     limit: usize,
     end: Instant,
-) -> Result<Bytes, (Cause, Option<Duration>)> {
+) -> Result<Bytes, (RefusalCause, Option<Duration>)> {
     match timeout_at(end, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err((Cause::TooLarge, None)),
-        Ok(Err(_)) => Err((Cause::Malformed, None)),
-        Err(_) => Err((Cause::SlowBody, None)),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => {
+            Err((RefusalCause::TooLarge, None))
+        }
+        Ok(Err(_)) => Err((RefusalCause::Malformed, None)),
+        Err(_) => Err((RefusalCause::SlowBody, None)),
     }
 }
 
@@ -323,6 +331,6 @@
 }
 
 /// Random retry delay after a refusal with a transient cause.
-pub(crate) fn soon() -> Duration {
-    Duration::from_millis(rand::rng().random_range(SOON_MS))
+pub(crate) fn retry_delay() -> Duration {
+    Duration::from_millis(rand::rng().random_range(RETRY_DELAY_MS))
 }
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/route_follower.rs
@@ -25,37 +25,37 @@
 use tokio::time::{sleep, timeout};
 
 /// Wait time of a long poll.
-const POLL: Duration = Duration::from_secs(4);
+const POLL_WAIT: Duration = Duration::from_secs(4);
 /// Margin beyond the wait time after which a poll's response, some hundred bytes, counts
 /// as lost.
-const SLACK: Duration = Duration::from_millis(800);
+const POLL_MARGIN: Duration = Duration::from_millis(800);
 /// Wait time of a poll while the entry has no route set.
-const FIRST_POLL: Duration = Duration::from_millis(700);
+const FIRST_POLL_WAIT: Duration = Duration::from_millis(700);
 /// Delay after a failed poll.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Delay after a piece that could not be fetched: a few round trips, so that an instance
 /// that refuses is not called in a busy loop.
-const PIECE_PAUSE: Duration = Duration::from_millis(20);
+const PIECE_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Interval at which polling of newly announced instances is started.
-const LOOK: Duration = Duration::from_millis(500);
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Upper bound on polled control instances.
-const MOST: usize = 7;
+const MAX_INSTANCES: usize = 7;
 
 /// Receiver of route sets.
 pub trait RouteSink: Send + Sync + std::fmt::Debug {
     /// Version of the active set.
     fn version(&self) -> Option<Version>;
     /// Called with the number of entries that follow.
-    fn count(&self, entries: u32);
+    fn set_entries(&self, entries: u32);
     /// Called with a complete set, `took` after its first piece was requested.
     fn take(&self, text: &Text, took: Duration);
     /// Called when a piece could not be fetched; `reason` is one of a fixed set.
-    fn missed(&self, reason: &str);
+    fn piece_failed(&self, reason: &str);
 }
 
 /// Keeps the route set up to date.
 #[derive(Debug)]
-pub struct Follower {
+pub struct RouteFollower {
     /// Receiver of route sets.
     pub sink: Arc<dyn RouteSink>,
     /// Client for calls to control instances.
@@ -63,26 +63,30 @@
     /// Name of this entry.
     pub name: String,
     /// Known addresses of control instances.
-    pub control: Mutex<Control>,
+    pub control: Mutex<ControlAddresses>,
     /// Progress of fetching a set.
-    pub fetching: Fetching,
+    pub fetch_state: FetchState,
 }
 
 /// Addresses of control instances.
 #[derive(Debug, Default)]
-pub struct Control {
+pub struct ControlAddresses {
     /// From the settings.
     pub seeds: Vec<SocketAddr>,
     /// From the last response of an instance.
-    pub told: Vec<SocketAddr>,
+    pub announced: Vec<SocketAddr>,
 }
 
-impl Control {
+impl ControlAddresses {
     /// All addresses, the announced ones first.
     fn all(&self) -> Vec<SocketAddr> {
-        let mut all = self.told.clone();
-        all.extend(self.seeds.iter().filter(|seed| !self.told.contains(seed)));
-        all.truncate(MOST);
+        let mut all = self.announced.clone();
+        all.extend(
+            self.seeds
+                .iter()
+                .filter(|seed| !self.announced.contains(seed)),
+        );
+        all.truncate(MAX_INSTANCES);
         all
     }
 
@@ -91,10 +95,10 @@
     /// after a restart of all processes, they respond before there is a leader to
     /// announce any.
     pub(crate) fn instances(&self) -> Vec<SocketAddr> {
-        let known = if self.told.is_empty() {
+        let known = if self.announced.is_empty() {
             &self.seeds
         } else {
-            &self.told
+            &self.announced
         };
         let mut known = known.clone();
         known.sort_unstable();
@@ -104,13 +108,13 @@
 
 /// Versions offered by instances, and the pieces received of one.
 #[derive(Debug)]
-pub struct Fetching {
+pub struct FetchState {
     start: Instant,
     transfer: Mutex<Transfer>,
     offered: Notify,
 }
 
-impl Fetching {
+impl FetchState {
     /// Initial state of the entry called `name`.
     pub fn new(name: &str) -> Self {
         Self {
@@ -127,7 +131,7 @@
 
 /// Why a piece could not be fetched.
 #[derive(Debug, Display)]
-enum Missed {
+enum PieceError {
     #[display("no answer in time")]
     Late,
     #[display("the instance does not keep that version")]
@@ -136,7 +140,7 @@
     Failed(CallError),
 }
 
-impl Missed {
+impl PieceError {
     fn label(&self) -> &'static str {
         match self {
             Self::Late => "late",
@@ -146,42 +150,46 @@
     }
 }
 
-impl Follower {
+impl RouteFollower {
     /// Polls all control instances and fetches new sets in an endless loop.
     pub async fn run(self: Arc<Self>) {
-        let mut asking: Vec<SocketAddr> = Vec::new();
+        let mut polled: Vec<SocketAddr> = Vec::new();
         let mut tasks = JoinSet::new();
         // Aborted with this task, like those of `tasks`.
-        let mut fetching = JoinSet::new();
-        fetching.spawn(Arc::clone(&self).fetch());
+        let mut fetch_state = JoinSet::new();
+        fetch_state.spawn(Arc::clone(&self).fetch());
         loop {
             for address in self.control().all() {
-                if !asking.contains(&address) {
-                    asking.push(address);
-                    tasks.spawn(Arc::clone(&self).ask(address));
+                if !polled.contains(&address) {
+                    polled.push(address);
+                    tasks.spawn(Arc::clone(&self).poll(address));
                 }
             }
             tokio::select! {
                 Some(ended) = tasks.join_next() => {
                     if let Ok(address) = ended {
-                        asking.retain(|other| *other != address);
+                        polled.retain(|other| *other != address);
                     }
                 }
-                () = sleep(LOOK) => {}
+                () = sleep(SCAN_INTERVAL) => {}
             }
         }
     }
 
     /// Polls one instance for its version until the instance is no longer known.
-    async fn ask(self: Arc<Self>, address: SocketAddr) -> SocketAddr {
+    async fn poll(self: Arc<Self>, address: SocketAddr) -> SocketAddr {
         let mut lost = false;
         while self.control().all().contains(&address) {
             let known = self
-                .fetching
+                .fetch_state
                 .transfer()
                 .offered_version(address)
                 .max(self.sink.version());
-            let wait = if known.is_none() { FIRST_POLL } else { POLL };
+            let wait = if known.is_none() {
+                FIRST_POLL_WAIT
+            } else {
+                POLL_WAIT
+            };
             let follow = WatchRoutes {
                 entry: self.name.clone(),
                 known,
@@ -189,7 +197,10 @@
             };
             let call = self.caller.call(address, ROUTES_PATH, &follow);
             let answer: Option<ControlReply<RoutesStatus>> =
-                timeout(wait + SLACK, call).await.ok().and_then(Result::ok);
+                timeout(wait + POLL_MARGIN, call)
+                    .await
+                    .ok()
+                    .and_then(Result::ok);
             if lost != answer.is_none() {
                 lost = answer.is_none();
                 let event = if lost {
@@ -202,98 +213,105 @@
             match answer {
                 Some(Ok(news)) => self.take(address, news),
                 _ => {
-                    self.fetching.transfer().remove_source(address);
-                    sleep(PAUSE).await;
+                    self.fetch_state.transfer().remove_source(address);
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
-        self.fetching.transfer().remove_source(address);
+        self.fetch_state.transfer().remove_source(address);
         address
     }
 
     fn take(&self, address: SocketAddr, news: RoutesStatus) {
         if !news.control.is_empty() {
-            self.control().told = news.control;
+            self.control().announced = news.control;
         }
-        self.sink.count(news.entries);
+        self.sink.set_entries(news.entries);
         if let Some(version) = news.newest {
-            self.fetching.transfer().add_offer(address, version);
-            self.fetching.offered.notify_one();
+            self.fetch_state.transfer().add_offer(address, version);
+            self.fetch_state.offered.notify_one();
         }
     }
 
     /// Fetches newer sets piece by piece in an endless loop.
     async fn fetch(self: Arc<Self>) {
-        let mut begun = Instant::now();
+        let mut started = Instant::now();
         loop {
-            let next = self.fetching.transfer().next_request();
+            let next = self.fetch_state.transfer().next_request();
             let Some(fetch) = next else {
-                self.fetching.offered.notified().await;
+                self.fetch_state.offered.notified().await;
                 continue;
             };
             if fetch.offset == 0 {
-                begun = Instant::now();
+                started = Instant::now();
             }
             match self.fetch_piece(&fetch).await {
-                Ok(Some(text)) => self.sink.take(&text, begun.elapsed()),
+                Ok(Some(text)) => self.sink.take(&text, started.elapsed()),
                 Ok(None) => {}
-                Err(missed) => {
-                    self.miss(&fetch, &missed);
-                    sleep(PIECE_PAUSE).await;
+                Err(error) => {
+                    self.record_failure(&fetch, &error);
+                    sleep(PIECE_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Requests one piece. Returns the set that it completes.
-    async fn fetch_piece(&self, fetch: &PieceRequest) -> Result<Option<Text>, Missed> {
-        let ask = FetchRoutes {
+    async fn fetch_piece(
+        &self,
+        fetch: &PieceRequest,
+    ) -> Result<Option<Text>, PieceError> {
+        let request = FetchRoutes {
             version: fetch.version,
             offset: fetch.offset,
             max_bytes: fetch.max_len,
         };
-        let asked = Instant::now();
-        let call = self.caller.call(fetch.source, PIECE_PATH, &ask);
+        let sent_at = Instant::now();
+        let call = self.caller.call(fetch.source, PIECE_PATH, &request);
         let answered: Result<Option<RoutesPiece>, _> = timeout(PIECE_TIMEOUT, call)
             .await
-            .map_err(|_| Missed::Late)?;
-        let piece = answered.map_err(Missed::Failed)?.ok_or(Missed::NotKept)?;
+            .map_err(|_| PieceError::Late)?;
+        let piece = answered
+            .map_err(PieceError::Failed)?
+            .ok_or(PieceError::NotKept)?;
         let piece = Piece {
             version: piece.version,
             total: piece.total,
             offset: piece.offset,
             bytes: &piece.bytes,
         };
-        let mut transfer = self.fetching.transfer();
-        Ok(transfer.receive_piece(fetch.source, asked.elapsed(), piece))
+        let mut transfer = self.fetch_state.transfer();
+        Ok(transfer.receive_piece(fetch.source, sent_at.elapsed(), piece))
     }
 
     /// Records a piece that could not be fetched. Logged once for each source that begins
     /// to fail.
-    fn miss(&self, fetch: &PieceRequest, missed: &Missed) {
-        self.sink.missed(missed.label());
-        let now = self.fetching.start.elapsed();
-        let mut transfer = self.fetching.transfer();
-        let news = match missed {
-            Missed::NotKept => {
+    fn record_failure(&self, fetch: &PieceRequest, error: &PieceError) {
+        self.sink.piece_failed(error.label());
+        let now = self.fetch_state.start.elapsed();
+        let mut transfer = self.fetch_state.transfer();
+        let is_new = match error {
+            PieceError::NotKept => {
                 transfer.version_missing(fetch.source, fetch.version);
                 true
             }
-            Missed::Late | Missed::Failed(_) => transfer.piece_failed(now, fetch.source),
+            PieceError::Late | PieceError::Failed(_) => {
+                transfer.piece_failed(now, fetch.source)
+            }
         };
-        if news {
+        if is_new {
             Event::new("routes-piece-missed")
                 .field("address", fetch.source)
                 .field("version", fetch.version)
                 .field("from", fetch.offset)
                 .field("most", fetch.max_len)
-                .field("reason", missed)
+                .field("reason", error)
                 .info();
         }
     }
 
     /// Locks the addresses of control instances.
-    pub fn control(&self) -> MutexGuard<'_, Control> {
+    pub fn control(&self) -> MutexGuard<'_, ControlAddresses> {
         self.control.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
