--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -1,7 +1,7 @@
 //! Activates route sets received from control.
 
-use crate::follow::RouteSink;
-use crate::request::Shared;
+use crate::request::SharedState;
+use crate::route_follower::RouteSink;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::transfer::Text;
 use dogwoodhill_route::prelude::*;
@@ -12,14 +12,14 @@
 
 /// Sink that activates route sets in the entry.
 #[derive(Debug)]
-pub struct Routes {
+pub struct RouteActivator {
     /// State in which the active route set is kept.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     /// Parser of route sets.
     pub format: Box<dyn SetFormat>,
 }
 
-impl Routes {
+impl RouteActivator {
     fn read(&self, text: &Text) -> Result<RouteTable, String> {
         let source = decompress(&text.bytes).map_err(|error| error.to_string())?;
         let set = self.format.read(&source);
@@ -27,19 +27,19 @@
     }
 }
 
-impl RouteSink for Routes {
+impl RouteSink for RouteActivator {
     fn version(&self) -> Option<Version> {
         let routes = self.shared.routes.load();
         routes.as_ref().map(|table| table.version())
     }
 
-    fn count(&self, entries: u32) {
+    fn set_entries(&self, entries: u32) {
         self.shared.entries.fetch_max(entries, Ordering::Relaxed);
     }
 
     fn take(&self, text: &Text, took: Duration) {
-        let known = self.version();
-        if known.is_some_and(|known| known >= text.version) {
+        let current = self.version();
+        if current.is_some_and(|current| current >= text.version) {
             return;
         }
         let table = match self.read(text) {
@@ -54,21 +54,21 @@
                 return;
             }
         };
-        if !self.shared.take_routes(table) {
+        if !self.shared.activate_routes(table) {
             return;
         }
         Event::new("routes-in-force")
             .field("version", text.version)
-            .field("before", known.unwrap_or_default())
+            .field("before", current.unwrap_or_default())
             .field("bytes", text.bytes.len())
             .field("fetched_ms", took.as_millis())
             .info();
-        let beliefs = &self.shared.stats.beliefs;
-        let gauge = beliefs.with_label_values(&["routes-version"]);
+        let gauges = &self.shared.stats.gauges;
+        let gauge = gauges.with_label_values(&["routes-version"]);
         gauge.set(text.version as i64);
     }
 
-    fn missed(&self, reason: &str) {
+    fn piece_failed(&self, reason: &str) {
         let counter = &self.shared.stats.missed_pieces;
         counter.with_label_values(&[reason]).inc();
     }
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -5,7 +5,7 @@
 //! connection is closed only between requests, so the entry never cuts off a request that
 //! it is reading.
 
-use crate::request::Shared;
+use crate::request::SharedState;
 use dogwoodhill_core::prelude::*;
 use http::{HeaderValue, Request, header};
 use hyper::body::Incoming;
@@ -22,86 +22,86 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Smallest head buffer that `hyper` accepts, in bytes.
-const LEAST_HEAD: usize = 8_192;
+const MIN_HEAD_BUFFER: usize = 8_192;
 /// Delay after a failed accept, so that running out of file descriptors does not cause a
 /// busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Longest interval between two checks of a connection's state.
-const LOOK: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// State of a connection; the times are those at which it was entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum State {
     Idle(Instant),
-    Head(Instant),
-    Working,
+    ReceivingHead(Instant),
+    Executing,
 }
 
 /// State of a connection, shared by its clones.
 #[derive(Clone, Debug)]
-pub struct Phase {
-    doing: Arc<Mutex<Doing>>,
+pub struct ConnectionState {
+    current: Arc<Mutex<State>>,
 }
 
-impl Phase {
+impl ConnectionState {
     fn new() -> Self {
         Self {
-            doing: Arc::new(Mutex::new(Doing::Idle(Instant::now()))),
+            current: Arc::new(Mutex::new(State::Idle(Instant::now()))),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Doing> {
-        self.doing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bytes_came(&self) {
-        let mut doing = self.lock();
-        if matches!(*doing, Doing::Idle(_)) {
-            *doing = Doing::Head(Instant::now());
+    fn bytes_received(&self) {
+        let mut current = self.lock();
+        if matches!(*current, State::Idle(_)) {
+            *current = State::ReceivingHead(Instant::now());
         }
     }
 
     /// Marks the connection as executing a request until the guard is dropped.
-    fn work(&self) -> Working {
-        *self.lock() = Doing::Working;
-        Working {
-            phase: self.clone(),
+    fn begin_request(&self) -> RequestGuard {
+        *self.lock() = State::Executing;
+        RequestGuard {
+            state: self.clone(),
         }
     }
 
-    fn working(&self) -> bool {
-        *self.lock() == Doing::Working
+    fn is_executing(&self) -> bool {
+        *self.lock() == State::Executing
     }
 
     /// Time at which the connection times out in its current state.
     fn deadline(&self, idle: Duration, head: Duration) -> Option<Instant> {
         match *self.lock() {
-            Doing::Idle(since) => Some(since + idle),
-            Doing::Head(since) => Some(since + head),
-            Doing::Working => None,
+            State::Idle(since) => Some(since + idle),
+            State::ReceivingHead(since) => Some(since + head),
+            State::Executing => None,
         }
     }
 }
 
 /// Guard of a request being executed on a connection.
 #[derive(Debug)]
-pub struct Working {
-    phase: Phase,
+pub struct RequestGuard {
+    state: ConnectionState,
 }
 
-impl Drop for Working {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        *self.phase.lock() = Doing::Idle(Instant::now());
+        *self.state.lock() = State::Idle(Instant::now());
     }
 }
 
 /// A socket that records when bytes arrive.
-struct Watched {
+struct ObservedStream {
     stream: TcpStream,
-    phase: Phase,
+    state: ConnectionState,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -110,13 +110,13 @@
         let before = buffer.filled().len();
         let read = ready!(Pin::new(&mut self.stream).poll_read(cx, buffer));
         if buffer.filled().len() > before {
-            self.phase.bytes_came();
+            self.state.bytes_received();
         }
         Poll::Ready(read)
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -155,7 +155,7 @@
 /// Accepts connections of callers until `stop` completes.
 pub async fn accept(
     socket: TcpListener,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     stop: impl Future<Output = ()>,
 ) {
     let mut stop = pin!(stop);
@@ -176,23 +176,23 @@
     }
 }
 
-async fn serve(stream: TcpStream, shared: Arc<Shared>) {
+async fn serve(stream: TcpStream, shared: Arc<SharedState>) {
     // Optional: without it, small packets are only delayed.
     let _ = stream.set_nodelay(true);
-    let phase = Phase::new();
+    let state = ConnectionState::new();
     let limits = shared.routes.load().as_ref().map(|table| *table.limits());
-    let head = limits.unwrap_or_default().head.max(LEAST_HEAD);
-    let io = TokioIo::new(Watched {
+    let head = limits.unwrap_or_default().head.max(MIN_HEAD_BUFFER);
+    let io = TokioIo::new(ObservedStream {
         stream,
-        phase: phase.clone(),
+        state: state.clone(),
     });
     let service = service_fn(|request: Request<Incoming>| {
-        let working = phase.work();
+        let guard = state.begin_request();
         let shared = Arc::clone(&shared);
         async move {
             let stopping = shared.drain.clone();
-            let mut response = shared.answer(request).await;
-            response.body_mut().hold(working);
+            let mut response = shared.handle(request).await;
+            response.body_mut().attach(guard);
             if stopping.begun() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
@@ -209,31 +209,31 @@
     tokio::select! {
         // A disconnecting caller is not an error.
         _ = connection.as_mut() => return,
-        () = expired(&phase, &shared) => {}
+        () = timed_out(&state, &shared) => {}
     }
     connection.as_mut().graceful_shutdown();
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = sleep(LOOK) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
         // A request may have arrived just before the shutdown.
-        if !phase.working() {
+        if !state.is_executing() {
             return;
         }
     }
 }
 
 /// Completes when the connection has been idle, or receiving one head, for too long.
-async fn expired(phase: &Phase, shared: &Shared) {
+async fn timed_out(state: &ConnectionState, shared: &SharedState) {
     loop {
         let limits = shared.routes.load().as_ref().map(|table| *table.limits());
         let limits = limits.unwrap_or_default();
         let now = Instant::now();
-        match phase.deadline(limits.idle, limits.head_timeout) {
+        match state.deadline(limits.idle, limits.head_timeout) {
             Some(deadline) if deadline <= now => return,
-            Some(deadline) => sleep_until(deadline.min(now + LOOK)).await,
-            None => sleep(LOOK).await,
+            Some(deadline) => sleep_until(deadline.min(now + CHECK_INTERVAL)).await,
+            None => sleep(CHECK_INTERVAL).await,
         }
     }
 }
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -10,11 +10,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Upper bound on the default interval between reads of the endpoint list.
-const DEFAULT_LIST: Duration = Duration::from_millis(1_000);
+const DEFAULT_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Resends allowed per request.
-const DEFAULT_SHARE: f64 = 0.2;
+const DEFAULT_RESEND_SHARE: f64 = 0.2;
 /// Resends allowed in addition, for all entries together.
-const DEFAULT_SPARE: f64 = 40.0;
+const DEFAULT_RESEND_SPARE: f64 = 40.0;
 /// How long new connections are accepted after the drain begins.
 const DEFAULT_LINGER: Duration = Duration::from_secs(4);
 /// Upper bound on the duration of a drain.
@@ -36,13 +36,13 @@
     /// Key shared by the router's processes.
     pub secret: String,
     /// Address of the endpoint list's source.
-    pub list: SocketAddr,
+    pub list_source: SocketAddr,
     /// How long an endpoint may still be sent new requests after the list shows it as
     /// leaving. Default 4 s.
     pub leaving_within: Duration,
     /// Interval between reads of the endpoint list. Default 1 s, or less where that is
     /// too long for `leaving_within`.
-    pub list_every: Duration,
+    pub list_interval: Duration,
     /// Resends allowed per service over all entries. Default a fifth of the requests plus
     /// 40.
     pub allowance: Allowance,
@@ -84,21 +84,25 @@
         status: s.address("status"),
         control: control(s),
         secret: s.text("cluster_key"),
-        list: s.address("list"),
-        list_every: s.duration(
+        list_source: s.address("list"),
+        list_interval: s.duration(
             "list_every",
             MIN_READ_INTERVAL..=60 * SECOND,
-            Some(DEFAULT_LIST.min(longest)),
+            Some(DEFAULT_LIST_INTERVAL.min(longest)),
         ),
         allowance: Allowance {
-            share: s.number("second_share", 0.0..=1.0, Some(DEFAULT_SHARE)),
-            spare: s.number("second_spare", 0.0..=1_000_000.0, Some(DEFAULT_SPARE)),
+            share: s.number("second_share", 0.0..=1.0, Some(DEFAULT_RESEND_SHARE)),
+            spare: s.number(
+                "second_spare",
+                0.0..=1_000_000.0,
+                Some(DEFAULT_RESEND_SPARE),
+            ),
         },
         linger: s.duration("linger", Duration::ZERO..=60 * SECOND, Some(DEFAULT_LINGER)),
         grace: s.duration("grace", SECOND..=3_600 * SECOND, Some(DEFAULT_GRACE)),
         usage: usage(s),
     };
-    if settings.list_every > longest {
+    if settings.list_interval > longest {
         let problem = "is too long for leaving_within: news would travel longer";
         let longest = longest.as_millis();
         s.report(
@@ -119,11 +123,11 @@
     let duties = s.texts("duties");
     let range = SECOND / 10..=86_400 * SECOND;
     let window = s.duration_opt("usage_window", range);
-    let owed = duties.iter().any(|duty| duty == USAGE_DUTY);
-    if owed && window.is_none() {
+    let has_duty = duties.iter().any(|duty| duty == USAGE_DUTY);
+    if has_duty && window.is_none() {
         s.report("usage_window", "is missing", "say how long a window is");
     }
-    window.filter(|_| owed).map(Windows::new)
+    window.filter(|_| has_duty).map(Windows::new)
 }
 
 /// Addresses of control instances; `control_port` overrides their ports.
--- a/crates/direct/src/socket.rs
+++ b/crates/direct/src/socket.rs
@@ -16,12 +16,12 @@
 
 /// Whether a request was written whose response is incomplete. Clones share the flag.
 #[derive(Clone, Debug, Default)]
-pub struct Owes(Arc<AtomicBool>);
+pub struct ResponsePending(Arc<AtomicBool>);
 
-impl Owes {
+impl ResponsePending {
     /// Set when a request begins to be written, cleared when its response is complete.
-    pub fn set(&self, owes: bool) {
-        self.0.store(owes, Ordering::Release);
+    pub fn set(&self, response_pending: bool) {
+        self.0.store(response_pending, Ordering::Release);
     }
 }
 
@@ -29,19 +29,22 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    owes: Owes,
+    response_pending: ResponsePending,
 }
 
 impl Socket {
     /// Wraps an established connection.
-    pub fn new(stream: TcpStream, owes: Owes) -> Self {
-        Self { stream, owes }
+    pub fn new(stream: TcpStream, response_pending: ResponsePending) -> Self {
+        Self {
+            stream,
+            response_pending,
+        }
     }
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        if self.owes.0.load(Ordering::Acquire) {
+        if self.response_pending.0.load(Ordering::Acquire) {
             // Fails only if the connection has ended, and then nothing is in flight.
             let _ = self.stream.set_zero_linger();
         }
@@ -70,9 +73,9 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        parts: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.stream).poll_write_vectored(cx, parts)
+        Pin::new(&mut self.stream).poll_write_vectored(cx, buffers)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -1,8 +1,8 @@
 //! Metrics of an entry, and the log line of each request.
 
-use crate::answer::Cause;
 use crate::dialect::EventId;
-use crate::directory::{Hold, Placed};
+use crate::directory::{AdmissionError, Placement};
+use crate::response::RefusalCause;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use prometheus::{Histogram, IntCounterVec, IntGauge, IntGaugeVec};
@@ -15,7 +15,7 @@
     /// By service, status and cause.
     requests: IntCounterVec,
     /// Resends, by service and reason.
-    seconds: IntCounterVec,
+    resends: IntCounterVec,
     /// By how the stream ended.
     streams: IntCounterVec,
     /// Time from a request's head to the head of its response.
@@ -27,7 +27,7 @@
     /// Failed fetches of route set pieces, by reason.
     pub missed_pieces: IntCounterVec,
     /// Version of the route set, and numbers of endpoints.
-    pub beliefs: IntGaugeVec,
+    pub gauges: IntGaugeVec,
     /// Age of the endpoint list at each placement.
     list_age: Histogram,
     /// Quarantined requests.
@@ -37,7 +37,7 @@
     /// Requests started at endpoints, by whether usage counted them.
     usage: IntCounterVec,
     /// Requests not admitted to the endpoint chosen for them, by reason.
-    held: IntCounterVec,
+    not_admitted: IntCounterVec,
 }
 
 impl Stats {
@@ -49,7 +49,7 @@
                 "Requests by service, status and cause",
                 &["service", "status", "cause"],
             ),
-            seconds: metrics.counters(
+            resends: metrics.counters(
                 "dogwoodhill_direct_second_sends_total",
                 "Requests sent to a further endpoint, by service and reason",
                 &["service", "reason"],
@@ -78,7 +78,7 @@
                 "Pieces of route sets that did not come, by reason",
                 &["reason"],
             ),
-            beliefs: metrics.gauges(
+            gauges: metrics.gauges(
                 "dogwoodhill_direct_beliefs",
                 "Version of the route set, endpoints known, leaving and limited, control instances",
                 &["what"],
@@ -101,7 +101,7 @@
                 "Requests that endpoints began, by whether usage has them",
                 &["outcome"],
             ),
-            held: metrics.counters(
+            not_admitted: metrics.counters(
                 "dogwoodhill_direct_held_total",
                 "Requests that were not sent to the endpoint chosen for them, by reason",
                 &["service", "reason"],
@@ -110,9 +110,9 @@
     }
 
     /// Counts a request that was not admitted to the endpoint chosen for it.
-    pub fn held(&self, service: &str, hold: Hold) {
-        let labels = [service, &hold.to_string()];
-        self.held.with_label_values(&labels).inc();
+    pub fn not_admitted(&self, service: &str, reason: AdmissionError) {
+        let labels = [service, &reason.to_string()];
+        self.not_admitted.with_label_values(&labels).inc();
     }
 
     /// Counts a request started at an endpoint, by the result of usage counting.
@@ -121,19 +121,19 @@
     }
 
     /// Counts a resend.
-    pub fn second(&self, service: &str, reason: &str) {
-        self.seconds.with_label_values(&[service, reason]).inc();
+    pub fn resend(&self, service: &str, reason: &str) {
+        self.resends.with_label_values(&[service, reason]).inc();
     }
 }
 
 /// Log line of one request, written when it ends.
 #[derive(Debug)]
-pub struct Record {
+pub struct RequestRecord {
     stats: Stats,
     id: RequestId,
-    since: Instant,
+    started: Instant,
     /// Abbreviated fingerprint, shared by all attempts of one request; `-` until known.
-    pub content: String,
+    pub fingerprint: String,
     /// Route name; `-` until known.
     pub route: String,
     /// Service; `-` until chosen.
@@ -141,13 +141,13 @@
     /// Tier of the request.
     pub tier: Tier,
     /// Length of the prompt, in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Upper bound on generated tokens.
-    pub output: u32,
+    pub max_output: u32,
     /// Version of the route set that was applied.
-    pub version: Version,
+    pub routes_version: Version,
     /// Predicted wait until the prompt would be read.
-    pub wait: Duration,
+    pub predicted_wait: Duration,
     /// Whether the request was sent with background priority.
     pub background: bool,
     /// Endpoint of the last placement, with its start.
@@ -161,21 +161,21 @@
     list_age: Option<Duration>,
 }
 
-impl Record {
+impl RequestRecord {
     /// Starts a record; its clock starts now.
     pub fn new(stats: Stats, id: RequestId) -> Self {
         Self {
             stats,
             id,
-            since: Instant::now(),
-            content: String::from("-"),
+            started: Instant::now(),
+            fingerprint: String::from("-"),
             route: String::from("-"),
             service: String::from("-"),
             tier: 0,
-            prompt: 0,
-            output: 0,
-            version: 0,
-            wait: Duration::ZERO,
+            prompt_tokens: 0,
+            max_output: 0,
+            routes_version: 0,
+            predicted_wait: Duration::ZERO,
             background: false,
             endpoint: String::from("-"),
             sends: 0,
@@ -185,19 +185,24 @@
     }
 
     /// Records a placement and its inputs.
-    pub fn placed(&mut self, placed: &Placed, sends: usize, list_age: Option<Duration>) {
+    pub fn placed(
+        &mut self,
+        placed: &Placement,
+        sends: usize,
+        list_age: Option<Duration>,
+    ) {
         self.endpoint = placed.endpoint.run().to_string();
         self.sends = sends;
         self.list_age = list_age;
         if let Some(age) = list_age {
             self.stats.list_age.observe(age.as_secs_f64());
         }
-        let trust = format!("{:?}", placed.trust).to_lowercase();
+        let trust = format!("{:?}", placed.health).to_lowercase();
         self.choice = format!("{trust}/{}/{}", placed.known, placed.reserved);
     }
 
     /// Age of the endpoint list at the last placement, in milliseconds; -1 before any.
-    pub fn list_ms(&self) -> i64 {
+    pub fn list_age_ms(&self) -> i64 {
         self.list_age.map_or(-1, |age| age.as_millis() as i64)
     }
 
@@ -208,43 +213,51 @@
 
     /// Logs that the endpoint's response is forwarded to the caller.
     pub fn answered(&self, status: u16) {
-        self.stats.first.observe(self.since.elapsed().as_secs_f64());
+        self.stats
+            .first
+            .observe(self.started.elapsed().as_secs_f64());
         self.count(status, "endpoint");
-        self.line("request-answered", status, "endpoint")
-            .field("prompt_tokens", self.prompt)
-            .field("output_tokens", self.output)
+        self.event("request-answered", status, "endpoint")
+            .field("prompt_tokens", self.prompt_tokens)
+            .field("output_tokens", self.max_output)
             .info();
     }
 
     /// Logs that the router responds itself.
-    pub fn refused(&self, cause: Cause, again: Option<Duration>) {
+    pub fn refused(&self, cause: RefusalCause, retry_after: Option<Duration>) {
         let status = cause.status().as_u16();
         let cause = cause.to_string();
         self.count(status, &cause);
-        let again = again.unwrap_or_default().as_millis();
-        self.line("request-refused", status, &cause)
-            .field("retry_after_ms", again)
+        let retry_after = retry_after.unwrap_or_default().as_millis();
+        self.event("request-refused", status, &cause)
+            .field("retry_after_ms", retry_after)
             .warn();
     }
 
     /// Logs the end of a stream.
-    pub fn stream(&self, end: &str, cause: &str, last: Option<EventId>, pause: Duration) {
+    pub fn stream_ended(
+        &self,
+        end: &str,
+        cause: &str,
+        last: Option<EventId>,
+        pause: Duration,
+    ) {
         self.stats.streams.with_label_values(&[end, cause]).inc();
-        let event = self
-            .line("stream-ended", 200, cause)
+        let line = self
+            .event("stream-ended", 200, cause)
             .field("end", end)
             .field("last_event", last.map_or(-1, |last| last as i64))
             .field("longest_pause_ms", pause.as_millis());
         match end {
-            "complete" => event.info(),
-            _ => event.warn(),
+            "complete" => line.info(),
+            _ => line.warn(),
         }
     }
 
     /// Logs that the caller disconnected before there was a response.
     pub fn abandoned(&self) {
         self.count(0, "caller-gone");
-        self.line("request-abandoned", 0, "caller-gone").info();
+        self.event("request-abandoned", 0, "caller-gone").info();
     }
 
     fn count(&self, status: u16, cause: &str) {
@@ -253,22 +266,22 @@
         self.stats.requests.with_label_values(&labels).inc();
     }
 
-    fn line(&self, event: &str, status: u16, cause: &str) -> Event {
+    fn event(&self, event: &str, status: u16, cause: &str) -> Event {
         Event::new(event)
             .field("request", &self.id)
-            .field("content", &self.content)
+            .field("content", &self.fingerprint)
             .field("route", &self.route)
             .field("service", &self.service)
             .field("tier", self.tier)
-            .field("routes_version", self.version)
+            .field("routes_version", self.routes_version)
             .field("endpoint", &self.endpoint)
             .field("choice", &self.choice)
-            .field("list_ms", self.list_ms())
-            .field("wait_ms", self.wait.as_millis())
+            .field("list_ms", self.list_age_ms())
+            .field("wait_ms", self.predicted_wait.as_millis())
             .field("background", self.background)
             .field("sends", self.sends)
             .field("status", status)
             .field("cause", cause)
-            .field("ms", self.since.elapsed().as_millis())
+            .field("ms", self.started.elapsed().as_millis())
     }
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -6,14 +6,14 @@
 //! properly after a complete event; in all other cases the caller's connection is
 //! aborted.
 
-use crate::answer::Part;
 use crate::dialect::EventId;
 use crate::directory::Endpoint;
+use crate::dispatch::{Dispatch, DispatchResult};
 use crate::events::{Events, Splitter};
-use crate::exchange::{Answer, Loss};
-use crate::first::{First, answer_first};
-use crate::job::{Job, Next};
-use crate::stats::Record;
+use crate::exchange::{EndpointResponse, Loss};
+use crate::race::{Winner, race_response};
+use crate::response::Part;
+use crate::stats::RequestRecord;
 use dogwoodhill_core::prelude::*;
 use http_body_util::BodyExt;
 use std::sync::Arc;
@@ -21,20 +21,20 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Capacity of the channel to a caller's connection, in parts.
-pub const PARTS: usize = 4;
+pub const CHANNEL_CAPACITY: usize = 4;
 /// Interval at which the endpoint of a silent request is checked.
-pub const CHECK: Duration = Duration::from_millis(250);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Stream of an endpoint, read event by event.
 #[derive(Debug)]
-pub struct Source {
-    answer: Answer,
+pub struct EventSource {
+    answer: EndpointResponse,
     splitter: Splitter,
 }
 
 /// Result of reading from an endpoint's stream.
 #[derive(Debug)]
-pub enum Piece {
+pub enum StreamItem {
     /// Complete events.
     Events(Events),
     /// The stream ended properly.
@@ -43,9 +43,9 @@
     Broken(Loss),
 }
 
-impl Source {
+impl EventSource {
     /// Starts reading the body of `answer`.
-    pub fn new(answer: Answer) -> Self {
+    pub fn new(answer: EndpointResponse) -> Self {
         Self {
             answer,
             splitter: Splitter::default(),
@@ -53,48 +53,58 @@
     }
 
     /// Head of the endpoint's response.
-    pub fn answer(&self) -> &Answer {
+    pub fn response(&self) -> &EndpointResponse {
         &self.answer
     }
 
     /// The endpoint that sends the stream.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
-        self.answer.sent.endpoint()
+        self.answer.in_flight.endpoint()
     }
 
     /// Waits for the next piece. Cancel safe.
-    pub async fn next(&mut self) -> Piece {
+    pub async fn next(&mut self) -> StreamItem {
         loop {
             let Some(frame) = self.answer.body.frame().await else {
-                let whole = !self.splitter.torn();
-                return if whole { Piece::End } else { self.broken() };
+                let whole = !self.splitter.has_partial();
+                return if whole {
+                    StreamItem::End
+                } else {
+                    self.broken()
+                };
             };
             let Ok(frame) = frame else {
                 return self.broken();
             };
-            self.endpoint().heard();
+            self.endpoint().record_activity();
             let Some(bytes) = frame.data_ref() else {
                 continue;
             };
             if let Some(events) = self.splitter.push(bytes) {
-                return Piece::Events(events);
+                return StreamItem::Events(events);
             }
         }
     }
 
-    fn broken(&self) -> Piece {
-        self.endpoint().judged(true);
-        Piece::Broken(Loss::Broke)
+    fn broken(&self) -> StreamItem {
+        self.endpoint().record_outcome(true);
+        StreamItem::Broken(Loss::ConnectionBroken)
     }
 
     /// Returns the connection of a properly ended stream to the pool.
-    pub fn finish(self) {
-        let Answer {
-            said, line, sent, ..
+    pub fn release(self) {
+        let EndpointResponse {
+            meta,
+            connection,
+            in_flight,
+            ..
         } = self.answer;
-        line.answered();
-        if said.keeps {
-            sent.endpoint().pool.give(line, said.idle);
+        connection.response_completed();
+        if meta.reusable {
+            in_flight
+                .endpoint()
+                .pool
+                .release(connection, meta.idle_timeout);
         }
     }
 }
@@ -103,15 +113,15 @@
 #[derive(Debug)]
 pub struct Relay {
     /// The request.
-    pub job: Job,
+    pub dispatch: Dispatch,
     /// The endpoint's stream; `None` while the relay moves between endpoints.
-    pub source: Option<Source>,
+    pub source: Option<EventSource>,
     /// Last event sent to the caller.
     pub last: Option<EventId>,
     /// Sender to the caller's connection.
     pub parts: mpsc::Sender<Part>,
     /// Log line of the request.
-    pub record: Record,
+    pub record: RequestRecord,
     /// Pauses between the stream's events.
     pub pauses: Pauses,
 }
@@ -125,7 +135,7 @@
 
 impl Pauses {
     /// Starts the clock at the first event.
-    pub fn begin() -> Self {
+    pub fn start() -> Self {
         Self {
             last: Instant::now(),
             longest: Duration::ZERO,
@@ -133,7 +143,7 @@
     }
 
     /// Records an event; returns the pause before it.
-    fn event(&mut self) -> Duration {
+    fn record(&mut self) -> Duration {
         let now = Instant::now();
         let pause = now.duration_since(self.last);
         self.longest = self.longest.max(pause);
@@ -149,7 +159,7 @@
 
 /// How a relay ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
+enum RelayEnd {
     Complete,
     CallerGone,
     TimedOut,
@@ -159,107 +169,115 @@
 impl Relay {
     /// Relays until the stream ends.
     pub async fn run(mut self, first: Events) {
-        let over = match self.pass_on(first).await {
-            Some(over) => over,
-            None => self.follow().await,
+        let end = match self.forward(first).await {
+            Some(end) => end,
+            None => self.relay_events().await,
         };
-        let (status, cause) = match over {
-            Over::Complete => ("complete", "-"),
-            Over::CallerGone => ("cut", "caller-gone"),
-            Over::TimedOut => ("cut", "timeout"),
-            Over::Broken => ("cut", "endpoint-lost"),
+        let (status, cause) = match end {
+            RelayEnd::Complete => ("complete", "-"),
+            RelayEnd::CallerGone => ("cut", "caller-gone"),
+            RelayEnd::TimedOut => ("cut", "timeout"),
+            RelayEnd::Broken => ("cut", "endpoint-lost"),
         };
         self.record
-            .stream(status, cause, self.last, self.pauses.longest());
-        if over == Over::Complete {
-            self.job.streamed(self.pauses.longest());
+            .stream_ended(status, cause, self.last, self.pauses.longest());
+        if end == RelayEnd::Complete {
+            self.dispatch.stream_completed(self.pauses.longest());
             // Fails only if the caller has disconnected.
             let _ = self.parts.send(Part::End).await;
             if let Some(source) = self.source {
-                source.finish();
+                source.release();
             }
         }
     }
 
-    async fn follow(&mut self) -> Over {
+    async fn relay_events(&mut self) -> RelayEnd {
         loop {
-            let until = self.job.until;
+            let deadline = self.dispatch.deadline;
             let Some(source) = self.source.as_mut() else {
-                return Over::Broken;
+                return RelayEnd::Broken;
             };
-            let look = answer_first(source.next(), sleep(CHECK));
+            let polled = race_response(source.next(), sleep(CHECK_INTERVAL));
             let next = tokio::select! {
                 biased;
-                () = self.parts.closed() => return Over::CallerGone,
-                next = look => next,
-                () = sleep_until(until) => return Over::TimedOut,
+                () = self.parts.closed() => return RelayEnd::CallerGone,
+                next = polled => next,
+                () = sleep_until(deadline) => return RelayEnd::TimedOut,
             };
-            let over = match next {
-                First::Answer(Piece::Events(events)) => self.pass_on(events).await,
-                First::Answer(Piece::End) => return Over::Complete,
-                First::Answer(Piece::Broken(loss)) => self.go_on(loss).await,
-                First::Leave(()) => {
+            let end = match next {
+                Winner::Response(StreamItem::Events(events)) => {
+                    self.forward(events).await
+                }
+                Winner::Response(StreamItem::End) => return RelayEnd::Complete,
+                Winner::Response(StreamItem::Broken(loss)) => self.try_resume(loss).await,
+                Winner::Abandon(()) => {
                     let since_last = self.pauses.last.elapsed();
-                    if source.endpoint().deserted(since_last) {
-                        self.go_on(Loss::Timeout).await
+                    if source.endpoint().should_abandon(since_last) {
+                        self.try_resume(Loss::Timeout).await
                     } else {
                         None
                     }
                 }
             };
-            if let Some(over) = over {
-                return over;
+            if let Some(end) = end {
+                return end;
             }
         }
     }
 
-    async fn pass_on(&mut self, events: Events) -> Option<Over> {
+    async fn forward(&mut self, events: Events) -> Option<RelayEnd> {
         self.last = events.last.or(self.last);
-        let pause = self.pauses.event();
-        if let Some(source) = self.source.as_ref().filter(|_| self.job.fragile()) {
-            source.endpoint().paced(pause);
+        let pause = self.pauses.record();
+        if let Some(source) = self
+            .source
+            .as_ref()
+            .filter(|_| self.dispatch.is_sensitive())
+        {
+            source.endpoint().record_event_gap(pause);
         }
         let sending = self.parts.send(Part::Events(events.bytes));
         tokio::select! {
-            sent = sending => sent.is_err().then_some(Over::CallerGone),
-            () = sleep_until(self.job.until) => Some(Over::TimedOut),
+            sent = sending => sent.is_err().then_some(RelayEnd::CallerGone),
+            () = sleep_until(self.dispatch.deadline) => Some(RelayEnd::TimedOut),
         }
     }
 
     /// Resumes at another endpoint after the last complete event, if that is allowed and
     /// one is available.
-    async fn go_on(&mut self, loss: Loss) -> Option<Over> {
+    async fn try_resume(&mut self, loss: Loss) -> Option<RelayEnd> {
         let silent = loss == Loss::Timeout;
         if let Some(source) = &self.source {
             let endpoint = Arc::clone(source.endpoint());
-            self.job.note_lost(&endpoint, loss).await;
+            self.dispatch.record_loss(&endpoint, loss).await;
         }
-        if !self.job.may_go_on() {
+        if !self.dispatch.prepare_resume() {
             // An endpoint that is only silent may continue.
-            return (!silent).then_some(Over::Broken);
+            return (!silent).then_some(RelayEnd::Broken);
         }
         let Some(source) = self.source.take() else {
-            return Some(Over::Broken);
+            return Some(RelayEnd::Broken);
         };
         if silent {
-            source.endpoint().unreached();
+            source.endpoint().mark_unreachable();
         }
-        self.job.resume = self.last.or(self.job.resume);
-        self.job.left_behind(source.endpoint(), loss);
+        self.dispatch.resume_after = self.last.or(self.dispatch.resume_after);
+        self.dispatch.log_endpoint_left(source.endpoint(), loss);
         // The previous connection is closed before the request is resent, so that no two
         // endpoints work on it at the same time.
         drop(source);
         let parts = self.parts.clone();
         let next = tokio::select! {
-            next = self.job.again() => next,
-            () = parts.closed() => return Some(Over::CallerGone),
+            next = self.dispatch.send_until_response() => next,
+            () = parts.closed() => return Some(RelayEnd::CallerGone),
         };
         match next {
-            Next::Answer(answer) if answer.status.is_success() => {
-                self.source = Some(Source::new(*answer));
+            DispatchResult::Response(answer) if answer.status.is_success() => {
+                self.source = Some(EventSource::new(*answer));
                 None
             }
-            Next::Answer(_) | Next::Refuse(_) => Some(Over::Broken),
+            DispatchResult::Response(_) | DispatchResult::Refuse(_) => {
+                Some(RelayEnd::Broken)
+            }
         }
     }
 }
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -20,7 +20,9 @@
     CRASH_RETENTION, EntryHash, LostRequest, Quarantine, SuspectStatus, outlived,
 };
 use dogwoodhill_policy::served::ServedRequests;
-use dogwoodhill_wire::demand::{RequestLoss, RequestServed, Suspects as Told};
+use dogwoodhill_wire::demand::{
+    RequestLoss, RequestServed, Suspects as ReportedSuspects,
+};
 use std::pin::pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -28,13 +30,13 @@
 
 /// Upper bound on own losses kept; the oldest is dropped first. Covers the requests in
 /// flight at the endpoints that end while control is unreachable.
-const MOST_OWN: usize = 1_024;
+const MAX_LOSSES: usize = 1_024;
 /// Time without control after which an entry relies on its own observations.
-const ALONE: Duration = Duration::from_secs(10);
+const AUTONOMY_DELAY: Duration = Duration::from_secs(10);
 /// Longest wait of a suspected request for control's current state.
-const REFRESH: Duration = Duration::from_millis(150);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(150);
 /// Upper bound on served requests waiting to be reported.
-const MOST_SERVED: usize = 256;
+const MAX_SERVED: usize = 256;
 
 /// Requests suspected of crashing endpoints.
 #[derive(Debug)]
@@ -43,41 +45,41 @@
     stats: Stats,
     state: Mutex<State>,
     /// Notified when a request is quarantined.
-    found: Notify,
+    quarantine_added: Notify,
     /// Notified when control is to be called at once.
-    pub asked: Notify,
+    pub refresh_requested: Notify,
     /// Notified when control has responded or failed to.
-    answered: Notify,
+    refresh_done: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     quarantine: Quarantine,
-    own: Vec<Own>,
+    losses: Vec<OwnLoss>,
     /// Suspected requests reported by control, sorted, with their number of crashes.
-    told: Vec<(Fingerprint, usize)>,
+    reported: Vec<(Fingerprint, usize)>,
     mark: u64,
     /// When control responded last, or when it first failed to.
-    answered: Option<Duration>,
+    last_contact: Option<Duration>,
     served: ServedRequests,
     /// Suspected requests that were served, with the time, until they are reported.
-    harmless: Vec<(Fingerprint, Duration)>,
+    exonerated: Vec<(Fingerprint, Duration)>,
 }
 
 /// A request that this entry lost with its endpoint.
 #[derive(Debug)]
-struct Own {
+struct OwnLoss {
     loss: LostRequest,
     endpoint: Arc<Endpoint>,
     /// Run of the control instance that acknowledged it; 0 for none.
-    told: u64,
+    acknowledged_by: u64,
     /// Whether it is part of the report in flight.
-    pending: bool,
+    in_flight: bool,
 }
 
 /// Observations to report to control.
 #[derive(Debug)]
-pub struct News {
+pub struct Report {
     /// Requests lost with their endpoints.
     pub losses: Vec<RequestLoss>,
     /// Suspected requests that were served.
@@ -93,9 +95,9 @@
             teller: hash(name.as_bytes()),
             stats,
             state: Mutex::default(),
-            found: Notify::new(),
-            asked: Notify::new(),
-            answered: Notify::new(),
+            quarantine_added: Notify::new(),
+            refresh_requested: Notify::new(),
+            refresh_done: Notify::new(),
         }
     }
 
@@ -103,8 +105,8 @@
     pub fn standing(&self, request: Fingerprint) -> SuspectStatus {
         let state = self.state();
         let own = state.quarantine.status(uptime(), request);
-        let found = state.told.binary_search_by_key(&request, |told| told.0);
-        let told = found.map_or(0, |at| state.told[at].1);
+        let found = state.reported.binary_search_by_key(&request, |told| told.0);
+        let told = found.map_or(0, |at| state.reported[at].1);
         SuspectStatus {
             crashes: own.crashes.max(told),
             remaining: own.remaining,
@@ -115,22 +117,22 @@
     /// state may be half a second old, and in that time the request may crash further
     /// endpoints.
     pub async fn refresh(&self) {
-        let mut answered = pin!(self.answered.notified());
+        let mut answered = pin!(self.refresh_done.notified());
         answered.as_mut().enable();
-        self.asked.notify_one();
+        self.refresh_requested.notify_one();
         // Without a response, the last known state applies.
-        let _ = timeout(REFRESH, answered).await;
+        let _ = timeout(REFRESH_TIMEOUT, answered).await;
     }
 
     /// Called when control has responded or has failed to in time.
-    pub fn refreshed(&self) {
-        self.answered.notify_waiters();
+    pub fn notify_refreshed(&self) {
+        self.refresh_done.notify_waiters();
     }
 
     /// Completes when a request is quarantined.
-    pub async fn quarantined(&self, request: Fingerprint) {
+    pub async fn wait_quarantined(&self, request: Fingerprint) {
         loop {
-            let mut found = pin!(self.found.notified());
+            let mut found = pin!(self.quarantine_added.notified());
             found.as_mut().enable();
             if self.standing(request).remaining.is_some() {
                 return;
@@ -141,7 +143,7 @@
 
     /// Records a request that was lost with an ended endpoint. Returns the number of its
     /// crashes.
-    pub fn lost(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
+    pub fn record_loss(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
         let mut state = self.state();
         let now = uptime();
         if state.served.recently_served(now, loss.request).is_some() {
@@ -149,20 +151,20 @@
         }
         state.quarantine.record_loss(now, self.teller, &loss);
         let request = loss.request;
-        if state.own.len() >= MOST_OWN {
-            state.own.remove(0);
+        if state.losses.len() >= MAX_LOSSES {
+            state.losses.remove(0);
         }
-        state.own.push(Own {
+        state.losses.push(OwnLoss {
             loss,
             endpoint: Arc::clone(endpoint),
-            told: 0,
-            pending: false,
+            acknowledged_by: 0,
+            in_flight: false,
         });
         state.quarantine.status(now, request).crashes
     }
 
     /// Records that an endpoint survived a request and responded.
-    pub fn served(&self, request: Fingerprint) {
+    pub fn record_served(&self, request: Fingerprint) {
         let now = uptime();
         let mut state = self.state();
         state.served.record(now, request);
@@ -170,14 +172,14 @@
     }
 
     /// What to report to a control instance whose run is `run`.
-    pub fn news(&self, run: u64) -> News {
+    pub fn report(&self, run: u64) -> Report {
         let now = uptime();
         let mut state = self.state();
-        state.forget(now);
+        state.expire(now);
         let mut losses = Vec::new();
-        for own in &mut state.own {
-            own.pending = own.told != run || run == 0;
-            if own.pending {
+        for own in &mut state.losses {
+            own.in_flight = own.acknowledged_by != run || run == 0;
+            if own.in_flight {
                 losses.push(RequestLoss {
                     request: own.loss.request,
                     workspace: own.loss.workspace,
@@ -188,12 +190,12 @@
                 });
             }
         }
-        let served = state.harmless.iter();
+        let served = state.exonerated.iter();
         let served = served.map(|(request, at)| RequestServed {
             request: *request,
             age: now.saturating_sub(*at),
         });
-        News {
+        Report {
             losses,
             served: served.collect(),
             mark: state.mark,
@@ -201,49 +203,54 @@
     }
 
     /// Called when the instance with this run has processed `news`.
-    pub fn acknowledged(&self, run: u64, news: &News) {
+    pub fn acknowledged(&self, run: u64, news: &Report) {
         let mut state = self.state();
-        for own in state.own.iter_mut().filter(|own| own.pending) {
-            own.told = run;
-            own.pending = false;
+        for own in state.losses.iter_mut().filter(|own| own.in_flight) {
+            own.acknowledged_by = run;
+            own.in_flight = false;
         }
-        let told = news.served.len().min(state.harmless.len());
-        state.harmless.drain(..told);
+        let told = news.served.len().min(state.exonerated.len());
+        state.exonerated.drain(..told);
     }
 
     /// Applies a response of control; `told` has what all entries found, if that changed.
-    pub fn heard(&self, told: Option<Told>) {
+    pub fn apply_control(&self, reported: Option<ReportedSuspects>) {
         let now = uptime();
         let mut state = self.state();
         let before = state.quarantine.quarantined_count();
-        state.answered = Some(now);
-        if let Some(told) = told {
-            state.take(now, &told);
+        state.last_contact = Some(now);
+        if let Some(reported) = reported {
+            state.take(now, &reported);
         }
-        self.settle(state, now, before);
+        self.finish_update(state, now, before);
     }
 
     /// Called when control did not respond.
-    pub fn unheard(&self) {
+    pub fn control_failed(&self) {
         let now = uptime();
         let mut state = self.state();
         let before = state.quarantine.quarantined_count();
-        let since = *state.answered.get_or_insert(now);
-        if now.saturating_sub(since) >= ALONE {
-            state.judge(now);
+        let since = *state.last_contact.get_or_insert(now);
+        if now.saturating_sub(since) >= AUTONOMY_DELAY {
+            state.blame(now);
         }
-        self.settle(state, now, before);
+        self.finish_update(state, now, before);
     }
 
     /// Drops what has expired, and notifies waiting requests if more are quarantined than
     /// before.
-    fn settle(&self, mut state: MutexGuard<'_, State>, now: Duration, before: usize) {
-        state.forget(now);
+    fn finish_update(
+        &self,
+        mut state: MutexGuard<'_, State>,
+        now: Duration,
+        before: usize,
+    ) {
+        state.expire(now);
         let held = state.quarantine.quarantined_count();
         self.stats.quarantined.set(held as i64);
         drop(state);
         if held > before {
-            self.found.notify_waiters();
+            self.quarantine_added.notify_waiters();
         }
     }
 
@@ -253,13 +260,13 @@
 }
 
 impl State {
-    fn take(&mut self, now: Duration, told: &Told) {
-        self.mark = told.mark;
-        let suspected = told.requests.iter();
+    fn take(&mut self, now: Duration, reported: &ReportedSuspects) {
+        self.mark = reported.mark;
+        let suspected = reported.requests.iter();
         let suspected = suspected.map(|told| (told.request, told.crashes as usize));
-        self.told = suspected.collect();
-        self.told.sort_unstable();
-        for request in &told.requests {
+        self.reported = suspected.collect();
+        self.reported.sort_unstable();
+        for request in &reported.requests {
             if let Some(at) = self.served.recently_served(now, request.request) {
                 self.exonerate(request.request, at);
             }
@@ -276,7 +283,7 @@
     }
 
     /// Blames requests by this entry's own observations.
-    fn judge(&mut self, now: Duration) {
+    fn blame(&mut self, now: Duration) {
         for found in self.quarantine.evaluate(now) {
             found.event().warn();
         }
@@ -285,25 +292,25 @@
     /// Clears a request that was served at `at`, and queues the report if the request is
     /// suspected.
     fn exonerate(&mut self, request: Fingerprint, at: Duration) {
-        let known = self.told.binary_search_by_key(&request, |told| told.0);
-        let own = self.own.iter().any(|own| own.loss.request == request);
+        let known = self.reported.binary_search_by_key(&request, |told| told.0);
+        let own = self.losses.iter().any(|own| own.loss.request == request);
         if known.is_err() && !own {
             return;
         }
-        self.own.retain(|own| own.loss.request != request);
+        self.losses.retain(|own| own.loss.request != request);
         self.quarantine.record_served(request, at);
-        if self.harmless.len() < MOST_SERVED {
-            self.harmless.push((request, at));
+        if self.exonerated.len() < MAX_SERVED {
+            self.exonerated.push((request, at));
         }
     }
 
     /// Drops losses that have expired, or whose endpoint was active afterwards.
-    fn forget(&mut self, now: Duration) {
+    fn expire(&mut self, now: Duration) {
         let Self {
-            own, quarantine, ..
+            losses, quarantine, ..
         } = self;
         quarantine.expire(now);
-        own.retain(|own| {
+        losses.retain(|own| {
             let silence = own.endpoint.silence();
             let heard = silence.and_then(|silence| now.checked_sub(silence));
             let alive = heard.is_some_and(|heard| outlived(own.loss.at, heard));
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -6,7 +6,7 @@
 //! monotonic clock. An entry uses its own wall clock only until it receives the first
 //! estimate.
 
-use crate::follow::Follower;
+use crate::route_follower::RouteFollower;
 use crate::stats::Stats;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
@@ -21,17 +21,17 @@
 
 /// Interval between reports. An entry that is killed loses the counts it has not
 /// reported.
-const INTERVAL: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Jitter of the interval, so that entries do not report in step.
-const SPREAD: std::ops::Range<f64> = 0.8..1.2;
+const JITTER: std::ops::Range<f64> = 0.8..1.2;
 /// Timeout of a call to a control instance.
-const PATIENCE: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Control instances tried per interval: one more than may fail at once where five
 /// instances replicate the log, and the one that owns the usage duty.
-const TRIES: usize = 4;
+const MAX_INSTANCES: usize = 4;
 /// Longest round trip after which a received time estimate is used: half of the round
 /// trip bounds its error.
-const QUICK: Duration = Duration::from_millis(100);
+const MAX_ROUND_TRIP: Duration = Duration::from_millis(100);
 
 /// Usage counts of one entry.
 #[derive(Debug)]
@@ -49,11 +49,11 @@
     /// What is added to [`uptime`] to get true time.
     offset: Option<Duration>,
     /// The instance that owns the usage duty, as last received.
-    holder: Option<SocketAddr>,
+    reporter: Option<SocketAddr>,
     /// The instance that responded last, and its run.
     last: Option<(SocketAddr, u64)>,
     /// The last window for which a lost count was logged.
-    lost: Option<Window>,
+    lost_logged: Option<Window>,
 }
 
 impl Usage {
@@ -78,7 +78,7 @@
         };
         self.stats.usage(outcome);
         // Logged once per window, since a workspace may send many requests.
-        if self.state().lost.replace(window) == Some(window) {
+        if self.state().lost_logged.replace(window) == Some(window) {
             return;
         }
         Event::new("usage-lost")
@@ -91,11 +91,11 @@
     /// Estimated true time.
     fn now(&self) -> TrueTime {
         let offset = self.state().offset;
-        offset.map_or_else(wall, |offset| offset + uptime())
+        offset.map_or_else(wall_clock, |offset| offset + uptime())
     }
 
     /// Report to the instance at `address`, relative to what its last run acknowledged.
-    fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> EntryUsage {
+    fn message(&self, entry: &str, address: SocketAddr, is_final: bool) -> EntryUsage {
         // Read before the counts: what is counted in between is reported twice rather
         // than left out.
         let through = self.now();
@@ -104,51 +104,53 @@
         EntryUsage {
             entry: entry.to_string(),
             run: self.run,
-            wall: wall(),
+            wall: wall_clock(),
             windows: state.ledger.unacknowledged(last.map_or(0, |last| last.1)),
             through,
-            last: ends,
+            last: is_final,
         }
     }
 
-    /// Applies a response to a report that was sent at `asked`.
-    fn heard(
+    /// Applies a response to a report that was sent at `sent_at`.
+    fn apply(
         &self,
         address: SocketAddr,
-        asked: Duration,
-        told: &EntryUsage,
-        heard: &UsageReply,
+        sent_at: Duration,
+        report: &EntryUsage,
+        response: &UsageReply,
     ) {
         let now = uptime();
-        let way = now.saturating_sub(asked);
+        let round_trip = now.saturating_sub(sent_at);
         let mut state = self.state();
-        state.last = Some((address, heard.instance));
-        state.ledger.acknowledged(heard.instance, &told.windows);
-        state.ledger.finalize_before(heard.next);
-        state.holder = heard.reporter;
-        if let Some(time) = heard.now
-            && (way <= QUICK || state.offset.is_none())
+        state.last = Some((address, response.instance));
+        state
+            .ledger
+            .acknowledged(response.instance, &report.windows);
+        state.ledger.finalize_before(response.next);
+        state.reporter = response.reporter;
+        if let Some(time) = response.now
+            && (round_trip <= MAX_ROUND_TRIP || state.offset.is_none())
         {
-            state.offset = Some((time + way / 2).saturating_sub(now));
+            state.offset = Some((time + round_trip / 2).saturating_sub(now));
         }
     }
 
-    /// Reports new counts once; `ends` marks the final report. Returns whether an
+    /// Reports new counts once; `is_final` marks the final report. Returns whether an
     /// instance in contact with a majority has them.
-    pub async fn tell(&self, follower: &Follower, ends: bool) -> bool {
+    pub async fn report(&self, follower: &RouteFollower, is_final: bool) -> bool {
         let control = follower.control().instances();
-        let holder = self.state().holder;
-        let others = control.into_iter().filter(|other| Some(*other) != holder);
-        let order: Vec<SocketAddr> = holder.into_iter().chain(others).collect();
-        for address in order.into_iter().take(TRIES) {
-            let told = self.news(&follower.name, address, ends);
-            let asked = uptime();
-            let call = follower.caller.call(address, USAGE_PATH, &told);
-            let heard: Option<UsageReply> =
-                timeout(PATIENCE, call).await.ok().and_then(Result::ok);
-            if let Some(heard) = heard {
-                self.heard(address, asked, &told, &heard);
-                if heard.has_quorum {
+        let holder = self.state().reporter;
+        let fallbacks = control.into_iter().filter(|other| Some(*other) != holder);
+        let order: Vec<SocketAddr> = holder.into_iter().chain(fallbacks).collect();
+        for address in order.into_iter().take(MAX_INSTANCES) {
+            let report = self.message(&follower.name, address, is_final);
+            let sent_at = uptime();
+            let call = follower.caller.call(address, USAGE_PATH, &report);
+            let response: Option<UsageReply> =
+                timeout(CALL_TIMEOUT, call).await.ok().and_then(Result::ok);
+            if let Some(response) = response {
+                self.apply(address, sent_at, &report, &response);
+                if response.has_quorum {
                     return true;
                 }
             }
@@ -163,13 +165,13 @@
 
 /// Counts one request as started at most once, however often it is sent.
 #[derive(Debug)]
-pub struct Begun {
+pub struct StartCounter {
     usage: Option<Arc<Usage>>,
     workspace: Option<WorkspaceId>,
     counted: AtomicBool,
 }
 
-impl Begun {
+impl StartCounter {
     /// Counts for `workspace`; without a workspace, nothing is counted.
     pub fn new(usage: Option<Arc<Usage>>, workspace: Option<WorkspaceId>) -> Self {
         Self {
@@ -192,20 +194,22 @@
 }
 
 /// Reports in an endless loop.
-pub async fn run(usage: Arc<Usage>, follower: Arc<Follower>) {
-    let mut told = true;
+pub async fn run(usage: Arc<Usage>, follower: Arc<RouteFollower>) {
+    let mut delivered = true;
     loop {
-        let spread = rand::rng().random_range(SPREAD);
-        sleep(INTERVAL.mul_f64(spread)).await;
-        let heard = usage.tell(&follower, false).await;
-        if heard != told {
-            told = heard;
-            Event::new("usage-told").field("heard", heard).info();
+        let jitter = rand::rng().random_range(JITTER);
+        sleep(REPORT_INTERVAL.mul_f64(jitter)).await;
+        let now_delivered = usage.report(&follower, false).await;
+        if now_delivered != delivered {
+            delivered = now_delivered;
+            Event::new("usage-told")
+                .field("heard", now_delivered)
+                .info();
         }
     }
 }
 
-fn wall() -> TrueTime {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default()
+fn wall_clock() -> TrueTime {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default()
 }
--- a/crates/direct/tests/all/withdrawn.rs
+++ b/crates/direct/tests/all/abandoned.rs
@@ -52,7 +52,7 @@
         slots: 8,
         leaving: false,
     }]);
-    entry.shared.take_routes(RouteTable::new(set));
+    entry.shared.activate_routes(RouteTable::new(set));
     entry
 }
 
--- a/crates/direct/tests/all/callers.rs
+++ b/crates/direct/tests/all/callers.rs
@@ -54,7 +54,7 @@
     let call = entry.call("GET /safe/", "", "");
     let routes = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        entry.shared.take_routes(RouteTable::new(set()));
+        entry.shared.activate_routes(RouteTable::new(set()));
     };
     let (got, ()) = tokio::join!(call, routes);
     assert_eq!(got.status, 200);
@@ -81,17 +81,17 @@
     let endpoint = StandIn::start(Vec::new()).await;
     let entry = Entry::before(&[&endpoint]).await;
     let held = set().version;
-    let mut wait = std::pin::pin!(entry.shared.newer_routes(Some(held)));
+    let mut wait = std::pin::pin!(entry.shared.await_newer_routes(Some(held)));
     let early = timeout(Duration::from_millis(50), wait.as_mut()).await;
     assert!(early.is_err(), "the same version is no news");
     let version = held + 7;
     entry
         .shared
-        .take_routes(RouteTable::new(RouteSet { version, ..set() }));
+        .activate_routes(RouteTable::new(RouteSet { version, ..set() }));
     let table = timeout(LONG, wait).await.expect("there is a newer one");
     assert_eq!(table.version(), version);
     let older = RouteTable::new(set());
-    assert!(!entry.shared.take_routes(older), "never back");
+    assert!(!entry.shared.activate_routes(older), "never back");
 }
 
 #[tokio::test]
@@ -189,7 +189,7 @@
 async fn drain_answers_what_still_waits() {
     let endpoint = StandIn::start(vec![Act::Hang]).await;
     let entry = Entry::with_grace(&[&endpoint], Duration::from_secs(1)).await;
-    entry.shared.take_routes(RouteTable::new(set()));
+    entry.shared.activate_routes(RouteTable::new(set()));
     let mut stream = TcpStream::connect(entry.callers).await.unwrap();
     let text = request("POST /stream/", "", "");
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -216,7 +216,7 @@
         TcpStream::connect(entry.callers).await.unwrap(),
     ];
     entry.drain.begin();
-    while entry.shared.stopping.get().is_none() {
+    while entry.shared.drain_started.get().is_none() {
         tokio::task::yield_now().await;
     }
     let lines = ["POST /stream/", "GET /safe/"];
--- a/crates/direct/tests/all/dialect.rs
+++ b/crates/direct/tests/all/dialect.rs
@@ -2,8 +2,8 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::dialect::{
-    Ask, CallerDialect, EndpointDialect, EndpointList, EndpointRecord, Fetch, Limit,
-    Malformed, PageToken, Retry, Said, Tell,
+    CallerDialect, EndpointDialect, EndpointList, EndpointRecord, FetchFuture,
+    ForwardMeta, Limit, Malformed, PageToken, RequestMeta, ResponseMeta, Retry,
 };
 use http::{HeaderMap, HeaderValue, StatusCode};
 
@@ -15,42 +15,42 @@
 }
 
 impl CallerDialect for Plain {
-    fn read(&self, headers: &HeaderMap) -> Result<Ask, Malformed> {
+    fn read(&self, headers: &HeaderMap) -> Result<RequestMeta, Malformed> {
         let name = "x-request-id".to_string();
-        let patience = text(headers, "x-patience-ms").and_then(|t| t.parse().ok());
-        Ok(Ask {
+        let max_wait = text(headers, "x-patience-ms").and_then(|t| t.parse().ok());
+        Ok(RequestMeta {
             id: text(headers, "x-request-id").ok_or(Malformed { name })?,
-            patience: patience.map(Duration::from_millis),
+            max_wait: max_wait.map(Duration::from_millis),
             key: text(headers, "x-key"),
-            resume: text(headers, "x-resume").and_then(|t| t.parse().ok()),
-            ..Ask::default()
+            resume_after: text(headers, "x-resume").and_then(|t| t.parse().ok()),
+            ..RequestMeta::default()
         })
     }
 }
 
 impl EndpointDialect for Plain {
-    fn write(&self, headers: &mut HeaderMap, tell: &Tell<'_>) {
+    fn write(&self, headers: &mut HeaderMap, meta: &ForwardMeta<'_>) {
         headers.remove("x-key");
         headers.remove("x-resume");
         let mut put = |name: &'static str, value: String| {
             headers.insert(name, HeaderValue::from_str(&value).expect("plain text"));
         };
-        put("x-left-ms", tell.left.as_millis().to_string());
-        put("x-endpoint", tell.endpoint.to_string());
-        put("x-workspace", tell.workspace.unwrap_or("-").to_string());
-        if let Some(last) = tell.resume {
+        put("x-left-ms", meta.remaining.as_millis().to_string());
+        put("x-endpoint", meta.endpoint.to_string());
+        put("x-workspace", meta.workspace.unwrap_or("-").to_string());
+        if let Some(last) = meta.resume_after {
             put("x-resume", last.to_string());
         }
     }
 
-    fn read(&self, _status: StatusCode, headers: &HeaderMap) -> Said {
-        Said {
-            request: text(headers, "x-request-id"),
+    fn read(&self, _status: StatusCode, headers: &HeaderMap) -> ResponseMeta {
+        ResponseMeta {
+            request_id: text(headers, "x-request-id"),
             proof: headers.contains_key("x-proof"),
-            refused: headers.contains_key("x-not-run"),
+            not_run: headers.contains_key("x-not-run"),
             load: None,
-            keeps: text(headers, "connection").as_deref() != Some("close"),
-            idle: None,
+            reusable: text(headers, "connection").as_deref() != Some("close"),
+            idle_timeout: None,
             leaving: headers.contains_key("x-leaving"),
             retry: Retry::parse_seconds(
                 text(headers, "retry-after").as_deref().into_iter(),
@@ -65,7 +65,7 @@
 pub(crate) struct Fixed(pub(crate) Vec<EndpointRecord>);
 
 impl EndpointList for Fixed {
-    fn fetch(&self, _: Option<PageToken>) -> Fetch<'_> {
+    fn fetch(&self, _: Option<PageToken>) -> FetchFuture<'_> {
         let content = self.0.clone().into();
         Box::pin(async move { Ok(content) })
     }
--- a/crates/direct/tests/all/entry.rs
+++ b/crates/direct/tests/all/entry.rs
@@ -6,7 +6,7 @@
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_direct::dialect::{EndpointList, EndpointRecord};
 use dogwoodhill_direct::direct::Dialects;
-use dogwoodhill_direct::request::Shared;
+use dogwoodhill_direct::request::SharedState;
 use dogwoodhill_direct::{Direct, Settings};
 use dogwoodhill_policy::budget::Allowance;
 use dogwoodhill_route::prelude::*;
@@ -26,7 +26,7 @@
     pub(crate) callers: SocketAddr,
     pub(crate) status: SocketAddr,
     pub(crate) drain: Drain,
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedState>,
 }
 
 /// Route set with one route of each kind.
@@ -83,7 +83,7 @@
 
     pub(crate) async fn with(endpoints: &[&StandIn], set: RouteSet) -> Self {
         let entry = Self::empty(endpoints).await;
-        entry.shared.take_routes(RouteTable::new(set));
+        entry.shared.activate_routes(RouteTable::new(set));
         entry
     }
 
@@ -145,9 +145,9 @@
             status: free,
             control,
             secret: "secret".to_string(),
-            list: free,
+            list_source: free,
             leaving_within: Duration::from_secs(4),
-            list_every: Duration::from_millis(50),
+            list_interval: Duration::from_millis(50),
             allowance: Allowance {
                 share: 0.2,
                 spare: 30.0,
@@ -191,8 +191,8 @@
 
     /// Applies a list of these endpoints as a read by the entry itself.
     pub(crate) fn read_list(&self, endpoints: &[&StandIn]) {
-        let lists = &self.shared.lists;
-        lists.read(
+        let lists = &self.shared.list_tracker;
+        lists.apply_own_read(
             &self.shared.directory,
             uptime(),
             Duration::ZERO,
--- a/crates/direct/tests/all/events.rs
+++ b/crates/direct/tests/all/events.rs
@@ -26,7 +26,7 @@
         }
         prop_assert_eq!(passed, STREAM);
         prop_assert_eq!(last, Some(3));
-        prop_assert!(!splitter.torn());
+        prop_assert!(!splitter.has_partial());
     }
 }
 
@@ -40,5 +40,5 @@
         (&events.bytes[..], events.last),
         (&b"id: 7\ndata: a\n\n"[..], Some(7))
     );
-    assert!(splitter.torn());
+    assert!(splitter.has_partial());
 }
--- a/crates/direct/tests/all/lists.rs
+++ b/crates/direct/tests/all/list_tracker.rs
@@ -3,8 +3,10 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_direct::dialect::{EndpointRecord, Prompt};
-use dogwoodhill_direct::directory::{Directory, Lane, Standing, Want};
-use dogwoodhill_direct::lists::Lists;
+use dogwoodhill_direct::directory::{
+    Directory, LatencyClass, PlacementQuery, QueuePosition,
+};
+use dogwoodhill_direct::list_tracker::ListTracker;
 use dogwoodhill_policy::health::Health;
 use dogwoodhill_wire::demand::{DemandReply, EndpointVerdict, WireVerdict};
 use dogwoodhill_wire::list::{CompressedList, ListChanges, ListRead, ListSnapshot, Mark};
@@ -51,16 +53,16 @@
 /// An own read is reported with its content until control has it.
 #[test]
 fn told_content_once() {
-    let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
-    lists.read(&directory, uptime(), Duration::ZERO, vec![listed(1, false)]);
-    let (held, told) = lists.told();
+    let (lists, directory) = (ListTracker::default(), Directory::new("here".to_string()));
+    lists.apply_own_read(&directory, uptime(), Duration::ZERO, vec![listed(1, false)]);
+    let (held, told) = lists.report();
     let told = told.expect("it read");
     assert_eq!(told.mark, held);
     let whole = told.whole.expect("control has nothing").read();
     assert_eq!(whole.expect("it is whole").len(), 1);
     let mut totals = news(held, Duration::ZERO, None);
-    lists.heard(&directory, uptime(), &mut totals);
-    let (_, told) = lists.told();
+    lists.apply_control(&directory, uptime(), &mut totals);
+    let (_, told) = lists.report();
     assert_eq!(told.expect("it read").whole, None);
 }
 
@@ -68,18 +70,18 @@
 /// start.
 #[test]
 fn heard_newer_read_replaces() {
-    let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
-    lists.read(&directory, uptime(), Duration::ZERO, vec![listed(1, false)]);
+    let (lists, directory) = (ListTracker::default(), Directory::new("here".to_string()));
+    lists.apply_own_read(&directory, uptime(), Duration::ZERO, vec![listed(1, false)]);
     let older = Duration::from_secs(3_600);
     let both = vec![listed(1, false), listed(2, false)];
     let mut totals = news(5, older, Some(both.clone()));
-    lists.heard(&directory, uptime(), &mut totals);
+    lists.apply_control(&directory, uptime(), &mut totals);
     assert_eq!(usable(&directory), ["i-1"]);
     let mut totals = news(5, Duration::ZERO, Some(both));
-    lists.heard(&directory, uptime(), &mut totals);
+    lists.apply_control(&directory, uptime(), &mut totals);
     assert_eq!(usable(&directory), ["i-1", "i-2"]);
     let mut totals = news(6, Duration::ZERO, None);
-    lists.heard(&directory, uptime(), &mut totals);
+    lists.apply_control(&directory, uptime(), &mut totals);
     assert_eq!(usable(&directory), ["i-1", "i-2"], "no content, no change");
 }
 
@@ -87,7 +89,7 @@
 /// the whole list, and keeps the previous one until then.
 #[test]
 fn heard_changes_of_the_list_in_use() {
-    let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
+    let (lists, directory) = (ListTracker::default(), Directory::new("here".to_string()));
     let first = ListSnapshot::new((1..=4).map(|id| listed(id, false)).collect());
     let all: Vec<EndpointRecord> = [1, 2, 4, 5].map(|id| listed(id, id == 2)).to_vec();
     let second = ListSnapshot::new(all);
@@ -105,28 +107,28 @@
         }
     };
     let mut totals = news(0, Duration::ZERO, Some(Vec::clone(&first.endpoints)));
-    lists.heard(&directory, uptime(), &mut totals);
-    lists.heard(&directory, uptime(), &mut changes(first.mark + 1));
+    lists.apply_control(&directory, uptime(), &mut totals);
+    lists.apply_control(&directory, uptime(), &mut changes(first.mark + 1));
     assert_eq!(usable(&directory), ["i-1", "i-2", "i-3", "i-4"]);
-    assert_eq!(lists.told().0, 0, "it asks for the whole");
-    lists.heard(&directory, uptime(), &mut changes(first.mark));
+    assert_eq!(lists.report().0, 0, "it asks for the whole");
+    lists.apply_control(&directory, uptime(), &mut changes(first.mark));
     assert_eq!(usable(&directory), ["i-1", "i-4", "i-5"]);
-    assert_eq!(lists.told().0, second.mark);
+    assert_eq!(lists.report().0, second.mark);
 }
 
 /// An empty list, one with far fewer endpoints, and one with a wrong mark are rejected;
 /// the last good list stays in use.
 #[test]
 fn heard_list_cut_short_changes_nothing() {
-    let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
+    let (lists, directory) = (ListTracker::default(), Directory::new("here".to_string()));
     let list: Vec<EndpointRecord> = (1..=8).map(|id| listed(id, false)).collect();
-    lists.read(&directory, uptime(), Duration::ZERO, list.clone());
+    lists.apply_own_read(&directory, uptime(), Duration::ZERO, list.clone());
     let mut spoiled = news(0, Duration::ZERO, Some(list[..7].to_vec()));
     spoiled.list.as_mut().expect("told").mark += 1;
-    lists.heard(&directory, uptime(), &mut spoiled);
+    lists.apply_control(&directory, uptime(), &mut spoiled);
     for few in [0, 1, 3] {
         let mut totals = news(0, Duration::ZERO, Some(list[..few].to_vec()));
-        lists.heard(&directory, uptime(), &mut totals);
+        lists.apply_control(&directory, uptime(), &mut totals);
         assert_eq!(usable(&directory).len(), 8, "{few}");
     }
 }
@@ -142,28 +144,28 @@
 /// A long prompt with a shared prefix of 6,300 tokens.
 fn chapter() -> Prompt {
     Prompt {
-        shared: Some(7),
-        shared_tokens: 6_300,
+        prefix: Some(7),
+        prefix_tokens: 6_300,
         tokens: 9_190,
-        output: 80,
+        max_output: 80,
     }
 }
 
-fn want<'a>(prompt: &'a Prompt, tried: &'a [Incarnation]) -> Want<'a> {
-    Want {
+fn query<'a>(prompt: &'a Prompt, tried: &'a [Incarnation]) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: "voice",
         prompt,
-        lane: Lane::Other,
+        class: LatencyClass::Tolerant,
         background: false,
-        mixed: false,
+        has_classes: false,
         tried,
-        apart: None,
+        isolate: None,
     }
 }
 
 /// Name and start of the endpoint chosen for a request.
-fn placed(directory: &Directory, want: &Want<'_>) -> Option<String> {
-    let placed = directory.place(want)?;
+fn placed(directory: &Directory, query: &PlacementQuery<'_>) -> Option<String> {
+    let placed = directory.place(query)?;
     Some(placed.endpoint.run().to_string())
 }
 
@@ -176,27 +178,27 @@
     directory.update(vec![started(1, Some(50))]);
     let prompt = chapter();
     let before = Arc::clone(&directory.all()[0]);
-    let running = before.enter(&prompt, &Standing::default());
-    let again = before.enter(&prompt, &Standing::default());
+    let running = before.begin_request(&prompt, &QueuePosition::default());
+    let again = before.begin_request(&prompt, &QueuePosition::default());
     assert!(
-        running.unread_tokens() > again.unread_tokens(),
+        running.uncached_tokens() > again.uncached_tokens(),
         "it has been read"
     );
     directory.update(vec![started(1, Some(60))]);
     let after = Arc::clone(&directory.all()[0]);
     assert!(!Arc::ptr_eq(&before, &after));
     assert!(before.leaving(), "the earlier run is over");
-    let anew = after.enter(&prompt, &Standing::default());
+    let anew = after.begin_request(&prompt, &QueuePosition::default());
     assert_eq!(
-        anew.unread_tokens(),
-        running.unread_tokens(),
+        anew.uncached_tokens(),
+        running.uncached_tokens(),
         "read by nobody"
     );
     drop((running, again));
     directory.update(vec![started(1, Some(50))]);
     assert!(Arc::ptr_eq(&directory.all()[0], &after), "late news");
     assert_eq!(
-        placed(&directory, &want(&prompt, &[])).as_deref(),
+        placed(&directory, &query(&prompt, &[])).as_deref(),
         Some("i-1@60")
     );
 }
@@ -212,17 +214,17 @@
         ..started(1, Some(50))
     };
     directory.update(vec![leaving.clone()]);
-    assert_eq!(placed(&directory, &want(&prompt, &[])), None);
+    assert_eq!(placed(&directory, &query(&prompt, &[])), None);
     directory.update(Vec::new());
     directory.update(vec![started(1, Some(50))]);
     assert_eq!(
-        placed(&directory, &want(&prompt, &[])),
+        placed(&directory, &query(&prompt, &[])),
         None,
         "off the list between"
     );
     directory.update(vec![started(1, Some(60)), leaving]);
     assert_eq!(
-        placed(&directory, &want(&prompt, &[])).as_deref(),
+        placed(&directory, &query(&prompt, &[])).as_deref(),
         Some("i-1@60")
     );
 }
@@ -236,9 +238,9 @@
     let prompt = Prompt::default();
     let tried = |born| [Incarnation::new("i-1", born)];
     let earlier = tried(Some(50));
-    assert!(placed(&directory, &want(&prompt, &earlier)).is_some());
+    assert!(placed(&directory, &query(&prompt, &earlier)).is_some());
     for born in [Some(60), None] {
-        assert_eq!(placed(&directory, &want(&prompt, &tried(born))), None);
+        assert_eq!(placed(&directory, &query(&prompt, &tried(born))), None);
     }
 }
 
@@ -265,12 +267,13 @@
 #[test]
 fn heard_read_from_before_the_start() {
     for (age, expected) in [(1_900, vec!["i-1"]), (3_600_000, vec![])] {
-        let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
+        let (lists, directory) =
+            (ListTracker::default(), Directory::new("here".to_string()));
         let list = Some(vec![listed(1, false)]);
         let mut totals = news(5, Duration::from_millis(age), list);
-        lists.heard(&directory, uptime(), &mut totals);
+        lists.apply_control(&directory, uptime(), &mut totals);
         assert_eq!(usable(&directory), expected, "{age}");
-        assert_eq!(lists.known(), !expected.is_empty());
+        assert_eq!(lists.has_read(), !expected.is_empty());
     }
 }
 
@@ -278,10 +281,10 @@
 /// list as read.
 #[test]
 fn told_verdicts_go_by_place() {
-    let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
+    let (lists, directory) = (ListTracker::default(), Directory::new("here".to_string()));
     let list = vec![listed(3, false), listed(1, false), listed(2, false)];
-    lists.read(&directory, uptime(), Duration::ZERO, list);
-    let (held, _) = lists.told();
+    lists.apply_own_read(&directory, uptime(), Duration::ZERO, list);
+    let (held, _) = lists.report();
     let verdict = |list_index, verdict| EndpointVerdict {
         list_index,
         verdict,
@@ -292,18 +295,18 @@
         verdict(1, WireVerdict::Silent),
         verdict(7, WireVerdict::Silent),
     ];
-    lists.heard(&directory, uptime(), &mut totals);
+    lists.apply_control(&directory, uptime(), &mut totals);
     assert_eq!(
         usable(&directory),
         ["i-2", "i-3"],
         "the first one was replaced"
     );
     let all = directory.all();
-    let trust: Vec<Health> = all.iter().map(|endpoint| endpoint.trust()).collect();
+    let trust: Vec<Health> = all.iter().map(|endpoint| endpoint.health()).collect();
     assert_eq!(trust[1..], [Health::Silent, Health::Sound]);
     let mut totals = news(held, Duration::ZERO, None);
-    lists.heard(&directory, uptime(), &mut totals);
-    assert_eq!(all[1].trust(), Health::Sound, "nothing is told any more");
+    lists.apply_control(&directory, uptime(), &mut totals);
+    assert_eq!(all[1].health(), Health::Sound, "nothing is told any more");
     assert_eq!(usable(&directory), ["i-2", "i-3"], "replaced for good");
 }
 
@@ -311,21 +314,21 @@
 /// it is recent.
 #[test]
 fn sights_told_by_place() {
-    let (lists, directory) = (Lists::default(), Directory::new("here".to_string()));
+    let (lists, directory) = (ListTracker::default(), Directory::new("here".to_string()));
     let list = (1..=9).map(|id| listed(id, false)).collect();
-    lists.read(&directory, uptime(), Duration::ZERO, list);
+    lists.apply_own_read(&directory, uptime(), Duration::ZERO, list);
     let all = directory.all();
-    all[8].heard();
-    all[2].unreached();
-    all[4].misdirected();
-    let (sights, heard) = lists.sights();
+    all[8].record_activity();
+    all[2].mark_unreachable();
+    all[4].record_misdirected();
+    let (sights, heard) = lists.observations();
     let met: Vec<_> = sights
         .iter()
         .map(|met| (met.list_index, met.unreached, met.replaced))
         .collect();
     assert_eq!(met, [(2, true, false), (4, false, true)]);
     assert_eq!(heard, [0, 1]);
-    assert_eq!(lists.sights().0, []);
+    assert_eq!(lists.observations().0, []);
 }
 
 proptest! {
@@ -356,7 +359,7 @@
             directory.update(list.collect());
             let mut tried = Vec::new();
             let prompt = Prompt::default();
-            while let Some(placed) = directory.place(&want(&prompt, &tried)) {
+            while let Some(placed) = directory.place(&query(&prompt, &tried)) {
                 let run = placed.endpoint.run();
                 let id: usize = run.id[2..].parse().unwrap();
                 prop_assert_eq!(run.start, Some(newest[id]));
@@ -384,16 +387,16 @@
                 *left |= leaving;
             }
             let prompt = Prompt::default();
-            let want = Want {
+            let query = PlacementQuery {
                 service: "voice",
                 prompt: &prompt,
-                lane: Lane::Other,
+                class: LatencyClass::Tolerant,
                 background: false,
-                mixed: false,
+                has_classes: false,
                 tried: &[],
-                apart: None,
+                isolate: None,
             };
-            match directory.place(&want) {
+            match directory.place(&query) {
                 Some(placed) => {
                     let id: usize = placed.endpoint.id[2..].parse().unwrap();
                     prop_assert!(!left[id]);
--- a/crates/direct/tests/all/logged.rs
+++ b/crates/direct/tests/all/logging.rs
@@ -162,7 +162,7 @@
     let entry = Entry::with(&[&endpoint], set).await;
     let kept = TcpStream::connect(entry.callers).await.expect("connects");
     entry.drain.begin();
-    while entry.shared.stopping.get().is_none() {
+    while entry.shared.drain_started.get().is_none() {
         tokio::task::yield_now().await;
     }
     let text = request_as("log-stop", "POST /stream/", "", "");
--- a/crates/direct/tests/all/main.rs
+++ b/crates/direct/tests/all/main.rs
@@ -1,26 +1,25 @@
 //! Integration tests of the direct path: over sockets with scripted endpoints that fail
 //! on command, and for its parts without sockets.
 
-mod ages;
-mod answers;
+mod abandoned;
 mod backoff;
 mod callers;
 mod control;
-mod crashing;
 mod dialect;
 mod endpoint;
 mod entry;
 mod events;
-mod first;
-mod follow;
 mod leaving;
-mod limited;
-mod limits;
-mod lists;
-mod logged;
+mod list_tracker;
+mod logging;
 mod outcomes;
-
+mod placement;
+mod quarantine;
+mod race;
+mod rate_limits;
+mod responses;
+mod route_follower;
 mod settings;
+mod staleness;
 mod streams;
 mod usage;
-mod withdrawn;
--- a/crates/direct/tests/all/limits.rs
+++ b/crates/direct/tests/all/placement.rs
@@ -2,7 +2,7 @@
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::dialect::{EndpointRecord, Prompt};
-use dogwoodhill_direct::directory::{Directory, Lane, Want};
+use dogwoodhill_direct::directory::{Directory, LatencyClass, PlacementQuery};
 use dogwoodhill_wire::demand::{DemandReply, ServiceDemand};
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -19,30 +19,34 @@
     (0..count).map(one).collect()
 }
 
-fn prompt(shared: u64, tokens: u32) -> Prompt {
+fn prompt(prefix: u64, tokens: u32) -> Prompt {
     Prompt {
-        shared: Some(shared),
-        shared_tokens: tokens / 2,
+        prefix: Some(prefix),
+        prefix_tokens: tokens / 2,
         tokens,
-        output: 50,
+        max_output: 50,
     }
 }
 
-fn want<'a>(prompt: &'a Prompt, lane: Lane, tried: &'a [Incarnation]) -> Want<'a> {
-    Want {
+fn query<'a>(
+    prompt: &'a Prompt,
+    class: LatencyClass,
+    tried: &'a [Incarnation],
+) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: "voice",
         prompt,
-        lane,
+        class,
         background: false,
-        mixed: true,
+        has_classes: true,
         tried,
-        apart: None,
+        isolate: None,
     }
 }
 
-fn place(directory: &Directory, want: &Want<'_>) -> Option<String> {
+fn place(directory: &Directory, query: &PlacementQuery<'_>) -> Option<String> {
     directory
-        .place(want)
+        .place(query)
         .map(|placed| placed.endpoint.id.clone())
 }
 
@@ -55,11 +59,13 @@
             directory
         })
         .collect();
-    for shared in 0..50 {
-        let prompt = prompt(shared, 9_000);
+    for prefix in 0..50 {
+        let prompt = prompt(prefix, 9_000);
         let chosen: BTreeSet<_> = entries
             .iter()
-            .map(|directory| place(directory, &want(&prompt, Lane::Other, &[])))
+            .map(|directory| {
+                place(directory, &query(&prompt, LatencyClass::Tolerant, &[]))
+            })
             .collect();
         assert_eq!(chosen.len(), 1, "entries agree without a word");
     }
@@ -69,14 +75,14 @@
 fn place_long_prompts_apart_from_short_pauses() {
     let directory = Directory::new("here".to_string());
     directory.update(listed(12));
-    let of = |lane| {
-        let chosen = (0..200).map(|shared| {
-            let prompt = prompt(shared, 9_000);
-            place(&directory, &want(&prompt, lane, &[])).expect("some")
+    let of = |class| {
+        let chosen = (0..200).map(|prefix| {
+            let prompt = prompt(prefix, 9_000);
+            place(&directory, &query(&prompt, class, &[])).expect("some")
         });
         chosen.collect::<BTreeSet<String>>()
     };
-    assert!(of(Lane::Fragile).is_disjoint(&of(Lane::Other)));
+    assert!(of(LatencyClass::Sensitive).is_disjoint(&of(LatencyClass::Tolerant)));
 }
 
 /// One entry gets short streams and another long prompts. By their own demand, they
@@ -84,21 +90,24 @@
 /// the sums, they reserve the same ones.
 #[test]
 fn place_entries_agree_on_lanes() {
-    let entry = |lane| {
+    let entry = |class| {
         let directory = Directory::new("here".to_string());
         directory.update(listed(34));
         let prompt = prompt(1, 9_000);
-        (0..50).for_each(|_| directory.note(&want(&prompt, lane, &[])));
+        (0..50).for_each(|_| directory.record_demand(&query(&prompt, class, &[])));
         directory
     };
-    let (cues, chapters) = (entry(Lane::Fragile), entry(Lane::Other));
+    let (cues, chapters) = (
+        entry(LatencyClass::Sensitive),
+        entry(LatencyClass::Tolerant),
+    );
     let reserved = |directory: &Directory| {
         let prompt = prompt(1, 9_000);
-        let placed = directory.place(&want(&prompt, Lane::Other, &[]));
+        let placed = directory.place(&query(&prompt, LatencyClass::Tolerant, &[]));
         placed.expect("some").reserved
     };
     assert!(reserved(&cues) > reserved(&chapters) + 10);
-    let told = [cues.demanded(), chapters.demanded()].concat();
+    let told = [cues.demand_report(), chapters.demand_report()].concat();
     let total = ServiceDemand {
         service: "voice".to_string(),
         latency_sensitive: told.iter().map(|one| one.latency_sensitive).sum(),
@@ -113,8 +122,8 @@
     // tries again.
     let both = loop {
         let begun = Instant::now();
-        cues.agree(&totals);
-        chapters.agree(&totals);
+        cues.apply_totals(&totals);
+        chapters.apply_totals(&totals);
         let both = (reserved(&cues), reserved(&chapters));
         if begun.elapsed() < Duration::from_secs(1) {
             break both;
@@ -133,11 +142,14 @@
     let run = |id: &str| Incarnation::new(id, None);
     let tried = [run("endpoint-1")];
     for _ in 0..50 {
-        let chosen = place(&directory, &want(&prompt, Lane::Other, &tried));
+        let chosen = place(&directory, &query(&prompt, LatencyClass::Tolerant, &tried));
         assert_eq!(chosen.as_deref(), Some("endpoint-2"));
     }
     let tried = [run("endpoint-1"), run("endpoint-2")];
-    assert_eq!(place(&directory, &want(&prompt, Lane::Other, &tried)), None);
+    assert_eq!(
+        place(&directory, &query(&prompt, LatencyClass::Tolerant, &tried)),
+        None
+    );
 }
 
 #[test]
@@ -161,11 +173,15 @@
     directory.update(listed(12));
     let prompt = prompt(1, 9_000);
     let fragile: BTreeSet<_> = (0..50)
-        .map(|_| place(&directory, &want(&prompt, Lane::Fragile, &[])).expect("some"))
+        .map(|_| {
+            place(&directory, &query(&prompt, LatencyClass::Sensitive, &[]))
+                .expect("some")
+        })
         .collect();
     for endpoint in directory.all().iter() {
-        endpoint.unreached();
+        endpoint.mark_unreachable();
     }
-    let chosen = place(&directory, &want(&prompt, Lane::Other, &[])).expect("some");
+    let chosen =
+        place(&directory, &query(&prompt, LatencyClass::Tolerant, &[])).expect("some");
     assert!(!fragile.contains(&chosen));
 }
--- a/crates/direct/tests/all/crashing.rs
+++ b/crates/direct/tests/all/quarantine.rs
@@ -14,7 +14,7 @@
 use crate::entry::{Entry, LONG, set};
 use dogwoodhill_core::fingerprint::{Fingerprinter, RequestContent};
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_direct::dialect::{EndpointList, EndpointRecord, Fetch, PageToken};
+use dogwoodhill_direct::dialect::{EndpointList, EndpointRecord, FetchFuture, PageToken};
 use dogwoodhill_route::prelude::*;
 use dogwoodhill_wire::demand::{DEMAND_PATH, DemandReply, SuspectRequest, Suspects};
 use dogwoodhill_wire::routes::StoredRoutes;
@@ -159,7 +159,7 @@
 }
 
 impl EndpointList for Fleet {
-    fn fetch(&self, _: Option<PageToken>) -> Fetch<'_> {
+    fn fetch(&self, _: Option<PageToken>) -> FetchFuture<'_> {
         let listed = self.listed.lock().expect("not poisoned").clone();
         Box::pin(async move { Ok(listed.into()) })
     }
@@ -414,7 +414,7 @@
 #[tokio::test]
 async fn endpoints_that_left_count_for_nothing() {
     let entry = Entry::empty(&[]).await;
-    entry.shared.take_routes(RouteTable::new(set()));
+    entry.shared.activate_routes(RouteTable::new(set()));
     for at in 0..4 {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = socket.local_addr().expect("is bound");
@@ -506,7 +506,7 @@
     let standing = Arc::new(Mutex::new(SuspectRequest::default()));
     let control = saying(Arc::clone(&standing)).await;
     let entry = Entry::following(vec![control]).await;
-    entry.shared.take_routes(RouteTable::new(set()));
+    entry.shared.activate_routes(RouteTable::new(set()));
     entry.list(&[&endpoint]);
     let found = async {
         until("the endpoint has it", async || !endpoint.seen().is_empty()).await;
@@ -535,7 +535,7 @@
     }));
     let control = saying(Arc::clone(&standing)).await;
     let entry = Entry::following(vec![control]).await;
-    entry.shared.take_routes(RouteTable::new(set()));
+    entry.shared.activate_routes(RouteTable::new(set()));
     entry.list(&[&endpoint]);
     until("the entry is told of it", async || {
         entry.shared.suspects.standing(request).crashes == 2
@@ -559,7 +559,7 @@
 async fn endpoint_that_takes_a_connection_while_it_ends_has_ended() {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let entry = Entry::empty(&[]).await;
-    entry.shared.take_routes(RouteTable::new(set()));
+    entry.shared.activate_routes(RouteTable::new(set()));
     entry.shared.directory.update(vec![EndpointRecord {
         run: Incarnation::new("i-0", None),
         service: "service".to_string(),
@@ -592,7 +592,7 @@
     let fleet = Fleet::start(ENDPOINTS).await;
     let list = Box::new(fleet.clone());
     let entry = Entry::start("entry", list, LONG, control).await;
-    entry.shared.take_routes(RouteTable::new(set()));
+    entry.shared.activate_routes(RouteTable::new(set()));
     until("the entry serves", async || {
         entry.call("GET /safe/", "", "").await.status == 200
     })
--- a/crates/direct/tests/all/first.rs
+++ b/crates/direct/tests/all/race.rs
@@ -1,6 +1,6 @@
 //! A response that is ready takes priority over any reason to abandon its endpoint.
 
-use dogwoodhill_direct::first::{First, answer_first};
+use dogwoodhill_direct::race::{Winner, race_response};
 use std::cell::Cell;
 use std::future::{pending, ready};
 
@@ -11,13 +11,13 @@
     for _ in 0..100 {
         let paid = Cell::new(false);
         let leave = async { paid.set(true) };
-        assert_eq!(answer_first(ready(7), leave).await, First::Answer(7));
+        assert_eq!(race_response(ready(7), leave).await, Winner::Response(7));
         assert!(!paid.get());
     }
 }
 
 #[tokio::test]
 async fn answer_first_leaves_without_answer() {
-    let left = answer_first(pending::<u8>(), ready("lost")).await;
-    assert_eq!(left, First::Leave("lost"));
+    let left = race_response(pending::<u8>(), ready("lost")).await;
+    assert_eq!(left, Winner::Abandon("lost"));
 }
--- a/crates/direct/tests/all/limited.rs
+++ b/crates/direct/tests/all/rate_limits.rs
@@ -195,8 +195,8 @@
             ..EndpointLimit::default()
         }],
     };
-    directory.hear_limits(uptime(), &[], Some(&limits), &[]);
-    assert_eq!(directory.limit_news().1, 0, "as if nothing had been told");
+    directory.apply_limits(uptime(), &[], Some(&limits), &[]);
+    assert_eq!(directory.limit_report().1, 0, "as if nothing had been told");
     directory.update(vec![EndpointRecord {
         run,
         service: "service".to_string(),
@@ -205,7 +205,7 @@
         slots: 8,
         leaving: false,
     }]);
-    directory.hear_limits(uptime(), &[], Some(&limits), &[]);
+    directory.apply_limits(uptime(), &[], Some(&limits), &[]);
     assert!(directory.all()[0].is_limited());
-    assert_eq!(directory.limit_news().1, 7);
+    assert_eq!(directory.limit_report().1, 7);
 }
--- a/crates/direct/tests/all/ages.rs
+++ b/crates/direct/tests/all/staleness.rs
@@ -4,12 +4,13 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_direct::dialect::{
-    EndpointList, EndpointRecord, Fetch, ListContent, PageToken, Prompt, Tell,
+    EndpointList, EndpointRecord, FetchFuture, ForwardMeta, ListContent, PageToken,
+    Prompt,
 };
-use dogwoodhill_direct::directory::{Directory, Hold, Standing};
-use dogwoodhill_direct::exchange::{self, Asked, Ended, Outbound};
-use dogwoodhill_direct::listing;
-use dogwoodhill_direct::lists::Lists;
+use dogwoodhill_direct::directory::{AdmissionError, Directory, QueuePosition};
+use dogwoodhill_direct::exchange::{self, OutboundRequest, SendContext, SendOutcome};
+use dogwoodhill_direct::list_reader;
+use dogwoodhill_direct::list_tracker::ListTracker;
 use dogwoodhill_route::prelude::Rank;
 use http::{HeaderMap, Method};
 use std::net::SocketAddr;
@@ -44,9 +45,9 @@
 #[tokio::test(start_paused = true)]
 async fn overdue_list_waits_for_the_next() {
     let directory = Arc::new(Directory::new("here".to_string()));
-    let lists = Arc::new(Lists::new(WITHIN));
+    let lists = Arc::new(ListTracker::new(WITHIN));
     let before = uptime() - WITHIN;
-    lists.read(
+    lists.apply_own_read(
         &directory,
         before,
         Duration::ZERO,
@@ -55,7 +56,7 @@
     let chooses = tokio::spawn({
         let (lists, directory) = (Arc::clone(&lists), Arc::clone(&directory));
         async move {
-            lists.in_time().await;
+            lists.await_current().await;
             directory.all()[0].leaving()
         }
     });
@@ -63,7 +64,7 @@
         yield_now().await;
     }
     assert!(!chooses.is_finished(), "it waits");
-    lists.read(
+    lists.apply_own_read(
         &directory,
         uptime(),
         Duration::ZERO,
@@ -79,19 +80,19 @@
 #[tokio::test(start_paused = true)]
 async fn overdue_list_delays_callers_once() {
     let directory = Directory::new("here".to_string());
-    let lists = Lists::new(WITHIN);
+    let lists = ListTracker::new(WITHIN);
     let before = uptime() - WITHIN;
-    lists.read(
+    lists.apply_own_read(
         &directory,
         before,
         Duration::ZERO,
         vec![listed(nobody(), false)],
     );
     let begun = tokio::time::Instant::now();
-    lists.in_time().await;
+    lists.await_current().await;
     let waited = begun.elapsed();
     assert!(waited >= Duration::from_millis(100));
-    lists.in_time().await;
+    lists.await_current().await;
     assert_eq!(begun.elapsed(), waited, "the next one goes on at once");
     assert!(!directory.all()[0].leaving());
 }
@@ -103,7 +104,7 @@
 }
 
 impl EndpointList for Forgetful {
-    fn fetch(&self, _token: Option<PageToken>) -> Fetch<'_> {
+    fn fetch(&self, _token: Option<PageToken>) -> FetchFuture<'_> {
         if self.calls.fetch_add(1, Ordering::Relaxed) == 0 {
             return Box::pin(std::future::pending());
         }
@@ -118,7 +119,9 @@
 async fn silent_list_asked_again() {
     let list = Forgetful::default();
     let begun = tokio::time::Instant::now();
-    let read = listing::fetch(&list).await.expect("the second call has it");
+    let read = list_reader::fetch(&list)
+        .await
+        .expect("the second call has it");
     assert_eq!(read.endpoints.len(), 1);
     assert_eq!(begun.elapsed(), Duration::from_millis(500));
     assert_eq!(list.calls.load(Ordering::Relaxed), 2);
@@ -135,14 +138,14 @@
     let chosen = Arc::clone(&directory.all()[0]);
     directory.update(vec![listed(address, true)]);
     let prompt = Prompt::default();
-    let outbound = Outbound {
+    let outbound = OutboundRequest {
         method: Method::POST,
         target: "/once/".parse().expect("a path"),
         headers: HeaderMap::new(),
         body: "body".into(),
     };
-    let tell = Tell {
-        left: Duration::from_secs(30),
+    let meta = ForwardMeta {
+        remaining: Duration::from_secs(30),
         endpoint: "i-1",
         workspace: None,
         rank: Rank {
@@ -152,16 +155,19 @@
             workspaces: 1,
         },
         background: false,
-        resume: None,
+        resume_after: None,
     };
-    let asked = Asked {
+    let context = SendContext {
         id: "r-1",
         prompt: &prompt,
-        standing: &Standing::default(),
-        until: tokio::time::Instant::now() + Duration::from_secs(30),
+        position: &QueuePosition::default(),
+        deadline: tokio::time::Instant::now() + Duration::from_secs(30),
     };
-    let ended = exchange::send(&chosen, &Plain, &outbound, &tell, asked).await;
-    assert!(matches!(ended, Ended::Held(Hold::Leaving)), "{ended:?}");
+    let ended = exchange::send(&chosen, &Plain, &outbound, &meta, context).await;
+    assert!(
+        matches!(ended, SendOutcome::NotAdmitted(AdmissionError::Leaving)),
+        "{ended:?}"
+    );
     let (mut stream, _) = socket.accept().await.expect("it connected");
     let mut bytes = Vec::new();
     stream
--- a/crates/direct/tests/all/usage.rs
+++ b/crates/direct/tests/all/usage.rs
@@ -43,7 +43,7 @@
     let entry = Entry::counting(&[&endpoint], vec![instance.address], windows).await;
     let mut set = set();
     set.workspaces = Some(vec![demo()]);
-    entry.shared.take_routes(RouteTable::new(set));
+    entry.shared.activate_routes(RouteTable::new(set));
     (entry, instance, endpoint)
 }
 
--- a/crates/load/src/slopes/placement.rs
+++ b/crates/load/src/slopes/placement.rs
@@ -4,7 +4,9 @@
 use super::Table;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::dialect::{EndpointRecord, Prompt};
-use dogwoodhill_direct::directory::{Directory, Lane, Standing, Want};
+use dogwoodhill_direct::directory::{
+    Directory, LatencyClass, PlacementQuery, QueuePosition,
+};
 use hdrhistogram::Histogram;
 use std::time::Instant;
 
@@ -30,8 +32,8 @@
         ],
     );
     for size in SIZES {
-        let prompts = one(size, Lane::Other);
-        let streams = one(size, Lane::Fragile);
+        let prompts = one(size, LatencyClass::Tolerant);
+        let streams = one(size, LatencyClass::Sensitive);
         let micros = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
         table.add(&[
             size as f64,
@@ -44,28 +46,28 @@
     table
 }
 
-fn one(size: usize, lane: Lane) -> Histogram<u64> {
+fn one(size: usize, class: LatencyClass) -> Histogram<u64> {
     let directory = Directory::new("domain-0".to_string());
     directory.update((0..size).map(listed).collect());
-    let standing = Standing::default();
+    let position = QueuePosition::default();
     let mut under_way = std::collections::VecDeque::new();
     let mut histogram = Histogram::new(3).expect("a valid precision");
     for number in 0..DECISIONS {
         let prompt = prompt(number);
-        let want = Want {
+        let query = PlacementQuery {
             service: "voice",
             prompt: &prompt,
-            lane,
+            class,
             background: false,
-            mixed: true,
+            has_classes: true,
             tried: &[],
-            apart: None,
+            isolate: None,
         };
-        directory.note(&want);
+        directory.record_demand(&query);
         let begun = Instant::now();
-        let placed = directory.place(&want).expect("endpoints are listed");
+        let placed = directory.place(&query).expect("endpoints are listed");
         let _ = histogram.record(begun.elapsed().as_nanos() as u64);
-        under_way.push_back(placed.endpoint.enter(&prompt, &standing));
+        under_way.push_back(placed.endpoint.begin_request(&prompt, &position));
         if under_way.len() > size * UNDER_WAY {
             under_way.pop_front();
         }
@@ -86,9 +88,9 @@
 
 fn prompt(number: u64) -> Prompt {
     Prompt {
-        shared: Some(number % SHARED),
-        shared_tokens: 6_300,
+        prefix: Some(number % SHARED),
+        prefix_tokens: 6_300,
         tokens: 9_190,
-        output: 200,
+        max_output: 200,
     }
 }
--- a/crates/load/src/slopes/routes.rs
+++ b/crates/load/src/slopes/routes.rs
@@ -6,7 +6,9 @@
 use crate::slopes::recovery::Alone;
 use dogwoodhill_control::command::Action;
 use dogwoodhill_core::prelude::*;
-use dogwoodhill_direct::follow::{Control, Fetching, Follower, RouteSink};
+use dogwoodhill_direct::route_follower::{
+    ControlAddresses, FetchState, RouteFollower, RouteSink,
+};
 use dogwoodhill_policy::transfer::Text;
 use dogwoodhill_wire::client::PeerClient;
 use dogwoodhill_wire::routes::StoredRoutes;
@@ -45,7 +47,7 @@
         (version > 0).then_some(version)
     }
 
-    fn count(&self, _: u32) {}
+    fn set_entries(&self, _: u32) {}
 
     fn take(&self, text: &Text, _: Duration) {
         self.version.store(text.version, Ordering::Relaxed);
@@ -54,7 +56,7 @@
         let _ = self.told.send(());
     }
 
-    fn missed(&self, _: &str) {}
+    fn piece_failed(&self, _: &str) {}
 }
 
 /// Measures the route sets of many entries in this process, packed as they are in use,
@@ -99,18 +101,18 @@
     let mut tasks = JoinSet::new();
     for number in 0..size {
         let name = format!("entry-{number}");
-        let follower = Follower {
+        let follower = RouteFollower {
             sink: Arc::new(Counting {
                 version: AtomicU64::new(0),
                 bytes: Arc::clone(&bytes),
                 told: told.clone(),
             }),
             caller: PeerClient::new(alone.secret.clone()),
-            fetching: Fetching::new(&name),
+            fetch_state: FetchState::new(&name),
             name,
-            control: Mutex::new(Control {
+            control: Mutex::new(ControlAddresses {
                 seeds: vec![alone.internal],
-                told: Vec::new(),
+                announced: Vec::new(),
             }),
         };
         tasks.spawn(Arc::new(follower).run());
