--- a/crates/direct/src/control_sync.rs
+++ b/crates/direct/src/control_sync.rs
@@ -73,7 +73,7 @@
                 .info();
         }
         match result {
-            Ok(totals) => shared.directory.apply_totals(&totals),
+            Ok(reply) => shared.directory.apply_totals(&reply),
             // Without control, the entry relies on its own observations.
             Err(_) => {
                 shared.suspects.control_failed();
@@ -151,33 +151,31 @@
     for address in instances.into_iter().take(MAX_INSTANCES) {
         report.echo = stamps.echo(address);
         let run = report.echo.map_or(0, |echo| echo.stamp.run);
-        let observations = shared.suspects.report(run);
-        report.losses.clone_from(&observations.losses);
-        report.served.clone_from(&observations.served);
-        report.suspects_mark = observations.mark;
+        let suspect_report = shared.suspects.report(run);
+        report.losses.clone_from(&suspect_report.losses);
+        report.served.clone_from(&suspect_report.served);
+        report.suspects_mark = suspect_report.mark;
         let sent_at = uptime();
-        let call = follower.caller.call(address, DEMAND_PATH, &report);
+        let call = follower.client.call(address, DEMAND_PATH, &report);
         let result: Result<Result<DemandReply, CallError>, _> =
             timeout(call_timeout, call).await;
         error = match result {
-            Ok(Ok(mut totals)) => {
-                stamps.record(address, totals.stamp, sent_at);
+            Ok(Ok(mut reply)) => {
+                stamps.record(address, reply.stamp, sent_at);
                 shared
                     .suspects
-                    .acknowledged(totals.stamp.run, &observations);
-                shared.suspects.apply_control(totals.suspects.take());
+                    .acknowledged(reply.stamp.run, &suspect_report);
+                shared.suspects.apply_control(reply.suspects.take());
                 shared.directory.apply_limits(
                     sent_at,
                     &report.limits,
-                    totals.limits.as_ref(),
-                    &totals.permits,
+                    reply.limits.as_ref(),
+                    &reply.permits,
                 );
-                shared.list_tracker.apply_control(
-                    &shared.directory,
-                    sent_at,
-                    &mut totals,
-                );
-                return Ok(totals);
+                shared
+                    .list_tracker
+                    .apply_control(&shared.directory, sent_at, &mut reply);
+                return Ok(reply);
             }
             Ok(Err(error)) => SyncError::Failed(error),
             Err(_) => SyncError::TimedOut(address),
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -143,7 +143,7 @@
         "the list names {after} endpoints in place of {before}; check whoever keeps it"
     )]
     #[error(ignore)]
-    Doubtful {
+    Shrunk {
         /// Endpoints in use.
         before: usize,
         /// Endpoints in the rejected list.
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -127,7 +127,7 @@
         };
         let follower = Arc::new(RouteFollower {
             sink: Arc::new(sink),
-            caller: PeerClient::new(settings.secret.clone()),
+            client: PeerClient::new(settings.secret.clone()),
             name: settings.name.clone(),
             control: Mutex::new(control),
             fetch_state: FetchState::new(&settings.name),
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -58,13 +58,13 @@
     pub service: &'a str,
     /// Size and shared prefix of the prompt.
     pub prompt: &'a Prompt,
-    /// Lane of the request.
+    /// Latency class of the request.
     pub class: LatencyClass,
     /// Whether the request yields to those of its tier that can still meet their
     /// objective.
     pub background: bool,
-    /// Whether the service has requests of both lanes.
-    pub has_classes: bool,
+    /// Whether endpoints are reserved for the service's latency-sensitive streams.
+    pub separate_classes: bool,
     /// Endpoints already tried.
     pub tried: &'a [Incarnation],
     /// Fingerprint of a request suspected of crashing endpoints. It is placed away from
@@ -77,7 +77,7 @@
 pub struct Placement {
     /// The chosen endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Trust in the endpoint at the time of the choice.
+    /// Health of the endpoint at the time of the choice.
     pub health: Health,
     /// Endpoints of the service that are not leaving.
     pub known: usize,
@@ -85,7 +85,7 @@
     pub reserved: usize,
 }
 
-/// Class of requests, with endpoints preferred for it.
+/// Latency class of a request, which determines the endpoints preferred for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LatencyClass {
     /// Latency-sensitive streams; their endpoints are kept free of long prompts.
@@ -165,7 +165,7 @@
                 Some(known) => Arc::clone(known),
                 None => self.add_endpoint(old, run, listed),
             };
-            endpoint.learn_start(run.start);
+            endpoint.set_process_start(run.start);
             endpoint.update_leaving(leaving);
             Some(endpoint)
         });
@@ -205,8 +205,8 @@
     }
 
     /// Chooses an endpoint. Sound endpoints are preferred to failing ones, and those to
-    /// silent ones; among equally trusted ones, those of the request's lane are
-    /// preferred.
+    /// silent ones; among equally healthy ones, those for the request's latency class
+    /// are preferred.
     pub fn place(&self, query: &PlacementQuery<'_>) -> Option<Placement> {
         let snapshot = self.snapshot.load();
         let group = snapshot.group(query.service)?;
@@ -215,13 +215,14 @@
             return self.place_isolated(query, group, request);
         }
         let reserved = self.reserved(query, known);
-        let (fragile, rest) = (0..reserved, reserved..known);
+        let (sensitive, rest) = (0..reserved, reserved..known);
         let (own, others) = match query.class {
-            LatencyClass::Sensitive => (fragile, rest),
-            LatencyClass::Tolerant => (rest, fragile),
+            LatencyClass::Sensitive => (sensitive, rest),
+            LatencyClass::Tolerant => (rest, sensitive),
         };
         let own = self.evaluate_range(query, group, own);
-        // The other lane is considered only if the own one has no sound endpoint.
+        // Endpoints for the other class are considered only if the own ones include no
+        // sound endpoint.
         let sound = own
             .iter()
             .any(|evaluation| evaluation.health == Health::Sound);
@@ -230,10 +231,9 @@
         } else {
             self.evaluate_range(query, group, others)
         };
-        // Long prompts stay out of the other lane while any endpoint of their own is
-        // left, even a silent one: under load, silence is mostly queueing, and a long
-        // prompt would delay streams that are more urgent. Short prompts do no harm in
-        // either lane.
+        // Long prompts stay off the reserved endpoints while any other one is left, even
+        // a silent one: under load, silence is mostly queueing, and a long prompt would
+        // delay streams that are more urgent. Short prompts do no harm anywhere.
         let preference = match query.class {
             LatencyClass::Tolerant => [
                 (Health::Sound, &own),
@@ -301,8 +301,8 @@
     pub fn admits_in(&self, service: &str) -> Option<Duration> {
         let snapshot = self.snapshot.load();
         let group = snapshot.group(service)?;
-        let staying = group.iter().filter(|endpoint| !endpoint.leaving());
-        staying.map(|endpoint| endpoint.admits_in()).min()
+        let remaining = group.iter().filter(|endpoint| !endpoint.leaving());
+        remaining.map(|endpoint| endpoint.admits_in()).min()
     }
 
     /// Evaluates the usable endpoints of a range.
@@ -321,8 +321,8 @@
         };
         match query.class {
             LatencyClass::Sensitive => {
-                let some = group.window(range, self.window_offset);
-                some.filter_map(evaluate).collect()
+                let window = group.window(range, self.window_offset);
+                window.filter_map(evaluate).collect()
             }
             LatencyClass::Tolerant => {
                 let key = query.prompt.prefix.unwrap_or_else(rand::random);
@@ -365,7 +365,7 @@
     }
 }
 
-/// Chooses among equally trusted endpoints.
+/// Chooses among equally healthy endpoints.
 fn choose<'a>(
     query: &PlacementQuery<'_>,
     evaluations: Vec<&Evaluation<'a>>,
@@ -388,16 +388,16 @@
 /// as are needed. The less busy of two random candidates wins: if all entries took the
 /// first endpoint with room, they would all take the same one.
 fn choose_packed<'a>(mut evaluations: Vec<&Evaluation<'a>>) -> Option<&'a Arc<Endpoint>> {
-    let slow_from = event_gap::slow_threshold(
+    let slow_threshold = event_gap::slow_threshold(
         evaluations
             .iter()
             .filter_map(|evaluation| evaluation.event_gap),
     );
     evaluations.sort_by_key(|evaluation| {
-        evaluation.event_gap.is_some_and(|pace| pace > slow_from)
+        evaluation.event_gap.is_some_and(|gap| gap > slow_threshold)
     });
     let fast = evaluations.partition_point(|evaluation| {
-        evaluation.event_gap.is_none_or(|pace| pace <= slow_from)
+        evaluation.event_gap.is_none_or(|gap| gap <= slow_threshold)
     });
     let used = packing::endpoints_used(
         evaluations.iter().map(|evaluation| evaluation.occupancy),
@@ -406,12 +406,12 @@
     let mut random = rand::rng();
     let mut draw = || (used > 0).then(|| evaluations[random.random_range(0..used)]);
     let (a, b) = (draw()?, draw()?);
-    let less = if a.occupancy.busy <= b.occupancy.busy {
+    let less_busy = if a.occupancy.busy <= b.occupancy.busy {
         a
     } else {
         b
     };
-    Some(less.endpoint)
+    Some(less_busy.endpoint)
 }
 
 /// Finds an endpoint by name in `all`, which is sorted by name.
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -62,7 +62,7 @@
             return;
         }
         let now = uptime();
-        let left = {
+        let remaining = {
             let mut backoff = self.backoff();
             backoff.record(now, retry);
             backoff.remaining(now).unwrap_or_default()
@@ -72,7 +72,7 @@
             .field("endpoint", self.run())
             .field("service", &self.service)
             .field("retry", retry)
-            .field("left_ms", left.as_millis())
+            .field("left_ms", remaining.as_millis())
             .info();
     }
 
@@ -92,8 +92,8 @@
     }
 
     /// Applies the limit that control derived from the reports of all entries.
-    pub(super) fn apply_shared_limit(&self, observed: Observation) {
-        self.change_limit("control", |permits| permits.merge(observed));
+    pub(super) fn apply_shared_limit(&self, observation: Observation) {
+        self.change_limit("control", |permits| permits.merge(observation));
     }
 
     fn change_limit(&self, by: &str, change: impl FnOnce(&mut Permits) -> bool) {
@@ -122,15 +122,15 @@
 
     /// Whether the endpoint admits a request now.
     pub(super) fn admits(&self) -> bool {
-        let accepting = self.check_available().is_ok();
-        accepting && (!self.is_limited() || self.permits().demand(uptime()))
+        let available = self.check_available().is_ok();
+        available && (!self.is_limited() || self.permits().demand(uptime()))
     }
 
     /// Time until the endpoint is expected to admit a request.
     pub(super) fn admits_in(&self) -> Duration {
-        let rest = self.remaining_backoff().unwrap_or_default();
-        let ready = !self.is_limited() || self.permits().is_available(uptime());
-        rest.max(if ready {
+        let backoff = self.remaining_backoff().unwrap_or_default();
+        let permitted = !self.is_limited() || self.permits().is_available(uptime());
+        backoff.max(if permitted {
             Duration::ZERO
         } else {
             PERMIT_RETRY_DELAY
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -13,6 +13,7 @@
 /// Endpoint time per generated token, in seconds: a decoding step of 6.5 ms shared by
 /// some thirty streams.
 const TOKEN_TIME_S: f64 = 0.000_2;
+
 /// Demand for one service, and its queue of prompts awaiting prefill.
 #[derive(Debug, Default)]
 pub(super) struct DemandState {
@@ -38,14 +39,15 @@
 }
 
 impl Directory {
-    /// Records the work of a request, which determines the sizes of the lanes.
+    /// Records the work of a request, which determines how many endpoints are
+    /// reserved for latency-sensitive streams.
     pub fn record_demand(&self, query: &PlacementQuery<'_>) {
         let now = self.start.elapsed();
-        let reading = self
+        let prefill = self
             .prefill_rate(query.service)
             .prefill_time(f64::from(query.prompt.tokens));
-        let writing = f64::from(query.prompt.max_output) * TOKEN_TIME_S;
-        let work = reading + Duration::from_secs_f64(writing);
+        let decode = f64::from(query.prompt.max_output) * TOKEN_TIME_S;
+        let work = prefill + Duration::from_secs_f64(decode);
         let mut all = self.demand();
         let demand = DemandState::entry(&mut all, query.service);
         let sensitive = query.class == LatencyClass::Sensitive;
@@ -62,21 +64,21 @@
     ) -> bool {
         let now = self.start.elapsed();
         let mut all = self.demand();
-        let disturbance = &mut DemandState::entry(&mut all, service).interference;
+        let interference = &mut DemandState::entry(&mut all, service).interference;
         if shortest >= longest {
             return false;
         }
-        if disturbance.decide(now, shortest) {
-            let known = disturbance.estimate(now).unwrap_or_default();
+        if interference.decide(now, shortest) {
+            let estimate = interference.estimate(now).unwrap_or_default();
             Event::new("streams-apart")
                 .field("service", service)
-                .field("apart", disturbance.separate())
+                .field("apart", interference.separate())
                 .field("pause_ms", shortest.as_millis())
-                .field("disturbed_ms", known.as_millis())
-                .field("streams", disturbance.local_estimate(now).1)
+                .field("disturbed_ms", estimate.as_millis())
+                .field("streams", interference.local_estimate(now).1)
                 .info();
         }
-        disturbance.separate()
+        interference.separate()
     }
 
     /// Records the longest pause of a completed stream.
@@ -127,7 +129,7 @@
 
     /// Number of endpoints reserved for latency-sensitive streams.
     pub(super) fn reserved(&self, query: &PlacementQuery<'_>, endpoints: usize) -> usize {
-        if !query.has_classes {
+        if !query.separate_classes {
             return 0;
         }
         let mut all = self.demand();
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -1,6 +1,6 @@
 //! State of one endpoint as estimated by an entry.
 //!
-//! All of it is an estimate: trust, queueing delay, speed, and the prompt prefixes in its
+//! All of it is an estimate: health, queueing delay, speed, and the prompt prefixes in its
 //! cache. It is derived from this entry's own requests and from load reported in
 //! responses.
 
@@ -45,7 +45,7 @@
     /// Name; the start is part of [`Endpoint::run`].
     pub id: EndpointId,
     /// Start of the process, once known.
-    born: OnceLock<StartTime>,
+    process_start: OnceLock<StartTime>,
     /// Service that the endpoint runs.
     pub service: ServiceId,
     /// Address for requests.
@@ -74,7 +74,7 @@
 pub(super) struct Evaluation<'a> {
     /// The endpoint.
     pub(super) endpoint: &'a Arc<Endpoint>,
-    /// Current trust.
+    /// Current health.
     pub(super) health: Health,
     /// For placing prompts by prefix and wait.
     pub(super) candidate: Candidate,
@@ -87,7 +87,7 @@
 /// Estimated state of an endpoint.
 #[derive(Debug)]
 struct Estimates {
-    health: HealthRecord,
+    record: HealthRecord,
     load: Load,
     load_time: Duration,
     own_active: u32,
@@ -132,7 +132,7 @@
             // By name only, so that prefixes map to the same endpoint after its restart,
             // and at entries that have not received its start.
             hash: affinity::hash(listed.run.id.as_bytes()),
-            born: listed.run.start.map_or_else(OnceLock::new, OnceLock::from),
+            process_start: listed.run.start.map_or_else(OnceLock::new, OnceLock::from),
             id: listed.run.id,
             service: listed.service,
             address: listed.address,
@@ -144,7 +144,7 @@
             start,
             prefill_rate,
             estimates: Mutex::new(Estimates {
-                health: HealthRecord::default(),
+                record: HealthRecord::default(),
                 load: Load::default(),
                 load_time: Duration::ZERO,
                 own_active: 0,
@@ -160,12 +160,12 @@
 
     /// The run of the process.
     pub fn run(&self) -> Incarnation {
-        Incarnation::new(self.id.clone(), self.born.get().copied())
+        Incarnation::new(self.id.clone(), self.process_start.get().copied())
     }
 
     /// Whether `run` may be this one; an unknown start matches any.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
-        let same = match (self.born.get(), run.start) {
+        let same = match (self.process_start.get(), run.start) {
             (Some(own), Some(other)) => *own == other,
             _ => true,
         };
@@ -180,9 +180,9 @@
     }
 
     /// Sets the start if it was unknown.
-    pub(super) fn learn_start(&self, born: Option<StartTime>) {
-        if let Some(born) = born {
-            self.born.get_or_init(|| born);
+    pub(super) fn set_process_start(&self, process_start: Option<StartTime>) {
+        if let Some(process_start) = process_start {
+            self.process_start.get_or_init(|| process_start);
         }
     }
 
@@ -201,7 +201,7 @@
 
     /// Called when another run responded to a request meant for this one.
     pub fn record_misdirected(&self) {
-        self.estimates().health.replaced();
+        self.estimates().record.replaced();
         self.mark_replaced();
     }
 
@@ -214,13 +214,13 @@
         let now = self.start.elapsed();
         let rate = self.prefill_rate();
         let mut estimates = self.estimates();
-        estimates.health.sent(now);
+        estimates.record.sent(now);
         estimates.own_active += 1;
-        let fresh = prompt.tokens.saturating_sub(prompt.prefix_tokens);
-        let known = prompt
+        let suffix_tokens = prompt.tokens.saturating_sub(prompt.prefix_tokens);
+        let cached = prompt
             .prefix
             .is_some_and(|key| estimates.remember_prefix(key, now));
-        let tokens = if known { fresh } else { prompt.tokens };
+        let tokens = if cached { suffix_tokens } else { prompt.tokens };
         let ahead = estimates.queue_wait.tokens_ahead(position.background);
         let expected =
             estimates.prefill_time(rate, ahead + f64::from(tokens)) + FIRST_EVENT_TIME;
@@ -233,7 +233,7 @@
             endpoint: Arc::clone(self),
             position: position.clone(),
             uncached_tokens: f64::from(tokens),
-            exclusive_prefix: known || prompt.prefix_tokens == 0,
+            tokens_exact: cached || prompt.prefix_tokens == 0,
             expected,
             sent_at: now,
             awaiting_prefill: true,
@@ -245,13 +245,13 @@
     /// Records that bytes arrived.
     pub fn record_activity(&self) {
         let now = self.start.elapsed();
-        self.estimates().health.received(now);
+        self.estimates().record.received(now);
     }
 
     /// Time since the last bytes arrived; `None` if there never were any.
     pub fn silence(&self) -> Option<Duration> {
         let now = self.start.elapsed();
-        self.estimates().health.idle_time(now)
+        self.estimates().record.idle_time(now)
     }
 
     /// Whether the process has ended since `broke`, when a connection to it broke, so
@@ -301,30 +301,30 @@
         }
     }
 
-    /// Records the result of a response.
+    /// Records whether a request failed at the endpoint.
     pub fn record_outcome(&self, failed: bool) {
         let now = self.start.elapsed();
-        self.estimates().health.record_outcome(now, failed);
+        self.estimates().record.record_outcome(now, failed);
     }
 
     /// Records that a request timed out; `failed` marks a wait long enough to count as a
     /// failure.
     pub fn record_timeout(&self, failed: bool) {
         let now = self.start.elapsed();
-        self.estimates().health.timed_out(now, failed);
+        self.estimates().record.timed_out(now, failed);
     }
 
     /// Records that the endpoint is unreachable or has been silent for too long.
     pub fn mark_unreachable(&self) {
         let now = self.start.elapsed();
-        self.estimates().health.mark_unreachable(now);
+        self.estimates().record.mark_unreachable(now);
         self.pool.clear();
     }
 
     /// Records that a connection attempt got no reply.
     pub fn connect_timed_out(&self) {
         let now = self.start.elapsed();
-        self.estimates().health.connect_timed_out(now);
+        self.estimates().record.connect_timed_out(now);
         self.pool.clear();
     }
 
@@ -333,13 +333,13 @@
     pub fn should_abandon(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
-        self.estimates().health.should_abandon(now, sent)
+        self.estimates().record.should_abandon(now, sent)
     }
 
     /// Records that the process has restarted as another endpoint.
     pub(super) fn mark_superseded(&self) {
         let now = self.start.elapsed();
-        self.estimates().health.mark_superseded(now);
+        self.estimates().record.mark_superseded(now);
     }
 
     /// Records a pause before an event of a latency-sensitive stream.
@@ -359,7 +359,7 @@
     /// Observations since the last report to control, if any.
     pub(crate) fn take_sighting(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
-        self.estimates().health.take_sighting(now)
+        self.estimates().record.take_sighting(now)
     }
 
     /// Applies the verdict of all entries; `None` if there is none.
@@ -368,13 +368,13 @@
             self.mark_replaced();
         }
         let now = self.start.elapsed();
-        self.estimates().health.set_verdict(now, verdict);
+        self.estimates().record.set_verdict(now, verdict);
     }
 
-    /// Current trust in the endpoint.
+    /// Current health of the endpoint.
     pub fn health(&self) -> Health {
         let now = self.start.elapsed();
-        self.estimates().health.health(now)
+        self.estimates().record.health(now)
     }
 
     /// Evaluates the endpoint for a request.
@@ -388,7 +388,7 @@
         let estimates = self.estimates();
         Evaluation {
             endpoint: self,
-            health: estimates.health.health(now),
+            health: estimates.record.health(now),
             candidate: self.candidate(&estimates, query, domain, now, rate),
             occupancy: Occupancy {
                 busy: estimates.active_requests(now),
@@ -408,14 +408,14 @@
     ) -> Candidate {
         let prompt = query.prompt;
         let last_sent = prompt.prefix.and_then(|key| {
-            let at = estimates
+            let index = estimates
                 .prefixes
                 .binary_search_by_key(&key, |item| item.0)
                 .ok()?;
-            Some(now.saturating_sub(estimates.prefixes[at].1))
+            Some(now.saturating_sub(estimates.prefixes[index].1))
         });
-        let reads = prompt.tokens > 0 && query.class == LatencyClass::Tolerant;
-        let wait = if reads {
+        let needs_prefill = prompt.tokens > 0 && query.class == LatencyClass::Tolerant;
+        let wait = if needs_prefill {
             estimates.predicted_wait(now, rate, query.background)
         } else {
             self.contention_cost(estimates, now)
@@ -471,12 +471,12 @@
     /// Remembers a prefix; returns whether it was already remembered.
     fn remember_prefix(&mut self, key: u64, now: Duration) -> bool {
         match self.prefixes.binary_search_by_key(&key, |item| item.0) {
-            Ok(at) => {
-                self.prefixes[at].1 = now;
+            Ok(index) => {
+                self.prefixes[index].1 = now;
                 true
             }
-            Err(at) => {
-                self.prefixes.insert(at, (key, now));
+            Err(index) => {
+                self.prefixes.insert(index, (key, now));
                 if self.prefixes.len() > MAX_PREFIXES {
                     self.evict_oldest_prefix();
                 }
@@ -491,8 +491,8 @@
             .iter()
             .enumerate()
             .min_by_key(|(_, item)| item.1);
-        if let Some(at) = oldest.map(|(at, _)| at) {
-            self.prefixes.remove(at);
+        if let Some(index) = oldest.map(|(index, _)| index) {
+            self.prefixes.remove(index);
         }
     }
 }
@@ -503,8 +503,9 @@
     endpoint: Arc<Endpoint>,
     position: QueuePosition,
     uncached_tokens: f64,
-    /// Whether the prefix cannot have been cached there by another entry's request.
-    exclusive_prefix: bool,
+    /// Whether `uncached_tokens` is exact: no other entry's request can have put the
+    /// prefix into the cache.
+    tokens_exact: bool,
     expected: Duration,
     sent_at: Duration,
     awaiting_prefill: bool,
@@ -538,20 +539,20 @@
         estimates
             .queue_wait
             .dequeued(self.sent_at, self.uncached_tokens, background);
-        estimates.health.record_first_byte(took);
+        estimates.record.record_first_byte(took);
         if background {
             return;
         }
         let rate = {
             let mut rate = self.endpoint.lock_rate();
-            if self.exclusive_prefix {
+            if self.tokens_exact {
                 rate.observe(self.uncached_tokens, took.saturating_sub(FIRST_EVENT_TIME));
             }
             *rate
         };
-        let reading =
+        let prefill =
             estimates.prefill_time(rate, self.uncached_tokens) + FIRST_EVENT_TIME;
-        let waited = took.saturating_sub(reading);
+        let waited = took.saturating_sub(prefill);
         estimates.queue_wait.record(now, waited);
         self.position.record_wait(now, waited);
         let ratio = took.as_secs_f64() / self.expected.as_secs_f64();
@@ -566,7 +567,7 @@
             return;
         }
         let mut estimates = self.endpoint.estimates();
-        estimates.health.ended(self.responded);
+        estimates.record.ended(self.responded);
         estimates.own_active = estimates.own_active.saturating_sub(1);
         if std::mem::take(&mut self.awaiting_prefill) {
             let background = self.position.background;
--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -24,11 +24,11 @@
     pub fn limit_report(&self) -> (Vec<EndpointLimit>, u64) {
         let now = uptime();
         let all = self.all();
-        let news = all.iter().filter_map(|endpoint| {
-            let news = endpoint.limit_report(now)?;
-            Some(EndpointLimit::new(now, endpoint.run(), news))
+        let report = all.iter().filter_map(|endpoint| {
+            let report = endpoint.limit_report(now)?;
+            Some(EndpointLimit::new(now, endpoint.run(), report))
         });
-        (news.collect(), self.limit_sync().mark)
+        (report.collect(), self.limit_sync().mark)
     }
 
     /// Applies a response of control to a report that was sent at `requested_at` with the
@@ -40,8 +40,8 @@
         limits: Option<&EndpointLimits>,
         permits: &[EndpointPermits],
     ) {
-        let was_lost = self.limit_sync().failing_since.take().is_some();
-        if was_lost {
+        let was_failing = self.limit_sync().failing_since.take().is_some();
+        if was_failing {
             let all = self.all();
             all.iter().for_each(|endpoint| endpoint.end_autonomy());
         }
@@ -69,8 +69,8 @@
         let Some(endpoint) = self.find_run(&limit.run) else {
             return false;
         };
-        if let Some(news) = limit.read(requested_at) {
-            endpoint.apply_shared_limit(news.observed);
+        if let Some(report) = limit.read(requested_at) {
+            endpoint.apply_shared_limit(report.observed);
         }
         true
     }
--- a/crates/direct/src/directory/snapshot.rs
+++ b/crates/direct/src/directory/snapshot.rs
@@ -87,14 +87,14 @@
                     first.sort_unstable_by(|a, b| b.cmp(a));
                 }
             } else if rank > first[MAX_CANDIDATES - 1] {
-                let place = first.partition_point(|other| *other > rank);
-                first.insert(place, rank);
+                let position = first.partition_point(|other| *other > rank);
+                first.insert(position, rank);
                 first.truncate(MAX_CANDIDATES);
             }
         }
-        let mut places: Vec<usize> = first.into_iter().map(|(_, at)| at).collect();
-        places.sort_unstable();
-        places.into_iter().map(|at| &self.endpoints[at])
+        let mut indices: Vec<usize> = first.into_iter().map(|(_, at)| at).collect();
+        indices.sort_unstable();
+        indices.into_iter().map(|at| &self.endpoints[at])
     }
 
     /// A contiguous window of the endpoints in `range`. If there are more than one
@@ -111,8 +111,8 @@
         } else {
             0
         };
-        let places = (0..count.min(MAX_CANDIDATES))
+        let indices = (0..count.min(MAX_CANDIDATES))
             .map(move |i| range.start + (start + i) % count);
-        places.map(|at| &self.endpoints[at])
+        indices.map(|at| &self.endpoints[at])
     }
 }
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -72,7 +72,7 @@
     outbound: OutboundRequest,
     fingerprint: Fingerprint,
     service: ServiceId,
-    has_classes: bool,
+    separate_classes: bool,
     class: LatencyClass,
     position: QueuePosition,
     tried: Vec<Incarnation>,
@@ -103,7 +103,7 @@
 impl Dispatch {
     pub(crate) fn new(
         shared: Arc<SharedState>,
-        prepared: AdmittedRequest,
+        request: AdmittedRequest,
         mut record: RequestRecord,
         drain_guard: Busy,
     ) -> Self {
@@ -114,7 +114,7 @@
             meta,
             admitted,
             fingerprint,
-        } = prepared;
+        } = request;
         let service = pick_service(&admitted.route);
         record.route.clone_from(&admitted.route.name);
         record.service.clone_from(&service);
@@ -125,17 +125,17 @@
         record.fingerprint = short_form(fingerprint);
         shared.credit_resend(&service);
         let (shortest, longest) = table.pauses(&service).unwrap_or_default();
-        let has_classes = shared
+        let separate_classes = shared
             .directory
             .separates_classes(&service, shortest, longest);
         let events = admitted.route.events;
         let sensitive =
-            has_classes && events.is_some_and(|events| events.pause <= shortest);
+            separate_classes && events.is_some_and(|events| events.pause <= shortest);
         let usage = shared.usage.clone();
         let start_counter =
             Arc::new(StartCounter::new(usage, admitted.workspace.clone()));
         let mut dispatch = Self {
-            has_classes,
+            separate_classes,
             class: if sensitive {
                 LatencyClass::Sensitive
             } else {
@@ -185,7 +185,7 @@
             prompt: &self.meta.prompt,
             class: self.class,
             background: self.position.background,
-            has_classes: self.has_classes,
+            separate_classes: self.separate_classes,
             tried: &self.tried,
             isolate: self.suspected.then_some(self.fingerprint),
         }
@@ -220,25 +220,25 @@
 
     /// Sends the request and responds to the caller.
     pub(crate) async fn run(mut self) -> Response<ResponseBody> {
-        if let Some(left) = self.quarantine_left().await {
-            return self.refuse_with_delay(RefusalCause::Quarantined, Some(left));
+        if let Some(remaining) = self.quarantine_left().await {
+            return self.refuse_with_delay(RefusalCause::Quarantined, Some(remaining));
         }
         loop {
             match self.send_until_response().await {
                 DispatchResult::Refuse(cause) => return self.refuse(cause),
-                DispatchResult::Response(answer) if self.is_stream(&answer) => {
-                    match self.start_stream(EventSource::new(*answer)).await {
+                DispatchResult::Response(response) if self.is_stream(&response) => {
+                    match self.start_stream(EventSource::new(*response)).await {
                         StreamStart::Responded(response) => return response,
                         StreamStart::Lost(dispatch) => self = *dispatch,
                     }
                 }
-                DispatchResult::Response(answer) => {
-                    let endpoint = Arc::clone(answer.in_flight.endpoint());
-                    match answer.read_body(self.deadline).await {
-                        Ok(whole) if self.may_succeed_elsewhere(whole.status) => {
+                DispatchResult::Response(response) => {
+                    let endpoint = Arc::clone(response.in_flight.endpoint());
+                    match response.read_body(self.deadline).await {
+                        Ok(complete) if self.may_succeed_elsewhere(complete.status) => {
                             self.log_endpoint_left(
                                 &endpoint,
-                                format!("status-{}", whole.status.as_u16()),
+                                format!("status-{}", complete.status.as_u16()),
                             );
                             match self.send_until_response().await {
                                 DispatchResult::Response(second)
@@ -246,16 +246,18 @@
                                 {
                                     let other = Arc::clone(second.in_flight.endpoint());
                                     match second.read_body(self.deadline).await {
-                                        Ok(better) => return self.deliver(better),
+                                        Ok(second_complete) => {
+                                            return self.deliver(second_complete);
+                                        }
                                         Err(loss) => self.record_loss(&other, loss).await,
                                     }
                                     other.record_outcome(true);
-                                    return self.deliver(whole);
+                                    return self.deliver(complete);
                                 }
-                                _ => return self.deliver(whole),
+                                _ => return self.deliver(complete),
                             }
                         }
-                        Ok(whole) => return self.deliver(whole),
+                        Ok(complete) => return self.deliver(complete),
                         Err(loss) => {
                             self.may_have_run = true;
                             self.log_endpoint_left(&endpoint, loss);
@@ -270,8 +272,8 @@
         }
     }
 
-    fn is_stream(&self, answer: &EndpointResponse) -> bool {
-        self.admitted.route.events.is_some() && answer.status.is_success()
+    fn is_stream(&self, response: &EndpointResponse) -> bool {
+        self.admitted.route.events.is_some() && response.status.is_success()
     }
 
     /// Whether another endpoint may succeed where this one failed.
@@ -316,13 +318,13 @@
             }
             self.tried.push(endpoint.run());
             match self.send(&endpoint).await {
-                SendOutcome::Answered(answer) => {
+                SendOutcome::Answered(response) => {
                     self.sends += 1;
                     self.may_have_run = true;
-                    if !self.is_stream(&answer) {
+                    if !self.is_stream(&response) {
                         self.start_counter.count();
                     }
-                    return DispatchResult::Response(answer);
+                    return DispatchResult::Response(response);
                 }
                 SendOutcome::Refused(reason) => {
                     self.sends += 1;
@@ -379,17 +381,17 @@
                 () = self.shared.suspects.wait_quarantined(self.fingerprint) => Loss::Withdrawn,
             }
         };
-        let ended = match race_response(exchange, abandon).await {
-            Winner::Response(ended) => ended,
+        let outcome = match race_response(exchange, abandon).await {
+            Winner::Response(outcome) => outcome,
             Winner::Abandon(loss) => {
                 self.prepaid = loss == Loss::Timeout;
                 SendOutcome::Lost(loss)
             }
         };
-        if matches!(ended, SendOutcome::Lost(Loss::Timeout)) {
+        if matches!(outcome, SendOutcome::Lost(Loss::Timeout)) {
             endpoint.record_timeout(true);
         }
-        ended
+        outcome
     }
 
     /// Completes when a request that was sent at `started` should move to another endpoint.
@@ -474,14 +476,14 @@
             .warn();
     }
 
-    fn deliver(mut self, whole: CompleteResponse) -> Response<ResponseBody> {
+    fn deliver(mut self, complete: CompleteResponse) -> Response<ResponseBody> {
         self.shared.suspects.record_served(self.fingerprint);
-        self.record().answered(whole.status.as_u16());
+        self.record().answered(complete.status.as_u16());
         self.record = None;
         build_response(
-            whole.status,
-            whole.headers,
-            ResponseBody::whole(whole.bytes),
+            complete.status,
+            complete.headers,
+            ResponseBody::whole(complete.bytes),
         )
     }
 
@@ -555,8 +557,8 @@
 }
 
 fn response_head(source: &EventSource) -> (StatusCode, HeaderMap) {
-    let answer = source.response();
-    (answer.status, answer.headers.clone())
+    let response = source.response();
+    (response.status, response.headers.clone())
 }
 
 fn loss_cause(loss: Loss) -> RefusalCause {
@@ -571,9 +573,9 @@
 fn build_response(
     status: StatusCode,
     headers: HeaderMap,
-    reply: ResponseBody,
+    body: ResponseBody,
 ) -> Response<ResponseBody> {
-    let mut response = Response::new(reply);
+    let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
@@ -582,12 +584,12 @@
 /// Chooses one of a route's services at random, by weight.
 fn pick_service(route: &Route) -> ServiceId {
     let total: u32 = route.targets.iter().map(|target| target.weight).sum();
-    let mut at = rand::rng().random_range(0..total.max(1));
+    let mut offset = rand::rng().random_range(0..total.max(1));
     for target in &route.targets {
-        if at < target.weight {
+        if offset < target.weight {
             return target.service.clone();
         }
-        at -= target.weight;
+        offset -= target.weight;
     }
     String::new()
 }
--- a/crates/direct/src/dispatch/crash.rs
+++ b/crates/direct/src/dispatch/crash.rs
@@ -25,19 +25,19 @@
 impl Dispatch {
     /// Number of endpoints that ended under requests with the same content.
     pub(super) fn crash_count(&self) -> usize {
-        self.shared.suspects.standing(self.fingerprint).crashes
+        self.shared.suspects.status(self.fingerprint).crashes
     }
 
     /// Remaining quarantine, if any. A suspected request first waits for the current
     /// state of control.
     pub(super) async fn quarantine_left(&self) -> Option<Duration> {
         let suspects = &self.shared.suspects;
-        let left = suspects.standing(self.fingerprint).remaining;
+        let left = suspects.status(self.fingerprint).remaining;
         if left.is_some() || !self.suspected {
             return left;
         }
         suspects.refresh().await;
-        suspects.standing(self.fingerprint).remaining
+        suspects.status(self.fingerprint).remaining
     }
 
     /// Whether it may be resent after it may have run. After two crashes, another send
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Largest response that is buffered completely, in bytes.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_BUFFERED_RESPONSE: usize = 8 * 1024 * 1024;
 
 /// A request to be sent to endpoints; unchanged between attempts.
 #[derive(Clone, Debug)]
@@ -103,7 +103,7 @@
     /// [`Loss`] if the body is incomplete.
     pub async fn read_body(self, deadline: Instant) -> Result<CompleteResponse, Loss> {
         let endpoint = Arc::clone(self.in_flight.endpoint());
-        let body = Limited::new(self.body, MAX_ANSWER).collect();
+        let body = Limited::new(self.body, MAX_BUFFERED_RESPONSE).collect();
         let collected = timeout_at(deadline, body).await;
         let bytes = match collected {
             Ok(Ok(body)) => body.to_bytes(),
@@ -384,7 +384,8 @@
     let idle_timeout = meta.idle_timeout;
     tokio::spawn(async move {
         let end = Instant::now() + std::time::Duration::from_secs(1);
-        let collected = timeout_at(end, Limited::new(body, MAX_ANSWER).collect()).await;
+        let collected =
+            timeout_at(end, Limited::new(body, MAX_BUFFERED_RESPONSE).collect()).await;
         if matches!(collected, Ok(Ok(_))) {
             endpoint.pool.release(connection, idle_timeout);
         }
--- a/crates/direct/src/list_reader.rs
+++ b/crates/direct/src/list_reader.rs
@@ -38,7 +38,7 @@
 ) {
     let mut failures: u32 = 0;
     let mut is_reader = false;
-    let mut doubt = ShrinkGuard::default();
+    let mut shrink_guard = ShrinkGuard::default();
     let mut flaws = LoggedFlaws::default();
     let started = Instant::now();
     loop {
@@ -63,20 +63,20 @@
             Event::new("list-reader").field("reader", is_reader).info();
         }
         let requested_at = uptime();
-        let listed = fetch(list.as_ref()).await.and_then(|content| {
+        let records = fetch(list.as_ref()).await.and_then(|content| {
             flaws.record(&shared, &content);
             let before = shared.directory.all().len();
             let after = content.endpoints.len();
-            let plausible = doubt.accepts(started.elapsed(), before, after);
-            let implausible = ListError::Doubtful { before, after };
+            let plausible = shrink_guard.accepts(started.elapsed(), before, after);
+            let implausible = ListError::Shrunk { before, after };
             if plausible {
                 Ok(content.endpoints)
             } else {
                 Err(implausible)
             }
         });
-        let delay = match listed {
-            Ok(listed) => {
+        let delay = match records {
+            Ok(records) => {
                 if failures > 0 {
                     Event::new("list-regained")
                         .field("by", "itself")
@@ -90,7 +90,7 @@
                     &shared.directory,
                     requested_at,
                     took,
-                    listed,
+                    records,
                 );
                 update_gauges(&shared);
                 continue;
@@ -102,8 +102,8 @@
                 failures += 1;
                 shared.stats.list_reads.with_label_values(&["failed"]).inc();
                 let busy = matches!(error, ListError::Busy);
-                let spread = rand::rng().random();
-                retry_delay(failures, busy, is_reader, interval, spread)
+                let jitter = rand::rng().random();
+                retry_delay(failures, busy, is_reader, interval, jitter)
             }
         };
         sleep(delay).await;
--- a/crates/direct/src/list_tracker.rs
+++ b/crates/direct/src/list_tracker.rs
@@ -37,7 +37,7 @@
     overdue_since: Mutex<Option<tokio::time::Instant>>,
     /// Notified when this entry has read a list.
     pub list_read: Notify,
-    /// Notified when this entry has lost an endpoint.
+    /// Notified when a send to an endpoint failed, or the endpoint has ended.
     pub endpoint_lost: Notify,
     /// Notified when this entry is appointed to read on behalf of the others.
     pub appointed: Notify,
@@ -48,9 +48,9 @@
 #[derive(Debug, Default)]
 struct State {
     reads: ListReads,
-    doubt: ShrinkGuard,
+    shrink_guard: ShrinkGuard,
     /// The list in use, and earlier versions of it.
-    contents: ListHistory,
+    history: ListHistory,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
     /// not used.
     places: Vec<Option<Arc<Endpoint>>>,
@@ -79,7 +79,7 @@
 
 impl ListTracker {
     /// Creates the state without a list; leaving endpoints may be sent requests for
-    /// `within`.
+    /// `leaving_within`.
     pub fn new(leaving_within: Duration) -> Self {
         let state = State {
             reads: ListReads::new(leaving_within),
@@ -101,10 +101,10 @@
     /// Waits until the directory has an endpoint.
     pub async fn await_first_list(&self, directory: &Directory) {
         while directory.all().is_empty() {
-            let mut listed = pin!(self.updated.notified());
-            listed.as_mut().enable();
+            let mut updated = pin!(self.updated.notified());
+            updated.as_mut().enable();
             if directory.all().is_empty() {
-                listed.await;
+                updated.await;
             }
         }
     }
@@ -118,17 +118,17 @@
         endpoints: Vec<EndpointRecord>,
     ) {
         let mut state = self.state();
-        let content = ListSnapshot::new(endpoints);
-        let mark = content.mark;
+        let snapshot = ListSnapshot::new(endpoints);
+        let mark = snapshot.mark;
         if state.reads.take(self.read_clock(requested_at), took) {
             log_list_change(
                 &state,
-                &content,
+                &snapshot,
                 "itself",
                 uptime().saturating_sub(requested_at),
                 took,
             );
-            state.activate(directory, content);
+            state.activate(directory, snapshot);
         }
         state.own_read = Some(OwnRead {
             requested_at,
@@ -145,14 +145,14 @@
         &self,
         directory: &Directory,
         requested_at: Duration,
-        totals: &mut DemandReply,
+        reply: &mut DemandReply,
     ) {
         let mut state = self.state();
-        if totals.reader && !state.reads.is_reader() {
+        if reply.reader && !state.reads.is_reader() {
             self.appointed.notify_one();
         }
-        state.reads.set_reader(totals.reader);
-        let Some(list) = totals.list.take() else {
+        state.reads.set_reader(reply.reader);
+        let Some(list) = reply.list.take() else {
             let now = self.now();
             state.control_mark = None;
             state.reads.defer_to_readers(now);
@@ -162,13 +162,13 @@
         let read = self.read_clock(requested_at).checked_sub(list.age);
         // A read that was stale when this entry started is not used.
         let Some(read) = read else { return };
-        if state.contents.newest().mark == list.mark {
+        if state.history.newest().mark == list.mark {
             state.reads.take(read, list.took);
             self.publish(&state);
-            state.apply_verdicts(&totals.verdicts);
+            state.apply_verdicts(&reply.verdicts);
             return;
         }
-        let Some(content) = state.contents.resolve(&list) else {
+        let Some(snapshot) = state.history.resolve(&list) else {
             if !std::mem::replace(&mut state.needs_full, true) {
                 Event::new("list-changes-unusable")
                     .field("told", format!("{:016x}", list.mark))
@@ -176,20 +176,22 @@
             }
             return;
         };
-        let before = state.contents.newest().endpoints.len();
+        let before = state.history.newest().endpoints.len();
         let now = self.now();
-        let after = content.endpoints.len();
-        if state.doubt.accepts(now, before, after) && state.reads.take(read, list.took) {
+        let after = snapshot.endpoints.len();
+        if state.shrink_guard.accepts(now, before, after)
+            && state.reads.take(read, list.took)
+        {
             log_list_change(
                 &state,
-                &content,
+                &snapshot,
                 "others",
                 now.saturating_sub(read),
                 list.took,
             );
-            state.activate(directory, content);
+            state.activate(directory, snapshot);
             self.publish(&state);
-            state.apply_verdicts(&totals.verdicts);
+            state.apply_verdicts(&reply.verdicts);
         }
     }
 
@@ -197,29 +199,29 @@
     /// and a bitmap of the places with recent activity.
     pub fn observations(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
-        let mut sights = Vec::new();
-        let mut heard = vec![0; state.places.len().div_ceil(8)];
+        let mut observations = Vec::new();
+        let mut alive = vec![0; state.places.len().div_ceil(8)];
         for (place, endpoint) in state.places.iter().enumerate() {
-            let Some(sight) = endpoint
+            let Some(sighting) = endpoint
                 .as_ref()
                 .and_then(|endpoint| endpoint.take_sighting())
             else {
                 continue;
             };
-            if sight.alive {
-                heard[place / 8] |= 1 << (place % 8);
+            if sighting.alive {
+                alive[place / 8] |= 1 << (place % 8);
             }
-            if sight.replaced || sight.unreached || sight.answered > 0 {
-                sights.push(EndpointObservation {
+            if sighting.replaced || sighting.unreached || sighting.answered > 0 {
+                observations.push(EndpointObservation {
                     list_index: place as u32,
-                    replaced: sight.replaced,
-                    unreached: sight.unreached,
-                    answered: sight.answered,
-                    failed: sight.failed,
+                    replaced: sighting.replaced,
+                    unreached: sighting.unreached,
+                    answered: sighting.answered,
+                    failed: sighting.failed,
                 });
             }
         }
-        (sights, heard)
+        (observations, alive)
     }
 
     /// What to report to control: the mark of the list in use, and this entry's newest
@@ -227,13 +229,13 @@
     pub fn report(&self) -> (Mark, Option<ListRead>) {
         let mut state = self.state();
         let State {
-            contents,
+            history,
             own_read,
             control_mark,
             needs_full,
             ..
         } = &mut *state;
-        let mark = contents.newest().mark;
+        let mark = history.newest().mark;
         let read = own_read.as_ref().map(|own| {
             let age = uptime().saturating_sub(own.requested_at);
             // An own read that is not in use has been superseded by a later one.
@@ -244,7 +246,7 @@
             };
             ListRead {
                 mark: own.mark,
-                ..contents.read_for(known, age, own.took)
+                ..history.read_for(known, age, own.took)
             }
         });
         (if *needs_full { 0 } else { mark }, read)
@@ -268,26 +270,26 @@
     /// ready may have been leaving for too long. A newer read is in progress then; the
     /// list only gets that old if the process was suspended.
     pub async fn await_current(&self) {
-        if !self.overdue() {
+        if !self.is_overdue() {
             return;
         }
         let now = tokio::time::Instant::now();
         let since = *self.overdue_since().get_or_insert(now);
-        let newer = async {
-            while self.overdue() {
-                let mut listed = pin!(self.updated.notified());
-                listed.as_mut().enable();
-                if self.overdue() {
-                    listed.await;
+        let newer_list = async {
+            while self.is_overdue() {
+                let mut updated = pin!(self.updated.notified());
+                updated.as_mut().enable();
+                if self.is_overdue() {
+                    updated.await;
                 }
             }
         };
-        let _ = tokio::time::timeout_at(since + NEWER_LIST_WAIT, newer).await;
+        let _ = tokio::time::timeout_at(since + NEWER_LIST_WAIT, newer_list).await;
     }
 
     /// Whether a request placed now might reach an endpoint that has been leaving for too
     /// long.
-    fn overdue(&self) -> bool {
+    fn is_overdue(&self) -> bool {
         let age = self.age();
         age.is_some_and(|age| age + CONNECT_TIMEOUT > self.leaving_within)
     }
@@ -323,7 +325,7 @@
         let newest = state.reads.newest().unwrap_or_default();
         let micros = newest.as_micros() as u64;
         self.newest_read.store(micros, Ordering::Relaxed);
-        if !self.overdue() {
+        if !self.is_overdue() {
             *self.overdue_since() = None;
         }
         self.updated.notify_waiters();
@@ -337,18 +339,18 @@
 /// Logs that a different list comes into use, with its origin and its age.
 fn log_list_change(
     state: &State,
-    content: &ListSnapshot,
+    snapshot: &ListSnapshot,
     by: &str,
     age: Duration,
     took: Duration,
 ) {
-    let before = state.contents.newest().mark;
-    if before != content.mark {
+    let before = state.history.newest().mark;
+    if before != snapshot.mark {
         Event::new("list-taken")
-            .field("mark", format!("{:016x}", content.mark))
+            .field("mark", format!("{:016x}", snapshot.mark))
             .field("before", format!("{before:016x}"))
             .field("by", by)
-            .field("endpoints", content.endpoints.len())
+            .field("endpoints", snapshot.endpoints.len())
             .field("age_ms", age.as_millis())
             .field("took_ms", took.as_millis())
             .info();
@@ -357,12 +359,12 @@
 
 impl State {
     /// Makes a list the one in use.
-    fn activate(&mut self, directory: &Directory, content: ListSnapshot) {
-        directory.update(Vec::clone(&content.endpoints));
-        let listed = content.endpoints.iter();
-        let places = listed.map(|listed| directory.find_run(&listed.run));
+    fn activate(&mut self, directory: &Directory, snapshot: ListSnapshot) {
+        directory.update(Vec::clone(&snapshot.endpoints));
+        let records = snapshot.endpoints.iter();
+        let places = records.map(|record| directory.find_run(&record.run));
         self.places = places.collect();
-        self.contents.put(content);
+        self.history.put(snapshot);
         self.needs_full = false;
     }
 
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -106,8 +106,8 @@
         let mut abandon_logger = AbandonLogger(Some(&mut record));
         let read = self.prepare(parts, body, meta.ok(), arrived).await;
         let record = abandon_logger.take();
-        let prepared = match read {
-            Ok(prepared) => prepared,
+        let admitted = match read {
+            Ok(admitted) => admitted,
             Err((cause, retry_after)) => {
                 record.refused(cause, retry_after);
                 return refuse(cause, retry_after);
@@ -117,12 +117,12 @@
             record,
             RequestRecord::new(self.stats.clone(), String::new()),
         );
-        let job = Dispatch::new(Arc::clone(&self), prepared, record, drain_guard);
-        let response_deadline_passed = pin!(self.response_deadline_passed());
+        let dispatch = Dispatch::new(Arc::clone(&self), admitted, record, drain_guard);
+        let deadline = pin!(self.wait_response_deadline());
         tokio::select! {
             biased;
-            response = job.run() => response,
-            () = response_deadline_passed => refuse(RefusalCause::Lost, None),
+            response = dispatch.run() => response,
+            () = deadline => refuse(RefusalCause::Lost, None),
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Completes when the entry drains and pending requests cannot wait any longer.
-    async fn response_deadline_passed(&self) {
+    async fn wait_response_deadline(&self) {
         self.drain.wait().await;
         let drain_start = Instant::now();
         let last = drain_start + self.grace.saturating_sub(RESPONSE_RESERVE);
--- a/crates/direct/src/route_follower.rs
+++ b/crates/direct/src/route_follower.rs
@@ -59,7 +59,7 @@
     /// Receiver of route sets.
     pub sink: Arc<dyn RouteSink>,
     /// Client for calls to control instances.
-    pub caller: PeerClient,
+    pub client: PeerClient,
     /// Name of this entry.
     pub name: String,
     /// Known addresses of control instances.
@@ -133,7 +133,7 @@
 #[derive(Debug, Display)]
 enum PieceError {
     #[display("no answer in time")]
-    Late,
+    TimedOut,
     #[display("the instance does not keep that version")]
     NotKept,
     #[display("{_0}")]
@@ -143,7 +143,7 @@
 impl PieceError {
     fn label(&self) -> &'static str {
         match self {
-            Self::Late => "late",
+            Self::TimedOut => "late",
             Self::NotKept => "not-kept",
             Self::Failed(_) => "failed",
         }
@@ -156,8 +156,8 @@
         let mut polled: Vec<SocketAddr> = Vec::new();
         let mut tasks = JoinSet::new();
         // Aborted with this task, like those of `tasks`.
-        let mut fetch_state = JoinSet::new();
-        fetch_state.spawn(Arc::clone(&self).fetch());
+        let mut fetch_task = JoinSet::new();
+        fetch_task.spawn(Arc::clone(&self).fetch());
         loop {
             for address in self.control().all() {
                 if !polled.contains(&address) {
@@ -190,19 +190,19 @@
             } else {
                 POLL_WAIT
             };
-            let follow = WatchRoutes {
+            let watch = WatchRoutes {
                 entry: self.name.clone(),
                 known,
                 wait,
             };
-            let call = self.caller.call(address, ROUTES_PATH, &follow);
-            let answer: Option<ControlReply<RoutesStatus>> =
+            let call = self.client.call(address, ROUTES_PATH, &watch);
+            let response: Option<ControlReply<RoutesStatus>> =
                 timeout(wait + POLL_MARGIN, call)
                     .await
                     .ok()
                     .and_then(Result::ok);
-            if lost != answer.is_none() {
-                lost = answer.is_none();
+            if lost != response.is_none() {
+                lost = response.is_none();
                 let event = if lost {
                     "control-lost"
                 } else {
@@ -210,8 +210,8 @@
                 };
                 Event::new(event).field("address", address).info();
             }
-            match answer {
-                Some(Ok(news)) => self.take(address, news),
+            match response {
+                Some(Ok(status)) => self.take(address, status),
                 _ => {
                     self.fetch_state.transfer().remove_source(address);
                     sleep(RETRY_DELAY).await;
@@ -222,12 +222,12 @@
         address
     }
 
-    fn take(&self, address: SocketAddr, news: RoutesStatus) {
-        if !news.control.is_empty() {
-            self.control().announced = news.control;
+    fn take(&self, address: SocketAddr, status: RoutesStatus) {
+        if !status.control.is_empty() {
+            self.control().announced = status.control;
         }
-        self.sink.set_entries(news.entries);
-        if let Some(version) = news.newest {
+        self.sink.set_entries(status.entries);
+        if let Some(version) = status.newest {
             self.fetch_state.transfer().add_offer(address, version);
             self.fetch_state.offered.notify_one();
         }
@@ -267,11 +267,11 @@
             max_bytes: fetch.max_len,
         };
         let sent_at = Instant::now();
-        let call = self.caller.call(fetch.source, PIECE_PATH, &request);
-        let answered: Result<Option<RoutesPiece>, _> = timeout(PIECE_TIMEOUT, call)
+        let call = self.client.call(fetch.source, PIECE_PATH, &request);
+        let response: Result<Option<RoutesPiece>, _> = timeout(PIECE_TIMEOUT, call)
             .await
-            .map_err(|_| PieceError::Late)?;
-        let piece = answered
+            .map_err(|_| PieceError::TimedOut)?;
+        let piece = response
             .map_err(PieceError::Failed)?
             .ok_or(PieceError::NotKept)?;
         let piece = Piece {
@@ -295,7 +295,7 @@
                 transfer.version_missing(fetch.source, fetch.version);
                 true
             }
-            PieceError::Late | PieceError::Failed(_) => {
+            PieceError::TimedOut | PieceError::Failed(_) => {
                 transfer.piece_failed(now, fetch.source)
             }
         };
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -154,7 +154,7 @@
     pub endpoint: String,
     /// Number of sends, including the current one.
     pub sends: usize,
-    /// Trust in the last chosen endpoint, number of known endpoints, and number of those
+    /// Health of the last chosen endpoint, number of known endpoints, and number of those
     /// reserved for latency-sensitive streams.
     choice: String,
     /// Age of the endpoint list at the last placement.
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -28,7 +28,7 @@
 /// Stream of an endpoint, read event by event.
 #[derive(Debug)]
 pub struct EventSource {
-    answer: EndpointResponse,
+    response: EndpointResponse,
     splitter: Splitter,
 }
 
@@ -44,30 +44,30 @@
 }
 
 impl EventSource {
-    /// Starts reading the body of `answer`.
-    pub fn new(answer: EndpointResponse) -> Self {
+    /// Starts reading the body of `response`.
+    pub fn new(response: EndpointResponse) -> Self {
         Self {
-            answer,
+            response,
             splitter: Splitter::default(),
         }
     }
 
     /// Head of the endpoint's response.
     pub fn response(&self) -> &EndpointResponse {
-        &self.answer
+        &self.response
     }
 
     /// The endpoint that sends the stream.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
-        self.answer.in_flight.endpoint()
+        self.response.in_flight.endpoint()
     }
 
     /// Waits for the next piece. Cancel safe.
     pub async fn next(&mut self) -> StreamItem {
         loop {
-            let Some(frame) = self.answer.body.frame().await else {
-                let whole = !self.splitter.has_partial();
-                return if whole {
+            let Some(frame) = self.response.body.frame().await else {
+                let complete = !self.splitter.has_partial();
+                return if complete {
                     StreamItem::End
                 } else {
                     self.broken()
@@ -98,7 +98,7 @@
             connection,
             in_flight,
             ..
-        } = self.answer;
+        } = self.response;
         connection.response_completed();
         if meta.reusable {
             in_flight
@@ -271,8 +271,8 @@
             () = parts.closed() => return Some(RelayEnd::CallerGone),
         };
         match next {
-            DispatchResult::Response(answer) if answer.status.is_success() => {
-                self.source = Some(EventSource::new(*answer));
+            DispatchResult::Response(response) if response.status.is_success() => {
+                self.source = Some(EventSource::new(*response));
                 None
             }
             DispatchResult::Response(_) | DispatchResult::Refuse(_) => {
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -41,7 +41,7 @@
 /// Requests suspected of crashing endpoints.
 #[derive(Debug)]
 pub struct Suspects {
-    teller: EntryHash,
+    entry_hash: EntryHash,
     stats: Stats,
     state: Mutex<State>,
     /// Notified when a request is quarantined.
@@ -92,7 +92,7 @@
     /// Creates an empty state for the entry called `name`.
     pub fn new(name: &str, stats: Stats) -> Self {
         Self {
-            teller: hash(name.as_bytes()),
+            entry_hash: hash(name.as_bytes()),
             stats,
             state: Mutex::default(),
             quarantine_added: Notify::new(),
@@ -102,13 +102,15 @@
     }
 
     /// Known crashes of a request, and the rest of its quarantine.
-    pub fn standing(&self, request: Fingerprint) -> SuspectStatus {
+    pub fn status(&self, request: Fingerprint) -> SuspectStatus {
         let state = self.state();
         let own = state.quarantine.status(uptime(), request);
-        let found = state.reported.binary_search_by_key(&request, |told| told.0);
-        let told = found.map_or(0, |at| state.reported[at].1);
+        let found = state
+            .reported
+            .binary_search_by_key(&request, |suspect| suspect.0);
+        let shared = found.map_or(0, |at| state.reported[at].1);
         SuspectStatus {
-            crashes: own.crashes.max(told),
+            crashes: own.crashes.max(shared),
             remaining: own.remaining,
         }
     }
@@ -117,11 +119,11 @@
     /// state may be half a second old, and in that time the request may crash further
     /// endpoints.
     pub async fn refresh(&self) {
-        let mut answered = pin!(self.refresh_done.notified());
-        answered.as_mut().enable();
+        let mut refreshed = pin!(self.refresh_done.notified());
+        refreshed.as_mut().enable();
         self.refresh_requested.notify_one();
         // Without a response, the last known state applies.
-        let _ = timeout(REFRESH_TIMEOUT, answered).await;
+        let _ = timeout(REFRESH_TIMEOUT, refreshed).await;
     }
 
     /// Called when control has responded or has failed to in time.
@@ -132,12 +134,12 @@
     /// Completes when a request is quarantined.
     pub async fn wait_quarantined(&self, request: Fingerprint) {
         loop {
-            let mut found = pin!(self.quarantine_added.notified());
-            found.as_mut().enable();
-            if self.standing(request).remaining.is_some() {
+            let mut added = pin!(self.quarantine_added.notified());
+            added.as_mut().enable();
+            if self.status(request).remaining.is_some() {
                 return;
             }
-            found.await;
+            added.await;
         }
     }
 
@@ -149,7 +151,7 @@
         if state.served.recently_served(now, loss.request).is_some() {
             return 0;
         }
-        state.quarantine.record_loss(now, self.teller, &loss);
+        state.quarantine.record_loss(now, self.entry_hash, &loss);
         let request = loss.request;
         if state.losses.len() >= MAX_LOSSES {
             state.losses.remove(0);
@@ -203,17 +205,17 @@
     }
 
     /// Called when the instance with this run has processed `news`.
-    pub fn acknowledged(&self, run: u64, news: &Report) {
+    pub fn acknowledged(&self, run: u64, report: &Report) {
         let mut state = self.state();
         for own in state.losses.iter_mut().filter(|own| own.in_flight) {
             own.acknowledged_by = run;
             own.in_flight = false;
         }
-        let told = news.served.len().min(state.exonerated.len());
-        state.exonerated.drain(..told);
+        let acknowledged = report.served.len().min(state.exonerated.len());
+        state.exonerated.drain(..acknowledged);
     }
 
-    /// Applies a response of control; `told` has what all entries found, if that changed.
+    /// Applies a response of control; `reported` has what all entries found, if that changed.
     pub fn apply_control(&self, reported: Option<ReportedSuspects>) {
         let now = uptime();
         let mut state = self.state();
@@ -246,10 +248,10 @@
         before: usize,
     ) {
         state.expire(now);
-        let held = state.quarantine.quarantined_count();
-        self.stats.quarantined.set(held as i64);
+        let quarantined = state.quarantine.quarantined_count();
+        self.stats.quarantined.set(quarantined as i64);
         drop(state);
-        if held > before {
+        if quarantined > before {
             self.quarantine_added.notify_waiters();
         }
     }
@@ -263,15 +265,16 @@
     fn take(&mut self, now: Duration, reported: &ReportedSuspects) {
         self.mark = reported.mark;
         let suspected = reported.requests.iter();
-        let suspected = suspected.map(|told| (told.request, told.crashes as usize));
+        let suspected =
+            suspected.map(|suspect| (suspect.request, suspect.crashes as usize));
         self.reported = suspected.collect();
         self.reported.sort_unstable();
         for request in &reported.requests {
             if let Some(at) = self.served.recently_served(now, request.request) {
                 self.exonerate(request.request, at);
             }
-            let held = self.quarantine.status(now, request.request).remaining;
-            if let Some(left) = request.remaining.filter(|_| held.is_none()) {
+            let own = self.quarantine.status(now, request.request).remaining;
+            if let Some(left) = request.remaining.filter(|_| own.is_none()) {
                 Event::new("quarantine-told")
                     .field("content", short_form(request.request))
                     .field("crashes", request.crashes)
@@ -292,7 +295,9 @@
     /// Clears a request that was served at `at`, and queues the report if the request is
     /// suspected.
     fn exonerate(&mut self, request: Fingerprint, at: Duration) {
-        let known = self.reported.binary_search_by_key(&request, |told| told.0);
+        let known = self
+            .reported
+            .binary_search_by_key(&request, |suspect| suspect.0);
         let own = self.losses.iter().any(|own| own.loss.request == request);
         if known.is_err() && !own {
             return;
@@ -312,12 +317,13 @@
         quarantine.expire(now);
         losses.retain(|own| {
             let silence = own.endpoint.silence();
-            let heard = silence.and_then(|silence| now.checked_sub(silence));
-            let alive = heard.is_some_and(|heard| outlived(own.loss.at, heard));
-            if alive {
-                quarantine.record_alive(&own.loss.run, heard.unwrap_or_default());
+            let last_activity = silence.and_then(|silence| now.checked_sub(silence));
+            let survived = last_activity
+                .is_some_and(|last_activity| outlived(own.loss.at, last_activity));
+            if survived {
+                quarantine.record_alive(&own.loss.run, last_activity.unwrap_or_default());
             }
-            !alive && now.saturating_sub(own.loss.at) < CRASH_RETENTION
+            !survived && now.saturating_sub(own.loss.at) < CRASH_RETENTION
         });
     }
 }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -139,13 +139,13 @@
     /// instance in contact with a majority has them.
     pub async fn report(&self, follower: &RouteFollower, is_final: bool) -> bool {
         let control = follower.control().instances();
-        let holder = self.state().reporter;
-        let fallbacks = control.into_iter().filter(|other| Some(*other) != holder);
-        let order: Vec<SocketAddr> = holder.into_iter().chain(fallbacks).collect();
+        let reporter = self.state().reporter;
+        let fallbacks = control.into_iter().filter(|other| Some(*other) != reporter);
+        let order: Vec<SocketAddr> = reporter.into_iter().chain(fallbacks).collect();
         for address in order.into_iter().take(MAX_INSTANCES) {
             let report = self.message(&follower.name, address, is_final);
             let sent_at = uptime();
-            let call = follower.caller.call(address, USAGE_PATH, &report);
+            let call = follower.client.call(address, USAGE_PATH, &report);
             let response: Option<UsageReply> =
                 timeout(CALL_TIMEOUT, call).await.ok().and_then(Result::ok);
             if let Some(response) = response {
--- a/crates/direct/tests/all/list_tracker.rs
+++ b/crates/direct/tests/all/list_tracker.rs
@@ -157,7 +157,7 @@
         prompt,
         class: LatencyClass::Tolerant,
         background: false,
-        has_classes: false,
+        separate_classes: false,
         tried,
         isolate: None,
     }
@@ -392,7 +392,7 @@
                 prompt: &prompt,
                 class: LatencyClass::Tolerant,
                 background: false,
-                has_classes: false,
+                separate_classes: false,
                 tried: &[],
                 isolate: None,
             };
--- a/crates/direct/tests/all/placement.rs
+++ b/crates/direct/tests/all/placement.rs
@@ -38,7 +38,7 @@
         prompt,
         class,
         background: false,
-        has_classes: true,
+        separate_classes: true,
         tried,
         isolate: None,
     }
--- a/crates/direct/tests/all/quarantine.rs
+++ b/crates/direct/tests/all/quarantine.rs
@@ -350,7 +350,7 @@
         assert_eq!(scene.fleet.ended(), 2, "{path}");
         let request = fingerprint_at(&path["POST ".len()..]);
         until("both crashes are known here", async || {
-            entry.shared.suspects.standing(request).crashes == 2
+            entry.shared.suspects.status(request).crashes == 2
         })
         .await;
         // From now on, each attempt is sent once.
@@ -476,7 +476,7 @@
         entry
             .shared
             .suspects
-            .standing(fingerprint())
+            .status(fingerprint())
             .remaining
             .is_some()
     })
@@ -538,7 +538,7 @@
     entry.shared.activate_routes(RouteTable::new(set()));
     entry.list(&[&endpoint]);
     until("the entry is told of it", async || {
-        entry.shared.suspects.standing(request).crashes == 2
+        entry.shared.suspects.status(request).crashes == 2
     })
     .await;
     let got = entry.call("POST /once/", "", CRASHES).await;
@@ -601,7 +601,7 @@
         entry.call("POST /once/", "", CRASHES).await;
     }
     until("the entry knows of them", async || {
-        entry.shared.suspects.standing(fingerprint()).crashes >= KNOWN_AFTER
+        entry.shared.suspects.status(fingerprint()).crashes >= KNOWN_AFTER
     })
     .await;
     (entry, fleet)
@@ -635,7 +635,7 @@
         entry
             .shared
             .suspects
-            .standing(fingerprint())
+            .status(fingerprint())
             .remaining
             .is_some()
     })
--- a/crates/load/src/slopes/placement.rs
+++ b/crates/load/src/slopes/placement.rs
@@ -59,7 +59,7 @@
             prompt: &prompt,
             class,
             background: false,
-            has_classes: true,
+            separate_classes: true,
             tried: &[],
             isolate: None,
         };
--- a/crates/load/src/slopes/routes.rs
+++ b/crates/load/src/slopes/routes.rs
@@ -107,7 +107,7 @@
                 bytes: Arc::clone(&bytes),
                 told: told.clone(),
             }),
-            caller: PeerClient::new(alone.secret.clone()),
+            client: PeerClient::new(alone.secret.clone()),
             fetch_state: FetchState::new(&name),
             name,
             control: Mutex::new(ControlAddresses {
