--- a/crates/direct/src/control_sync.rs
+++ b/crates/direct/src/control_sync.rs
@@ -87,9 +87,9 @@
 /// Why the exchange failed, at the instance tried last.
 #[derive(Debug, Display)]
 enum SyncError {
-    #[display("no control instance is known")]
+    #[display("no control instance known")]
     NoInstance,
-    #[display("{_0} did not answer in time")]
+    #[display("{_0} did not respond in time")]
     TimedOut(SocketAddr),
     #[display("{_0}")]
     Failed(CallError),
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -56,7 +56,7 @@
 
 /// A required header is missing or invalid.
 #[derive(Clone, Debug, Display, Error)]
-#[display("header {name} is missing or malformed; send it as the interface says")]
+#[display("header {name} is missing or malformed; see the interface description")]
 pub struct Malformed {
     /// Name of the header.
     #[error(not(source))]
@@ -129,18 +129,18 @@
 #[derive(Debug, Display, Error)]
 pub enum ListError {
     /// No response.
-    #[display("the list did not answer: {problem}")]
+    #[display("endpoint list source unreachable: {problem}")]
     #[error(ignore)]
     Unreachable {
         /// Description of the failure.
         problem: String,
     },
     /// The source rejected the call because all daemons together exceeded its rate limit.
-    #[display("the list refuses more calls for now")]
+    #[display("endpoint list source rejected the call: rate limit exceeded")]
     Busy,
     /// The list has far fewer endpoints than the one in use.
     #[display(
-        "the list names {after} endpoints in place of {before}; check whoever keeps it"
+        "endpoint list shrank from {before} to {after} endpoints; check its source"
     )]
     #[error(ignore)]
     Shrunk {
@@ -150,7 +150,7 @@
         after: usize,
     },
     /// The response cannot be parsed.
-    #[display("the list's answer can't be read: {problem}")]
+    #[display("cannot parse endpoint list: {problem}")]
     #[error(ignore)]
     Content {
         /// Description of the failure.
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -59,7 +59,7 @@
 
 /// An address cannot be bound.
 #[derive(Debug, Display, Error)]
-#[display("can't listen on {address}; choose a free port of this instance")]
+#[display("cannot listen on {address}; choose a free port of this host")]
 pub struct BindError {
     /// Address from the settings.
     pub address: SocketAddr,
--- a/crates/direct/src/list_reader.rs
+++ b/crates/direct/src/list_reader.rs
@@ -150,7 +150,7 @@
         };
         let page = timeout(PAGE_TIMEOUT, pending).await;
         let page = page.unwrap_or_else(|_| {
-            let problem = "no answer in time".to_string();
+            let problem = "no response in time".to_string();
             Err(ListError::Unreachable { problem })
         })?;
         read.append(page);
@@ -158,11 +158,11 @@
             return Ok(read);
         }
         if read.next == token {
-            let problem = "a page names itself as the next one".to_string();
+            let problem = "a page refers to itself as the next page".to_string();
             return Err(ListError::Content { problem });
         }
     }
-    let problem = format!("it has more than {MAX_PAGES} pages");
+    let problem = format!("list has more than {MAX_PAGES} pages");
     Err(ListError::Content { problem })
 }
 
--- a/crates/direct/src/response.rs
+++ b/crates/direct/src/response.rs
@@ -22,7 +22,7 @@
 /// A stream that ended early. The error closes the connection, so that the response does
 /// not look complete.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("the stream broke off")]
+#[display("stream ended early")]
 pub struct StreamAborted;
 
 /// Body of a response to a caller.
--- a/crates/direct/src/route_follower.rs
+++ b/crates/direct/src/route_follower.rs
@@ -132,9 +132,9 @@
 /// Why a piece could not be fetched.
 #[derive(Debug, Display)]
 enum PieceError {
-    #[display("no answer in time")]
+    #[display("no response in time")]
     TimedOut,
-    #[display("the instance does not keep that version")]
+    #[display("the instance no longer stores that version")]
     NotKept,
     #[display("{_0}")]
     Failed(CallError),
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -103,7 +103,8 @@
         usage: usage(s),
     };
     if settings.list_interval > longest {
-        let problem = "is too long for leaving_within: news would travel longer";
+        let problem =
+            "is too long for leaving_within: list updates would arrive too late";
         let longest = longest.as_millis();
         s.report(
             "list_every",
@@ -125,7 +126,11 @@
     let window = s.duration_opt("usage_window", range);
     let has_duty = duties.iter().any(|duty| duty == USAGE_DUTY);
     if has_duty && window.is_none() {
-        s.report("usage_window", "is missing", "say how long a window is");
+        s.report(
+            "usage_window",
+            "is missing",
+            "set the length of a usage window",
+        );
     }
     window.filter(|_| has_duty).map(Windows::new)
 }
--- a/crates/direct/tests/all/abandoned.rs
+++ b/crates/direct/tests/all/abandoned.rs
@@ -76,7 +76,7 @@
     let entry = entry_with_short_timeout(socket.local_addr().expect("is bound")).await;
     let body = "x".repeat(BODY_BYTES);
     let got = entry.call("POST /safe/", "", &body).await;
-    assert_eq!(got.status, 504, "its caller is told that it was given up");
+    assert_eq!(got.status, 504, "the caller gets the timeout");
     let (stream, _) = socket.accept().await.expect("the entry connected");
     let (count, proper) = all(stream).await;
     assert!(
--- a/crates/direct/tests/all/backoff.rs
+++ b/crates/direct/tests/all/backoff.rs
@@ -29,7 +29,10 @@
 async fn call_until_rejected(entry: &Entry, endpoint: &ScriptedEndpoint) {
     let begun = Instant::now();
     while endpoint.seen().is_empty() {
-        assert!(begun.elapsed() < WAIT_TIMEOUT, "nothing reaches it");
+        assert!(
+            begun.elapsed() < WAIT_TIMEOUT,
+            "no request reached the endpoint"
+        );
         entry.call("GET /safe/", "", "").await;
     }
 }
@@ -80,11 +83,11 @@
         assert!(got.body.contains("endpoints-held"), "{got:?}");
         assert!(got.body.contains("not-run"), "{got:?}");
         let after = got.header("retry-after").and_then(|text| text.parse().ok());
-        let after: f64 = after.expect("it names a time");
+        let after: f64 = after.expect("the response has a retry delay");
         assert!((5.0..40.0).contains(&after), "{got:?}");
     }
     let more = longer.seen().len() + shorter.seen().len() - before;
-    assert_eq!(more, 0, "both rest");
+    assert_eq!(more, 0, "both endpoints are backed off");
 }
 
 /// An endpoint is used again after its backoff.
@@ -95,7 +98,10 @@
     let entry = Entry::with_endpoints(&[&endpoint]).await;
     let begun = Instant::now();
     while entry.call("GET /safe/", "", "").await.status != 200 {
-        assert!(begun.elapsed() < WAIT_TIMEOUT, "it stays unused");
+        assert!(
+            begun.elapsed() < WAIT_TIMEOUT,
+            "the endpoint is not used again"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/direct/tests/all/callers.rs
+++ b/crates/direct/tests/all/callers.rs
@@ -83,7 +83,7 @@
     let held = route_set().version;
     let mut wait = std::pin::pin!(entry.shared.await_newer_routes(Some(held)));
     let early = timeout(Duration::from_millis(50), wait.as_mut()).await;
-    assert!(early.is_err(), "the same version is no news");
+    assert!(early.is_err(), "the same version does not end the wait");
     let version = held + 7;
     entry.shared.activate_routes(RouteTable::new(RouteSet {
         version,
@@ -91,10 +91,13 @@
     }));
     let table = timeout(LONG_TIMEOUT, wait)
         .await
-        .expect("there is a newer one");
+        .expect("a newer set is active");
     assert_eq!(table.version(), version);
     let older = RouteTable::new(route_set());
-    assert!(!entry.shared.activate_routes(older), "never back");
+    assert!(
+        !entry.shared.activate_routes(older),
+        "an older set is not activated"
+    );
 }
 
 #[tokio::test]
@@ -177,7 +180,7 @@
     };
     assert_eq!(ready("/ready").await, "200");
     entry.drain.begin();
-    assert_eq!(ready("/ready").await, "503", "readiness goes first");
+    assert_eq!(ready("/ready").await, "503", "readiness is withdrawn first");
     let text = request("GET /safe/", "", "").replace("connection: close\r\n", "");
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut response = String::new();
@@ -212,7 +215,7 @@
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
     let mut set = route_set();
     let stream = set.routes.iter_mut().find(|route| route.name == "stream");
-    stream.expect("it is there").objective = LONG_TIMEOUT;
+    stream.expect("the route exists").objective = LONG_TIMEOUT;
     let entry = Entry::with_routes(&[&endpoint], set).await;
     let connections = [
         TcpStream::connect(entry.callers).await.unwrap(),
@@ -236,5 +239,9 @@
         );
         assert_eq!(response.contains("retry-after"), status == "503");
     }
-    assert_eq!(endpoint.seen().len(), 1, "the refused one went nowhere");
+    assert_eq!(
+        endpoint.seen().len(),
+        1,
+        "the refused request reached no endpoint"
+    );
 }
--- a/crates/direct/tests/all/events.rs
+++ b/crates/direct/tests/all/events.rs
@@ -19,7 +19,7 @@
             if let Some(events) = splitter.push(&STREAM[pair[0]..pair[1]]) {
                 let end = events.bytes.ends_with(b"\n\n")
                     || events.bytes.ends_with(b"\r\n\r\n");
-                prop_assert!(end, "only whole events");
+                prop_assert!(end, "only complete events");
                 forwarded.extend_from_slice(&events.bytes);
                 last = events.last.or(last);
             }
@@ -35,7 +35,7 @@
     let mut splitter = Splitter::default();
     let events = splitter
         .push(b"id: 7\ndata: a\n\nid: 8\nda")
-        .expect("one is whole");
+        .expect("one event is complete");
     assert_eq!(
         (&events.bytes[..], events.last),
         (&b"id: 7\ndata: a\n\n"[..], Some(7))
--- a/crates/direct/tests/all/leaving.rs
+++ b/crates/direct/tests/all/leaving.rs
@@ -25,7 +25,7 @@
         assert_eq!(got.status, 200, "{got:?}");
     }
     let seen = leaving.seen().len();
-    assert!(seen <= 1, "{seen} requests after it had told");
+    assert!(seen <= 1, "{seen} requests after the announcement");
 }
 
 /// A refusal may carry the announcement as well; the request moves to another endpoint.
@@ -41,7 +41,7 @@
         entry.call("GET /safe/", "", "").await;
     }
     let seen = leaving.seen().len();
-    assert!(seen <= 1, "{seen} requests after it had told");
+    assert!(seen <= 1, "{seen} requests after the announcement");
 }
 
 /// Another endpoint responds at the address and announces its own shutdown, which must
--- a/crates/direct/tests/all/list_tracker.rs
+++ b/crates/direct/tests/all/list_tracker.rs
@@ -57,14 +57,17 @@
         (ListTracker::default(), Directory::new("here".to_string()));
     tracker.apply_own_read(&directory, uptime(), Duration::ZERO, vec![listed(1, false)]);
     let (held, reported) = tracker.report();
-    let reported = reported.expect("it read");
+    let reported = reported.expect("an own read exists");
     assert_eq!(reported.mark, held);
-    let whole = reported.whole.expect("control has nothing").read();
-    assert_eq!(whole.expect("it is whole").len(), 1);
+    let whole = reported
+        .whole
+        .expect("the read is sent with its content")
+        .read();
+    assert_eq!(whole.expect("the list is complete").len(), 1);
     let mut reply = control_reply(held, Duration::ZERO, None);
     tracker.apply_control(&directory, uptime(), &mut reply);
     let (_, reported) = tracker.report();
-    assert_eq!(reported.expect("it read").whole, None);
+    assert_eq!(reported.expect("an own read exists").whole, None);
 }
 
 /// A read by another entry is used if it is newer, but never if it precedes this entry's
@@ -113,7 +116,7 @@
     tracker.apply_control(&directory, uptime(), &mut reply);
     tracker.apply_control(&directory, uptime(), &mut changes(first.mark + 1));
     assert_eq!(usable(&directory), ["i-1", "i-2", "i-3", "i-4"]);
-    assert_eq!(tracker.report().0, 0, "it asks for the whole");
+    assert_eq!(tracker.report().0, 0, "the whole list is requested");
     tracker.apply_control(&directory, uptime(), &mut changes(first.mark));
     assert_eq!(usable(&directory), ["i-1", "i-4", "i-5"]);
     assert_eq!(tracker.report().0, second.mark);
@@ -128,7 +131,7 @@
     let list: Vec<EndpointRecord> = (1..=8).map(|id| listed(id, false)).collect();
     tracker.apply_own_read(&directory, uptime(), Duration::ZERO, list.clone());
     let mut wrong_mark = control_reply(0, Duration::ZERO, Some(list[..7].to_vec()));
-    wrong_mark.list.as_mut().expect("told").mark += 1;
+    wrong_mark.list.as_mut().expect("a list").mark += 1;
     tracker.apply_control(&directory, uptime(), &mut wrong_mark);
     for few in [0, 1, 3] {
         let mut reply = control_reply(0, Duration::ZERO, Some(list[..few].to_vec()));
@@ -186,21 +189,24 @@
     let repeated = before.begin_request(&prompt, &QueuePosition::default());
     assert!(
         in_flight.uncached_tokens() > repeated.uncached_tokens(),
-        "it has been read"
+        "the prefix is cached"
     );
     directory.update(vec![restarted_at(1, Some(60))]);
     let after = Arc::clone(&directory.all()[0]);
     assert!(!Arc::ptr_eq(&before, &after));
-    assert!(before.leaving(), "the earlier run is over");
+    assert!(before.leaving(), "the previous run is retired");
     let after_restart = after.begin_request(&prompt, &QueuePosition::default());
     assert_eq!(
         after_restart.uncached_tokens(),
         in_flight.uncached_tokens(),
-        "read by nobody"
+        "nothing is cached"
     );
     drop((in_flight, repeated));
     directory.update(vec![restarted_at(1, Some(50))]);
-    assert!(Arc::ptr_eq(&directory.all()[0], &after), "late news");
+    assert!(
+        Arc::ptr_eq(&directory.all()[0], &after),
+        "an outdated list is ignored"
+    );
     assert_eq!(
         placed(&directory, &query(&prompt, &[])).as_deref(),
         Some("i-1@60")
@@ -224,7 +230,7 @@
     assert_eq!(
         placed(&directory, &query(&prompt, &[])),
         None,
-        "off the list between"
+        "absent from the list meanwhile"
     );
     directory.update(vec![restarted_at(1, Some(60)), leaving]);
     assert_eq!(
@@ -304,15 +310,15 @@
     assert_eq!(
         usable(&directory),
         ["i-2", "i-3"],
-        "the first one was replaced"
+        "the first endpoint was replaced"
     );
     let all = directory.all();
     let trust: Vec<Health> = all.iter().map(|endpoint| endpoint.health()).collect();
     assert_eq!(trust[1..], [Health::Silent, Health::Sound]);
     let mut reply = control_reply(held, Duration::ZERO, None);
     tracker.apply_control(&directory, uptime(), &mut reply);
-    assert_eq!(all[1].health(), Health::Sound, "nothing is told any more");
-    assert_eq!(usable(&directory), ["i-2", "i-3"], "replaced for good");
+    assert_eq!(all[1].health(), Health::Sound, "no verdict any more");
+    assert_eq!(usable(&directory), ["i-2", "i-3"], "a replacement is final");
 }
 
 /// Observations are reported once, by place; recent activity is reported for as long as
--- a/crates/direct/tests/all/logging.rs
+++ b/crates/direct/tests/all/logging.rs
@@ -37,7 +37,7 @@
 
 fn install_logger() {
     INSTALL_LOGGER.call_once(|| {
-        log::set_logger(&LineCollector).expect("the only one");
+        log::set_logger(&LineCollector).expect("no other logger");
         log::set_max_level(LevelFilter::Info);
     });
 }
@@ -163,7 +163,7 @@
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
     let mut set = route_set();
     let stream = set.routes.iter_mut().find(|route| route.name == "stream");
-    stream.expect("it is there").objective = LONG_TIMEOUT;
+    stream.expect("the route exists").objective = LONG_TIMEOUT;
     let entry = Entry::with_routes(&[&endpoint], set).await;
     let connection = TcpStream::connect(entry.callers).await.expect("connects");
     entry.drain.begin();
@@ -226,7 +226,7 @@
 async fn trace_output(id: &str) -> String {
     let lines = wait_for_event(id, "event=").await.join("\n");
     let logs = [("entry".to_string(), lines)];
-    trace(id, &logs).expect("lines are about it")
+    trace(id, &logs).expect("lines refer to the request")
 }
 
 /// Attempts of one request have different ids and come to different entries. Their lines
@@ -249,7 +249,7 @@
         let lines = wait_for_event(id, "request-answered").await;
         let mut fields = lines[0].split(' ');
         let content = fields.find_map(|field| field.strip_prefix("content="));
-        contents.push(content.expect("it is told").to_string());
+        contents.push(content.expect("the field exists").to_string());
     }
     assert_eq!(contents[0], contents[1]);
     assert_ne!(contents[0], contents[2]);
@@ -274,7 +274,7 @@
         ("entry-1".to_string(), other),
         ("control-0".to_string(), control.to_string()),
     ];
-    let text = trace("r9", &logs).expect("there are lines");
+    let text = trace("r9", &logs).expect("lines refer to the request");
     let lines: Vec<&str> = text.lines().collect();
     assert!(lines[0].starts_with("entry-1: time=1 "), "{text}");
     assert!(lines[1].starts_with("control-0: "), "{text}");
--- a/crates/direct/tests/all/outcomes.rs
+++ b/crates/direct/tests/all/outcomes.rs
@@ -40,11 +40,7 @@
             calls += 1;
         }
         assert_eq!(got.status, 502, "{act:?}: {got:?}");
-        assert_eq!(
-            total_received(&[&a, &b]),
-            calls,
-            "one arrival for each call"
-        );
+        assert_eq!(total_received(&[&a, &b]), calls, "one request per call");
     }
 }
 
@@ -199,8 +195,5 @@
             return;
         }
     }
-    panic!(
-        "the endpoint that hangs was met {} times",
-        slow.seen().len()
-    );
+    panic!("the hanging endpoint got {} requests", slow.seen().len());
 }
--- a/crates/direct/tests/all/placement.rs
+++ b/crates/direct/tests/all/placement.rs
@@ -67,7 +67,7 @@
                 place(directory, &query(&prompt, LatencyClass::Tolerant, &[]))
             })
             .collect();
-        assert_eq!(chosen.len(), 1, "entries agree without a word");
+        assert_eq!(chosen.len(), 1, "all entries choose the same endpoint");
     }
 }
 
@@ -164,7 +164,7 @@
     assert_eq!(directory.all().len(), 1);
     assert!(
         std::sync::Arc::ptr_eq(&kept, &directory.all()[0]),
-        "what stays is kept"
+        "a remaining endpoint keeps its state"
     );
 }
 
--- a/crates/direct/tests/all/quarantine.rs
+++ b/crates/direct/tests/all/quarantine.rs
@@ -338,9 +338,13 @@
         assert!(got.body.contains("not-run"), "{got:?}");
         assert!(got.header("retry-after").is_some(), "{got:?}");
         let other = entry.call("POST /once/", "", "other").await;
-        assert_eq!(other.status, 200, "what others ask is served");
+        assert_eq!(other.status, 200, "other requests are served");
     }
-    assert_eq!(cluster.fleet.ended(), ended, "it reached no endpoint");
+    assert_eq!(
+        cluster.fleet.ended(),
+        ended,
+        "the request reached no endpoint"
+    );
 }
 
 /// One attempt on routes that allow five sends crashes at most two endpoints.
@@ -357,7 +361,7 @@
         assert_eq!(got.status, 502, "{path}: {got:?}");
         assert_eq!(cluster.fleet.ended(), 2, "{path}");
         let request = fingerprint_at(&path["POST ".len()..]);
-        wait_until("both crashes are known here", async || {
+        wait_until("the entry has recorded both crashes", async || {
             entry.shared.suspects.status(request).crashes == 2
         })
         .await;
@@ -480,7 +484,7 @@
     let control = control_reporting(Arc::new(Mutex::new(suspect))).await;
     let down = [9, 10].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let entry = Entry::with_control(vec![down[0], down[1], control]).await;
-    wait_until("the entry is told of it", async || {
+    wait_until("the entry has control's report", async || {
         entry
             .shared
             .suspects
@@ -517,7 +521,10 @@
     entry.shared.activate_routes(RouteTable::new(route_set()));
     entry.set_endpoints(&[&endpoint]);
     let found = async {
-        wait_until("the endpoint has it", async || !endpoint.seen().is_empty()).await;
+        wait_until("the endpoint has the request", async || {
+            !endpoint.seen().is_empty()
+        })
+        .await;
         *suspect.lock().expect("not poisoned") = SuspectRequest {
             request: fingerprint(),
             crashes: 3,
@@ -545,12 +552,12 @@
     let entry = Entry::with_control(vec![control]).await;
     entry.shared.activate_routes(RouteTable::new(route_set()));
     entry.set_endpoints(&[&endpoint]);
-    wait_until("the entry is told of it", async || {
+    wait_until("the entry has control's report", async || {
         entry.shared.suspects.status(request).crashes == 2
     })
     .await;
     let got = entry.call("POST /once/", "", CRASH_BODY).await;
-    assert_eq!(got.status, 200, "suspected, it is served");
+    assert_eq!(got.status, 200, "a suspected request is served");
     *suspect.lock().expect("not poisoned") = SuspectRequest {
         request,
         crashes: 3,
@@ -581,14 +588,17 @@
         let mut byte = [0];
         request.read_exact(&mut byte).await.expect("a request");
         drop(request);
-        let (check, _) = socket.accept().await.expect("the entry looks");
+        let (check, _) = socket
+            .accept()
+            .await
+            .expect("the entry checks the endpoint");
         drop((check, socket));
     };
     let call = entry.call("POST /once/", "", "same");
     let (got, ()) = tokio::join!(call, ends);
     assert_eq!(got.status, 502);
     let service = "dogwoodhill_direct_lost_with_endpoint_total{service=\"service\"} ";
-    wait_until("the entry knows that it ended", async || {
+    wait_until("the entry has detected the end", async || {
         entry.metric(service).await == Some(1)
     })
     .await;
@@ -608,7 +618,7 @@
     while fleet.ended() < QUARANTINE_AFTER {
         entry.call("POST /once/", "", CRASH_BODY).await;
     }
-    wait_until("the entry knows of them", async || {
+    wait_until("the entry has recorded the crashes", async || {
         entry.shared.suspects.status(fingerprint()).crashes >= QUARANTINE_AFTER
     })
     .await;
@@ -631,7 +641,7 @@
     }
     let ended = fleet.ended();
     let got = entry.call("POST /once/", "", CRASH_BODY).await;
-    assert_eq!(fleet.ended(), ended + 1, "it is sent on: {got:?}");
+    assert_eq!(fleet.ended(), ended + 1, "the request is sent: {got:?}");
 }
 
 /// Without control, an entry eventually acts on its own observations.
@@ -639,7 +649,7 @@
 async fn entry_without_control_blames_by_itself() {
     let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
     let (entry, _fleet) = lose_three_endpoints(vec![nobody]).await;
-    wait_until("the entry quarantines it", async || {
+    wait_until("the entry quarantines the request", async || {
         entry
             .shared
             .suspects
--- a/crates/direct/tests/all/rate_limits.rs
+++ b/crates/direct/tests/all/rate_limits.rs
@@ -138,9 +138,17 @@
         most <= MAX_IN_WINDOW,
         "{most} requests in {WINDOW:?}, allowed {MAX_IN_WINDOW}"
     );
-    assert!(!arrivals.is_empty(), "what it takes it gets");
+    assert!(
+        !arrivals.is_empty(),
+        "the endpoint gets requests within its limit"
+    );
     let failed = statuses.iter().filter(|status| **status != 200).count();
-    assert_eq!(failed, 0, "of {}: the other one serves", statuses.len());
+    assert_eq!(
+        failed,
+        0,
+        "of {}: the other endpoint serves",
+        statuses.len()
+    );
 }
 
 /// Guards against a limit that stays in force: once the endpoint names none, all entries
@@ -156,7 +164,7 @@
     cluster.send_load(Duration::from_secs(1)).await;
     assert!(
         cluster.arrivals(since).len() > MAX_IN_WINDOW,
-        "as many as before"
+        "the endpoint gets as many requests as before"
     );
 }
 
@@ -170,7 +178,10 @@
     let begun = Instant::now();
     let mut refused = 0;
     while endpoint.seen().len() < 4 {
-        assert!(begun.elapsed() < WAIT_TIMEOUT, "it gets nothing");
+        assert!(
+            begun.elapsed() < WAIT_TIMEOUT,
+            "the endpoint gets no requests"
+        );
         let got = entry.call("GET /safe/", "", "").await;
         match got.status {
             200 => {}
@@ -183,7 +194,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    assert!(refused > 0, "it was kept to");
+    assert!(refused > 0, "the limit was applied");
 }
 
 /// Guards against limits lost because they arrive before the endpoint list: they must be
@@ -201,7 +212,11 @@
         }],
     };
     directory.apply_limits(uptime(), &[], Some(&limits), &[]);
-    assert_eq!(directory.limit_report().1, 0, "as if nothing had been told");
+    assert_eq!(
+        directory.limit_report().1,
+        0,
+        "the limits are requested again"
+    );
     directory.update(vec![EndpointRecord {
         run,
         service: "service".to_string(),
--- a/crates/direct/tests/all/responses.rs
+++ b/crates/direct/tests/all/responses.rs
@@ -21,14 +21,13 @@
     assert_eq!(seen.body, "text");
     assert_eq!(seen.header("x-other"), Some("kept"));
     assert_eq!(seen.header("x-endpoint"), Some("endpoint-0"));
-    assert_eq!(seen.header("x-key"), None, "the key stays here");
-    assert_eq!(
-        seen.header("keep-alive"),
-        None,
-        "it concerns one connection"
-    );
+    assert_eq!(seen.header("x-key"), None, "the key is not forwarded");
+    assert_eq!(seen.header("keep-alive"), None, "hop-by-hop header");
     let remaining: u64 = seen.header("x-left-ms").unwrap().parse().unwrap();
-    assert!(remaining <= 5_000, "less is left than the caller said");
+    assert!(
+        remaining <= 5_000,
+        "the remaining time is less than the caller's"
+    );
 }
 
 #[tokio::test]
--- a/crates/direct/tests/all/settings.rs
+++ b/crates/direct/tests/all/settings.rs
@@ -18,10 +18,10 @@
     let settings = parse("").expect("defaults fit");
     assert_eq!(settings.leaving_within, Duration::from_secs(4));
     assert_eq!(settings.list_interval, Duration::from_secs(1));
-    let settings = parse(r#""leaving_within": "2s""#).expect("the default gives way");
+    let settings = parse(r#""leaving_within": "2s""#).expect("the default shrinks");
     assert_eq!(settings.list_interval, Duration::from_millis(800));
     let refused = parse(r#""leaving_within": "2s", "list_every": "1s""#);
-    let text = refused.expect_err("news would travel too long");
+    let text = refused.expect_err("the interval is too long");
     assert!(
         text.contains("list_every") && text.contains("800ms"),
         "{text}"
--- a/crates/direct/tests/all/staleness.rs
+++ b/crates/direct/tests/all/staleness.rs
@@ -63,7 +63,7 @@
     for _ in 0..10 {
         yield_now().await;
     }
-    assert!(!chooser.is_finished(), "it waits");
+    assert!(!chooser.is_finished(), "the request waits");
     tracker.apply_own_read(
         &directory,
         uptime(),
@@ -71,8 +71,8 @@
         vec![listed(unused_address(), true)],
     );
     assert!(
-        chooser.await.expect("it goes on"),
-        "it knows that the endpoint leaves"
+        chooser.await.expect("the request continues"),
+        "the newer list is used"
     );
 }
 
@@ -93,7 +93,11 @@
     let waited = started.elapsed();
     assert!(waited >= Duration::from_millis(100));
     tracker.await_current().await;
-    assert_eq!(started.elapsed(), waited, "the next one goes on at once");
+    assert_eq!(
+        started.elapsed(),
+        waited,
+        "the next request continues at once"
+    );
     assert!(!directory.all()[0].leaving());
 }
 
@@ -121,7 +125,7 @@
     let started = tokio::time::Instant::now();
     let read = list_reader::fetch(&list)
         .await
-        .expect("the second call has it");
+        .expect("the second call responds");
     assert_eq!(read.endpoints.len(), 1);
     assert_eq!(started.elapsed(), Duration::from_millis(500));
     assert_eq!(list.calls.load(Ordering::Relaxed), 2);
@@ -168,11 +172,11 @@
         matches!(outcome, SendOutcome::NotAdmitted(AdmissionError::Leaving)),
         "{outcome:?}"
     );
-    let (mut stream, _) = socket.accept().await.expect("it connected");
+    let (mut stream, _) = socket.accept().await.expect("the entry connected");
     let mut bytes = Vec::new();
     stream
         .read_to_end(&mut bytes)
         .await
-        .expect("it closed properly");
+        .expect("the connection closed properly");
     assert!(bytes.is_empty(), "{bytes:?}");
 }
--- a/crates/direct/tests/all/streams.rs
+++ b/crates/direct/tests/all/streams.rs
@@ -34,9 +34,9 @@
         assert_eq!(got.events(), ["one"]);
         assert!(
             !got.ended_properly(),
-            "a stream that broke off does not look complete"
+            "an aborted stream does not look complete"
         );
-        assert_eq!(endpoint.seen().len(), 1, "and runs once");
+        assert_eq!(endpoint.seen().len(), 1, "the request runs once");
     }
 }
 
