--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -272,7 +272,7 @@
         let shared = Arc::clone(shared);
         Arc::new(move || ready(&shared))
     };
-    let answer = move || {
+    let handler = move || {
         let is_ready = ready(&ready_state);
         async move {
             if is_ready {
@@ -282,5 +282,5 @@
             }
         }
     };
-    health::routes(&shared.drain, metrics, health_ready).route(path, get(answer))
+    health::routes(&shared.drain, metrics, health_ready).route(path, get(handler))
 }
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -185,7 +185,8 @@
         self.permits().report(now)
     }
 
-    /// Applies permits granted by control in response to a request sent at `requested_at`.
+    /// Applies permits granted by control in response to a request sent at
+    /// `requested_at`.
     pub(super) fn apply_permits(
         &self,
         requested_at: Duration,
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -1,7 +1,7 @@
 //! State of one endpoint as estimated by an entry.
 //!
-//! All of it is an estimate: health, queueing delay, speed, and the prompt prefixes in its
-//! cache. It is derived from this entry's own requests and from load reported in
+//! All of it is an estimate: health, queueing delay, speed, and the prompt prefixes in
+//! its cache. It is derived from this entry's own requests and from load reported in
 //! responses.
 
 use super::admission::Admission;
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -394,10 +394,10 @@
         outcome
     }
 
-    /// Completes when a request that was sent at `started` should move to another endpoint.
-    /// It does so only if the resend is allowed and, at this point, debited from the
-    /// budget: otherwise a response that may still arrive, and the work done for it,
-    /// would be given up for nothing.
+    /// Completes when a request that was sent at `started` should move to another
+    /// endpoint. It does so only if the resend is allowed and, at this point, debited
+    /// from the budget: otherwise a response that may still arrive, and the work done for
+    /// it, would be given up for nothing.
     async fn wait_better_elsewhere(&self, endpoint: &Endpoint, started: Instant) {
         let last = self.sends + 1 >= self.admitted.route.tries;
         if !self.is_idempotent() || last || self.suspected {
--- a/crates/direct/src/events.rs
+++ b/crates/direct/src/events.rs
@@ -1,8 +1,8 @@
 //! Splitting a stream into complete events.
 //!
 //! An event ends with an empty line. A partial event, left by a connection that broke,
-//! must not reach the caller, which could not tell it from a complete one. Bytes are
-//! therefore buffered until their event is complete.
+//! must not reach the caller, which could not distinguish it from a complete one. Bytes
+//! are therefore buffered until their event is complete.
 
 use crate::dialect::EventId;
 use bytes::{Bytes, BytesMut};
--- a/crates/direct/src/list_tracker.rs
+++ b/crates/direct/src/list_tracker.rs
@@ -53,7 +53,7 @@
     history: ListHistory,
     /// Endpoints of the list in use, sorted by name and start; `None` for those that are
     /// not used.
-    places: Vec<Option<Arc<Endpoint>>>,
+    endpoints: Vec<Option<Arc<Endpoint>>>,
     /// This entry's newest own read.
     own_read: Option<OwnRead>,
     /// Mark of the version that control has.
@@ -195,13 +195,13 @@
         }
     }
 
-    /// Observations at endpoints since the last call: events by place in the list in use,
-    /// and a bitmap of the places with recent activity.
+    /// Observations at endpoints since the last call: events by index in the list in use,
+    /// and a bitmap of the indices with recent activity.
     pub fn observations(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
         let mut observations = Vec::new();
-        let mut alive = vec![0; state.places.len().div_ceil(8)];
-        for (place, endpoint) in state.places.iter().enumerate() {
+        let mut alive = vec![0; state.endpoints.len().div_ceil(8)];
+        for (index, endpoint) in state.endpoints.iter().enumerate() {
             let Some(sighting) = endpoint
                 .as_ref()
                 .and_then(|endpoint| endpoint.take_sighting())
@@ -209,11 +209,11 @@
                 continue;
             };
             if sighting.alive {
-                alive[place / 8] |= 1 << (place % 8);
+                alive[index / 8] |= 1 << (index % 8);
             }
             if sighting.replaced || sighting.unreached || sighting.answered > 0 {
                 observations.push(EndpointObservation {
-                    list_index: place as u32,
+                    list_index: index as u32,
                     replaced: sighting.replaced,
                     unreached: sighting.unreached,
                     answered: sighting.answered,
@@ -362,21 +362,21 @@
     fn activate(&mut self, directory: &Directory, snapshot: ListSnapshot) {
         directory.update(Vec::clone(&snapshot.endpoints));
         let records = snapshot.endpoints.iter();
-        let places = records.map(|record| directory.find_run(&record.run));
-        self.places = places.collect();
+        let endpoints = records.map(|record| directory.find_run(&record.run));
+        self.endpoints = endpoints.collect();
         self.history.put(snapshot);
         self.needs_full = false;
     }
 
-    /// Applies control's verdicts, by place; endpoints without a verdict have none.
+    /// Applies control's verdicts, by index; endpoints without a verdict have none.
     fn apply_verdicts(&self, verdicts: &[EndpointVerdict]) {
-        let mut told = vec![None; self.places.len()];
+        let mut verdict_by_index = vec![None; self.endpoints.len()];
         for verdict in verdicts {
-            if let Some(place) = told.get_mut(verdict.list_index as usize) {
-                *place = Some(Verdict::from(verdict.verdict));
+            if let Some(index) = verdict_by_index.get_mut(verdict.list_index as usize) {
+                *index = Some(Verdict::from(verdict.verdict));
             }
         }
-        for (endpoint, verdict) in self.places.iter().zip(told) {
+        for (endpoint, verdict) in self.endpoints.iter().zip(verdict_by_index) {
             if let Some(endpoint) = endpoint {
                 endpoint.set_verdict(verdict);
             }
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -1,9 +1,9 @@
 //! Connection pool of one endpoint.
 //!
 //! A connection carries one request at a time and is reused for as long as the endpoint
-//! is expected to keep it open. [`Connection`] is a guard: dropping it closes the connection,
-//! which cancels the request at the endpoint and discards bytes still in flight
-//! ([`crate::socket`]).
+//! is expected to keep it open. [`Connection`] is a guard: dropping it closes the
+//! connection, which cancels the request at the endpoint and discards bytes still in
+//! flight ([`crate::socket`]).
 
 use crate::socket::{ResponsePending, Socket};
 use bytes::Bytes;
--- a/crates/direct/src/race.rs
+++ b/crates/direct/src/race.rs
@@ -15,15 +15,15 @@
     Abandon(L),
 }
 
-/// Waits for either future. If both are ready, the response wins and `leave` is not
+/// Waits for either future. If both are ready, the response wins and `abandon` is not
 /// polled, so that its side effects do not happen.
 pub async fn race_response<A, L>(
-    answer: impl Future<Output = A>,
-    leave: impl Future<Output = L>,
+    response: impl Future<Output = A>,
+    abandon: impl Future<Output = L>,
 ) -> Winner<A, L> {
     tokio::select! {
         biased;
-        answer = answer => Winner::Response(answer),
-        reason = leave => Winner::Abandon(reason),
+        response = response => Winner::Response(response),
+        reason = abandon => Winner::Abandon(reason),
     }
 }
--- a/crates/direct/src/response.rs
+++ b/crates/direct/src/response.rs
@@ -183,7 +183,8 @@
     }
 }
 
-/// Builds a refusal. `retry_after` is the retry delay for a caller whose request did not run.
+/// Builds a refusal. `retry_after` is the retry delay for a caller whose request did not
+/// run.
 pub fn refuse(
     cause: RefusalCause,
     retry_after: Option<Duration>,
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -146,7 +146,7 @@
     pub max_output: u32,
     /// Version of the route set that was applied.
     pub routes_version: Version,
-    /// Predicted wait until the prompt would be read.
+    /// Predicted wait until prefill of the prompt begins.
     pub predicted_wait: Duration,
     /// Whether the request was sent with background priority.
     pub background: bool,
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -2,7 +2,7 @@
 //! ([`dogwoodhill_policy::quarantine`]): the entry's own observations, and those of all
 //! entries together.
 //!
-//! An entry alone blames no request: of the requests lost with an endpoint, it sees only
+//! An entry alone blames no request: of the requests lost with an endpoint, it has only
 //! its own, and the culprit may have come to another entry. It relies on its own
 //! observations only after control has been unreachable for some time.
 //!
@@ -215,7 +215,8 @@
         state.exonerated.drain(..acknowledged);
     }
 
-    /// Applies a response of control; `reported` has what all entries found, if that changed.
+    /// Applies a response of control; `reported` has what all entries found, if that
+    /// changed.
     pub fn apply_control(&self, reported: Option<ReportedSuspects>) {
         let now = uptime();
         let mut state = self.state();
--- a/crates/direct/tests/all/list_tracker.rs
+++ b/crates/direct/tests/all/list_tracker.rs
@@ -287,7 +287,7 @@
     }
 }
 
-/// Verdicts refer to endpoints by place in the sorted list, whatever the order of the
+/// Verdicts refer to endpoints by index in the sorted list, whatever the order of the
 /// list as read.
 #[test]
 fn apply_control_verdicts_by_index() {
@@ -321,8 +321,8 @@
     assert_eq!(usable(&directory), ["i-2", "i-3"], "a replacement is final");
 }
 
-/// Observations are reported once, by place; recent activity is reported for as long as
-/// it is recent.
+/// Observations are reported once, by list index; recent activity is reported for as long
+/// as it is recent.
 #[test]
 fn observations_reported_by_index() {
     let (tracker, directory) =
--- a/crates/direct/tests/all/quarantine.rs
+++ b/crates/direct/tests/all/quarantine.rs
@@ -3,8 +3,8 @@
 //! Guards against one request, retried by its caller at one entry after the other, that
 //! ends 10 to 18 endpoints in a row, with up to 41 other requests lost each time. An
 //! endpoint ends some 40 ms after it began the request; the entry sees a broken
-//! connection and responds with 502; the caller retries at another entry, which knows
-//! nothing of the request and places it like any other. Crashes must therefore be
+//! connection and responds with 502; the caller retries at another entry, which has no
+//! record of the request and places it like any other. Crashes must therefore be
 //! attributed to a request across attempts and entries. Here the same request comes to
 //! four entries in turn, with endpoints that end when they begin it and come back under
 //! another name.
@@ -537,7 +537,7 @@
     assert_eq!(got.status, 502, "it may have run: {got:?}");
 }
 
-/// The entry knows of two crashes, and control of a third that just happened: the entry
+/// The entry has recorded two crashes, and control a third that just happened: the entry
 /// must refresh its state before it sends the request.
 #[tokio::test]
 async fn suspected_request_refreshed_before_send() {
@@ -604,8 +604,8 @@
     .await;
 }
 
-/// Starts an entry with endpoints that end under [`CRASH_BODY`], and sends that until three
-/// have ended.
+/// Starts an entry with endpoints that end under [`CRASH_BODY`], and sends that until
+/// three have ended.
 async fn lose_three_endpoints(control: Vec<SocketAddr>) -> (Entry, Fleet) {
     let fleet = Fleet::start(ENDPOINTS).await;
     let list = Box::new(fleet.clone());
@@ -647,8 +647,8 @@
 /// Without control, an entry eventually acts on its own observations.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_without_control_blames_by_itself() {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-    let (entry, _fleet) = lose_three_endpoints(vec![nobody]).await;
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
+    let (entry, _fleet) = lose_three_endpoints(vec![unused_address]).await;
     wait_until("the entry quarantines the request", async || {
         entry
             .shared
