--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -114,7 +114,8 @@
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`]; with [`Unable::NoMajority`] the command may be in force.
+    /// [`ControlUnavailable`]; with [`ControlUnavailable::NoMajority`] the command may be
+    /// in force.
     pub async fn propose(&self, action: Action) -> ControlReply<Reply> {
         let (reply, answer) = oneshot::channel();
         self.input(Input::Propose { action, reply }).await;
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -86,7 +86,7 @@
     pub priority: Tier,
     /// Latency target.
     pub target: Target,
-    /// Share of requests that must meet the target, between 0 and 1.
+    /// Share of requests that must meet the target, between 0 and 1, such as 0.95.
     pub objective: f64,
     /// Whether a request may be retried.
     pub repeat: Repeat,
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -10,8 +10,10 @@
 #[derive(Debug)]
 pub struct RouteTable {
     version: Version,
+    /// Sorted by host and prefix, for binary search.
     routes: Vec<Arc<Route>>,
     limits: Limits,
+    /// `None` if callers need no key.
     keys: Option<KeyRing<Holder>>,
     /// Shortest and longest pause that the routes to each service allow between events,
     /// sorted by service.
