--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,130 +1,142 @@
-//! Elections: pre-vote, vote, and a leader's asking to be followed.
+//! Elections: pre-vote, vote, and elections requested by a leader that stops.
 
 use crate::log::Payload;
-use crate::message::{Ballot, Body};
-use crate::node::{Leading, Node, Peer, Role};
-use crate::ready::Hard;
+use crate::message::{Body, VoteRequest};
+use crate::node::{LeaderState, Node, Peer, Role};
+use crate::ready::HardState;
 use crate::{Moment, NodeId, Term};
 use rand::Rng;
+use std::time::Duration;
 
-/// How long an instance that granted a pre-vote leaves the field to the other
-/// one: a few round trips and syncs, and a third of the shortest time between
-/// two rounds of one that asks in vain.
-const YIELD: Moment = Moment::from_millis(80);
+/// Time for which an instance that granted a pre-vote starts none itself: a few round
+/// trips and syncs, and a third of the shortest interval between two unsuccessful rounds
+/// of one candidate.
+const PRE_VOTE_DELAY: Duration = Duration::from_millis(80);
 
 impl<R: Rng> Node<R> {
-    /// Whether a leader was heard from too lately to support another one.
-    pub(crate) fn sticky(&self, now: Moment) -> bool {
-        self.leads() || (self.leader.is_some() && now < self.heard + self.timing.election)
+    /// Whether a leader was in contact too recently to support another candidate.
+    pub(crate) fn has_recent_leader(&self, now: Moment) -> bool {
+        self.is_leader()
+            || (self.leader.is_some() && now < self.timer_start + self.timing.election)
     }
 
-    /// Asks the others whether an election could be won. Terms do not rise by
-    /// asking, so an instance that was cut off disturbs nobody when it
-    /// returns.
-    pub(crate) fn sound(&mut self, now: Moment) {
-        self.role = Role::Sounding(vec![self.id]);
+    /// Starts a pre-vote: requests from the voters whether an election could be won.
+    /// A pre-vote does not increase the term, so an instance that was partitioned does
+    /// not disrupt the leader when it returns.
+    pub(crate) fn start_pre_vote(&mut self, now: Moment) {
+        self.role = Role::PreCandidate(vec![self.id]);
         self.leader = None;
-        self.wait_for_votes(now);
-        let term = self.hard.term + 1;
-        let ballot = self.ballot(false);
-        self.ask(term, &Body::PreVote(ballot));
-        self.count(now);
+        self.start_candidate_timer(now);
+        let term = self.hard_state.term + 1;
+        let request = self.vote_request(false);
+        self.send_to_voters(term, &Body::PreVote(request));
+        self.count_votes(now);
     }
 
-    pub(crate) fn pre_vote(
+    pub(crate) fn handle_pre_vote(
         &mut self,
         now: Moment,
         from: NodeId,
         term: Term,
-        ballot: Ballot,
+        request: VoteRequest,
     ) {
-        let granted = term > self.hard.term && self.current(&ballot) && !self.sticky(now);
+        let granted = term > self.hard_state.term
+            && self.is_up_to_date(&request)
+            && !self.has_recent_leader(now);
         if granted {
-            // The other one is about to ask for votes; asking too would split
-            // them. The pause is too short for one that asks in vain, again
-            // and again, to keep everyone else from it.
-            let least = (now + YIELD).saturating_sub(self.heard);
-            self.patience = self.patience.max(least);
+            // The candidate is about to request votes; a second candidate would split
+            // them. The delay is short enough that a candidate that keeps failing does
+            // not keep every other instance from starting an election.
+            let min_timeout = (now + PRE_VOTE_DELAY).saturating_sub(self.timer_start);
+            self.election_timeout = self.election_timeout.max(min_timeout);
         }
-        // A grant names the term it is for, a refusal the term there is.
-        let term = if granted { term } else { self.hard.term };
+        // A grant carries the requested term, a refusal the current one.
+        let term = if granted { term } else { self.hard_state.term };
         let message = self.message(from, term, Body::PreVoteReply { granted });
-        self.ready.synced.push(message);
+        self.ready.after_sync.push(message);
     }
 
-    pub(crate) fn pre_voted(
+    pub(crate) fn handle_pre_vote_reply(
         &mut self,
         now: Moment,
         from: NodeId,
         term: Term,
         granted: bool,
     ) {
-        if !granted || term != self.hard.term + 1 {
+        if !granted || term != self.hard_state.term + 1 {
             return;
         }
-        if let Role::Sounding(grants) = &mut self.role {
+        if let Role::PreCandidate(grants) = &mut self.role {
             if !grants.contains(&from) {
                 grants.push(from);
             }
-            self.count(now);
+            self.count_votes(now);
         }
     }
 
-    pub(crate) fn vote(&mut self, now: Moment, from: NodeId, ballot: Ballot) {
-        let free = self.hard.vote.is_none_or(|vote| vote == from);
-        let granted = free && self.current(&ballot) && !self.leads();
+    pub(crate) fn handle_vote(
+        &mut self,
+        now: Moment,
+        from: NodeId,
+        request: VoteRequest,
+    ) {
+        let can_vote = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = can_vote && self.is_up_to_date(&request) && !self.is_leader();
         if granted {
-            self.hard.vote = Some(from);
-            self.ready.hard = Some(self.hard);
-            self.wait(now);
+            self.hard_state.vote = Some(from);
+            self.ready.hard_state = Some(self.hard_state);
+            self.start_follower_timer(now);
         }
-        self.answer(from, Body::VoteReply { granted });
+        self.reply_after_sync(from, Body::VoteReply { granted });
     }
 
-    pub(crate) fn voted(&mut self, now: Moment, from: NodeId, granted: bool) {
+    pub(crate) fn handle_vote_reply(&mut self, now: Moment, from: NodeId, granted: bool) {
         if let Role::Candidate(votes) = &mut self.role {
             if granted && !votes.contains(&from) {
                 votes.push(from);
             }
-            self.count(now);
+            self.count_votes(now);
         }
     }
 
-    /// The leader asks this instance to start an election at once.
-    pub(crate) fn take_over(&mut self, now: Moment) {
-        if self.members().votes(self.id) {
-            self.campaign(now, true);
+    /// Starts an election at the leader's request, without a pre-vote.
+    pub(crate) fn handle_take_over(&mut self, now: Moment) {
+        if self.members().is_voter(self.id) {
+            self.start_election(now, true);
         }
     }
 
-    fn campaign(&mut self, now: Moment, handed: bool) {
-        self.hard = Hard {
-            term: self.hard.term + 1,
+    fn start_election(&mut self, now: Moment, leader_transfer: bool) {
+        self.hard_state = HardState {
+            term: self.hard_state.term + 1,
             vote: Some(self.id),
         };
-        self.ready.hard = Some(self.hard);
+        self.ready.hard_state = Some(self.hard_state);
         self.role = Role::Candidate(vec![self.id]);
         self.leader = None;
-        self.wait_for_votes(now);
-        let ballot = self.ballot(handed);
-        self.ask(self.hard.term, &Body::Vote(ballot));
-        self.count(now);
+        self.start_candidate_timer(now);
+        let request = self.vote_request(leader_transfer);
+        self.send_to_voters(self.hard_state.term, &Body::Vote(request));
+        self.count_votes(now);
     }
 
-    fn count(&mut self, now: Moment) {
-        let won = |grants: &[NodeId]| {
+    /// Goes on to the next step if a majority granted its pre-vote or vote.
+    fn count_votes(&mut self, now: Moment) {
+        let has_majority = |grants: &[NodeId]| {
             let members = self.log.members();
-            let valid = grants.iter().filter(|id| members.votes(**id)).count();
+            let valid = grants.iter().filter(|id| members.is_voter(**id)).count();
             valid >= members.majority()
         };
         match &self.role {
-            Role::Sounding(grants) if won(grants) => self.campaign(now, false),
-            Role::Candidate(votes) if won(votes) => self.win(now),
+            Role::PreCandidate(grants) if has_majority(grants) => {
+                self.start_election(now, false);
+            }
+            Role::Candidate(votes) if has_majority(votes) => self.become_leader(now),
             _ => {}
         }
     }
 
-    fn win(&mut self, now: Moment) {
+    fn become_leader(&mut self, now: Moment) {
         let last = self.log.last();
         let others = self
             .log
@@ -134,58 +146,60 @@
         let peers = others
             .map(|member| Peer::new(member.id, last, now))
             .collect();
-        self.role = Role::Leader(Leading {
+        self.role = Role::Leader(LeaderState {
             peers,
-            beat: now,
+            last_heartbeat: now,
             first: last + 1,
-            ..Leading::default()
+            ..LeaderState::default()
         });
         self.leader = Some(self.id);
         self.append(Payload::Empty);
         self.replicate();
     }
 
-    fn ballot(&self, handed: bool) -> Ballot {
-        Ballot {
+    fn vote_request(&self, leader_transfer: bool) -> VoteRequest {
+        VoteRequest {
             last: self.log.last(),
             last_term: self.log.last_term(),
-            handed,
+            leader_transfer,
         }
     }
 
-    /// Whether a candidate's log is at least as new as the own one.
-    fn current(&self, ballot: &Ballot) -> bool {
+    /// Whether a candidate's log is at least as up to date as this instance's.
+    fn is_up_to_date(&self, request: &VoteRequest) -> bool {
         let own = (self.log.last_term(), self.log.last());
-        (ballot.last_term, ballot.last) >= own
+        (request.last_term, request.last) >= own
     }
 
-    fn ask(&mut self, term: Term, body: &Body) {
+    /// Queues a message to every other voter.
+    fn send_to_voters(&mut self, term: Term, body: &Body) {
         let voters: Vec<NodeId> = self.log.members().voters().collect();
         for to in voters.into_iter().filter(|id| *id != self.id) {
             let message = self.message(to, term, body.clone());
-            // A request for votes implies the vote for itself, which must be
-            // durable first.
-            self.ready.synced.push(message);
+            // A request for votes implies the candidate's vote for itself, which must
+            // be durable first.
+            self.ready.after_sync.push(message);
         }
     }
 }
 
 impl Peer {
-    /// A peer of which nothing is known; its log is tried at `last`.
+    /// A peer whose log is unknown; replication starts after `last`.
     pub(crate) fn new(id: NodeId, last: crate::Index, now: Moment) -> Self {
         Self {
             id,
             matched: 0,
             next: last + 1,
             round: 0,
-            heard: now,
-            flight: None,
+            last_contact: now,
+            in_flight: None,
         }
     }
 
-    /// What was sent since the logs were last known to agree is to be sent again.
-    pub(crate) fn go_back(&mut self) {
-        self.flight = None;
+    /// Resets replication to the last index at which both logs are known to agree, so
+    /// that all later entries are sent again.
+    pub(crate) fn reset_next_index(&mut self) {
+        self.in_flight = None;
         self.next = self.matched + 1;
     }
 }
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -1,60 +1,60 @@
-//! Who takes part in the log.
+//! Members of the cluster, as they are stored in the log.
 
 use crate::NodeId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One instance.
+/// One instance of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Identity.
+    /// Identity; an instance that lost its disk gets a new one.
     pub id: NodeId,
-    /// Name from its settings; it survives a lost disk, the id does not.
+    /// Name from the instance's settings; unlike the id it survives a lost disk.
     pub name: String,
-    /// Address of its internal listener.
+    /// Address of the instance's internal listener.
     pub address: SocketAddr,
-    /// Whether it votes. A learner only follows.
+    /// Whether it votes. A learner only receives entries.
     pub voter: bool,
-    /// Whether it counts towards the size that the cluster is meant to have.
-    /// An instance that came as a replacement has no seat until the one it
-    /// replaces is gone.
+    /// Whether it counts towards the intended size of the cluster. An
+    /// instance that joined as a replacement has no seat until the one it
+    /// replaces is removed.
     #[serde(default = "seated")]
     pub seat: bool,
 }
 
-/// Members written before there were seats all had one.
+/// Default for members written by versions without seats, where each counted.
 fn seated() -> bool {
     true
 }
 
-/// All instances, sorted by id.
+/// All members, sorted by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members(Vec<Member>);
 
 impl Members {
-    /// Members out of a list.
+    /// Sorts `list` by id.
     pub fn new(mut list: Vec<Member>) -> Self {
         list.sort_by_key(|member| member.id);
         Self(list)
     }
 
-    /// All of them.
+    /// All members, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.0.iter()
     }
 
-    /// The one with this id.
+    /// The member with this id.
     pub fn get(&self, id: NodeId) -> Option<&Member> {
         let at = self.0.binary_search_by_key(&id, |member| member.id);
         at.ok().map(|at| &self.0[at])
     }
 
-    /// Whether this id votes.
-    pub fn votes(&self, id: NodeId) -> bool {
+    /// Whether `id` is a member that votes.
+    pub fn is_voter(&self, id: NodeId) -> bool {
         self.get(id).is_some_and(|member| member.voter)
     }
 
-    /// Those who vote.
+    /// Ids of the members that vote.
     pub fn voters(&self) -> impl Iterator<Item = NodeId> {
         self.0
             .iter()
@@ -62,20 +62,21 @@
             .map(|member| member.id)
     }
 
-    /// Whether there are more voters than the cluster is meant to have.
-    pub fn oversize(&self) -> bool {
+    /// Whether there are more voters than seats.
+    pub fn has_surplus_voter(&self) -> bool {
         let seats = self.0.iter().filter(|member| member.seat).count();
         self.voters().count() > seats
     }
 
-    /// The same without `id`; its seat, where it has one, goes to `heir`.
+    /// The members without `id`, whose seat, if it has one, passes to
+    /// `successor`.
     #[must_use]
-    pub fn succeed(&self, id: NodeId, heir: NodeId) -> Self {
+    pub fn without_passing_seat(&self, id: NodeId, successor: NodeId) -> Self {
         let seat = self.get(id).is_some_and(|member| member.seat);
         let mut members = self.without(id);
         let mut list = members.0.iter_mut();
-        if let Some(heir) = list.find(|member| member.id == heir) {
-            heir.seat |= seat;
+        if let Some(successor) = list.find(|member| member.id == successor) {
+            successor.seat |= seat;
         }
         members
     }
@@ -85,7 +86,7 @@
         self.voters().count() / 2 + 1
     }
 
-    /// The same with `member` added or replaced.
+    /// The members with `member` added, or replaced if its id is present.
     #[must_use]
     pub fn with(&self, member: Member) -> Self {
         let mut list = self.without(member.id).0;
@@ -93,7 +94,7 @@
         Self::new(list)
     }
 
-    /// The same without `id`.
+    /// The members without `id`.
     #[must_use]
     pub fn without(&self, id: NodeId) -> Self {
         Self(
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,133 +1,135 @@
 //! Messages between instances.
 
 use crate::log::{Entry, Snapshot};
-use crate::{Index, Moment, NodeId, Term};
+use crate::{Index, NodeId, Term};
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 
-/// Bytes from which on a message counts as large: one that takes more than half of a
-/// heartbeat's interval on a link of 10 Mbit/s, so that no answer to it can be expected
-/// within the two intervals after which small ones are sent again. Few are: what
-/// operators send, and snapshots.
-const LARGE: usize = 64 * 1024;
-/// Slowest rate at which a message may go to one peer before it counts as lost, in bytes
-/// a second: 1 Mbit/s, the hundredth part of a control instance's link. With bounds that
-/// took no account of size a leader sent sets of 516 and 768 KB two and three times to each
-/// peer, and gave messages with two copies of one up after a second on a full link.
-const SLOWEST: f64 = 125_000.0;
+/// Size in bytes from which a message counts as large: on a link of 10 Mbit/s it takes
+/// more than half a heartbeat interval, so no reply can be expected within the two
+/// intervals after which small messages are sent again. Only operators' documents and
+/// route sets, and snapshots, are that large.
+const LARGE_MESSAGE_BYTES: usize = 64 * 1024;
+/// Lowest transfer rate to one peer in bytes per second, below which a message counts as
+/// lost: 1 Mbit/s, a hundredth of a control instance's link. With time limits independent
+/// of the size, a leader sent sets of 516 and 768 KB two and three times to each peer, and
+/// abandoned messages that held two copies of one after a second on a saturated link.
+const MIN_TRANSFER_RATE: f64 = 125_000.0;
 
-/// One message.
+/// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// Sender.
     pub from: NodeId,
     /// Receiver.
     pub to: NodeId,
-    /// Sender's term; for a pre-vote the term it would start.
+    /// Sender's term; for a pre-vote the term that the election would start.
     pub term: Term,
     /// Content.
     pub body: Body,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Would the receiver vote for the sender?
-    PreVote(Ballot),
-    /// Answer to [`Body::PreVote`].
+    /// Requests a pre-vote: whether the receiver would vote for the sender.
+    PreVote(VoteRequest),
+    /// Reply to [`Body::PreVote`].
     PreVoteReply {
-        /// Whether it would.
+        /// Whether the receiver would vote for the sender.
         granted: bool,
     },
-    /// Asks for a vote.
-    Vote(Ballot),
-    /// Answer to [`Body::Vote`].
+    /// Requests a vote.
+    Vote(VoteRequest),
+    /// Reply to [`Body::Vote`].
     VoteReply {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries, or a heartbeat without any.
-    Append(Append),
-    /// Answer to [`Body::Append`] and [`Body::Install`].
-    AppendReply(Appended),
-    /// A snapshot for one that is too far behind.
+    /// Entries, or a heartbeat without entries.
+    Append(AppendEntries),
+    /// Reply to [`Body::Append`] and [`Body::Install`].
+    AppendReply(AppendReply),
+    /// A snapshot for a follower whose log ends before the leader's log starts.
     Install {
-        /// Round of confirmation it belongs to.
+        /// Confirmation round; the reply repeats it.
         round: u64,
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// Asks the receiver to start an election at once, because the leader is
-    /// about to stop.
+    /// Requests that the receiver start an election at once, because the leader
+    /// is about to stop (`TimeoutNow` in the Raft thesis).
     TakeOver,
 }
 
 impl Message {
-    /// Bytes of the commands or the snapshot that it carries; 0 for all that
-    /// keeps a cluster in contact.
+    /// Bytes of the commands or the snapshot in the message; 0 for heartbeats, votes
+    /// and replies.
     pub fn size(&self) -> usize {
         match &self.body {
-            Body::Append(append) => size(&append.entries),
+            Body::Append(append) => entries_size(&append.entries),
             Body::Install { snapshot, .. } => snapshot.data.len(),
             _ => 0,
         }
     }
 
-    /// Whether it goes apart from what keeps a cluster in contact, and is not sent again
-    /// while it is under way.
-    pub fn large(&self) -> bool {
-        self.size() >= LARGE
+    /// Whether the message is large: it is sent separately from heartbeats and votes, and
+    /// not repeated while it is in flight.
+    pub fn is_large(&self) -> bool {
+        self.size() >= LARGE_MESSAGE_BYTES
     }
 }
 
-/// Longest time that `size` bytes may be on their way to one peer.
-pub fn transfer(size: usize) -> Moment {
-    Moment::from_secs_f64(size as f64 / SLOWEST)
+/// Longest time that the transfer of `size` bytes to one peer may take.
+pub fn max_transfer_time(size: usize) -> Duration {
+    Duration::from_secs_f64(size as f64 / MIN_TRANSFER_RATE)
 }
 
-/// Whether a message with these entries would be a large one.
-pub(crate) fn large(entries: &[Entry]) -> bool {
-    size(entries) >= LARGE
+/// Whether a message with these entries would be large.
+pub(crate) fn are_large(entries: &[Entry]) -> bool {
+    entries_size(entries) >= LARGE_MESSAGE_BYTES
 }
 
 /// Bytes of the commands in `entries`.
-fn size(entries: &[Entry]) -> usize {
+fn entries_size(entries: &[Entry]) -> usize {
     entries.iter().map(Entry::size).sum()
 }
 
-/// What a voter has to know of a candidate.
+/// Arguments of a vote or pre-vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ballot {
-    /// Last position of the candidate's log.
+pub struct VoteRequest {
+    /// Last index of the candidate's log.
     pub last: Index,
-    /// Its term.
+    /// Term of the entry at `last`.
     pub last_term: Term,
-    /// Whether the leader asked for this election.
-    pub handed: bool,
+    /// Whether the leader requested this election to transfer its leadership; receivers
+    /// then vote even though they are in contact with a leader.
+    pub leader_transfer: bool,
 }
 
 /// Entries from a leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Append {
-    /// Position before the first entry.
+pub struct AppendEntries {
+    /// Index before the first entry.
     pub prev: Index,
-    /// Its term.
+    /// Term of the entry at `prev`.
     pub prev_term: Term,
-    /// Entries, which may be none.
+    /// Entries; empty in a heartbeat.
     pub entries: Vec<Entry>,
-    /// Last committed position.
+    /// Leader's commit index.
     pub commit: Index,
-    /// Round of confirmation; an answer repeats it.
+    /// Confirmation round; the reply repeats it.
     pub round: u64,
 }
 
-/// A follower's answer.
+/// A follower's reply to [`AppendEntries`] or a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Appended {
-    /// Whether the entries fit the follower's log.
-    pub fits: bool,
-    /// Where they fit, the last position known to agree; else the last that
-    /// may.
+pub struct AppendReply {
+    /// Whether the follower's log contains the entry before the first one sent.
+    pub success: bool,
+    /// On success the last index at which both logs are known to agree, otherwise the
+    /// last one at which they may agree.
     pub index: Index,
-    /// Round that is answered.
+    /// Confirmation round of the request.
     pub round: u64,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,171 +1,191 @@
-//! One instance's part in the log.
+//! One instance of the replicated log.
 
 use crate::log::{Entry, Log, Payload, Snapshot};
 use crate::members::{Member, Members};
 use crate::message::{Body, Message};
-use crate::ready::{Hard, Ready};
+use crate::ready::{HardState, Ready};
 use crate::{Index, Moment, NodeId, ReadId, Term};
 use derive_more::{Display, Error};
 use rand::Rng;
 use rand::RngExt;
 use std::ops::Range;
-
-/// A crash and restart of an instance takes under 2 s, an election about 1 s:
-/// who is silent for longer while a replacement waits does not come back soon,
-/// and a second loss must find the replacement counted.
-const GONE: Moment = Moment::from_millis(2_500);
-/// Long against a snapshot's transfer, short against the wear of a cluster
-/// whose instances are replaced every day.
-const FORGET: Moment = Moment::from_secs(20);
-
-/// Patience with a leader that is silent, in election times.
-const WITH_LEADER: Range<f64> = 1.0..2.0;
-/// Patience of an instance that starts. Where all start at once nobody leads,
-/// and everyone waits for them; where there is a leader, asking for votes
-/// changes nothing. The spread is wide, since two that ask within some ten
-/// milliseconds of each other split the votes.
-const AT_START: Range<f64> = 0.3..1.2;
-/// Patience of an instance that asked for votes in vain.
-const AFTER_ASKING: Range<f64> = 0.5..1.7;
-
-/// Fixed times of a node.
+use std::time::Duration;
+
+/// A crash and restart of an instance takes under 2 s, an election about 1 s: a voter
+/// that is silent for longer while a replacement is available does not return soon, and
+/// the replacement must count before a second instance fails.
+const VOTER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longer than the transfer of a snapshot, and short enough that clusters whose
+/// instances are replaced daily do not accumulate abandoned learners.
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Election timeout of a follower, as a multiple of [`Timing::election`].
+const FOLLOWER_FACTOR: Range<f64> = 1.0..2.0;
+/// Election timeout of an instance that starts, as a multiple of [`Timing::election`].
+/// It is shorter, since there is no leader if all instances start at once, and a pre-vote
+/// has no effect if there is one. The range is wide, because candidates that start within
+/// some ten milliseconds of each other split the votes.
+const START_FACTOR: Range<f64> = 0.3..1.2;
+/// Election timeout of a candidate, as a multiple of [`Timing::election`].
+const CANDIDATE_FACTOR: Range<f64> = 0.5..1.7;
+
+/// Intervals and timeouts of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Interval of a leader's heartbeats.
-    pub heartbeat: Moment,
-    /// Shortest time without a leader until an election. A follower that
-    /// heard from a leader within it grants no vote.
-    pub election: Moment,
-    /// Time without a word after which a leader takes an instance for gone
-    /// where a replacement stands ready.
-    pub gone: Moment,
-    /// Time without a word after which a leader forgets an instance that
-    /// never became a voter.
-    pub forget: Moment,
+    pub heartbeat: Duration,
+    /// Shortest time without a leader before an election. A follower that was in
+    /// contact with a leader within it grants no vote.
+    pub election: Duration,
+    /// Time without a reply after which a leader removes a voter for which a
+    /// replacement is available.
+    pub voter_timeout: Duration,
+    /// Time without a reply after which a leader removes a learner.
+    pub learner_timeout: Duration,
 }
 
 impl Default for Timing {
-    /// Heartbeats every 100 ms and elections after 500 ms to 1 s: a leader's
-    /// death is noticed and mended in well under 2 s, and a pause of a few
-    /// heartbeats, as a slow disk causes, starts no election.
+    /// Heartbeats every 100 ms and elections after 500 ms to 1 s: the cluster recovers
+    /// from the failure of a leader in well under 2 s, and a pause of a few heartbeats,
+    /// as a slow disk causes, starts no election.
     fn default() -> Self {
         Self {
-            heartbeat: Moment::from_millis(100),
-            election: Moment::from_millis(500),
-            gone: GONE,
-            forget: FORGET,
+            heartbeat: Duration::from_millis(100),
+            election: Duration::from_millis(500),
+            voter_timeout: VOTER_TIMEOUT,
+            learner_timeout: LEARNER_TIMEOUT,
         }
     }
 }
 
-/// What a node is at the moment.
+/// Present role of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Follower,
-    /// Asking whether an election could be won.
-    Sounding(Vec<NodeId>),
+    /// Collects pre-votes; contains the instances that granted one.
+    PreCandidate(Vec<NodeId>),
+    /// Collects votes; contains the instances that granted one.
     Candidate(Vec<NodeId>),
-    Leader(Leading),
+    Leader(LeaderState),
 }
 
-/// A leader's knowledge of the others.
+/// Volatile state of a leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
+    /// All other members.
     pub(crate) peers: Vec<Peer>,
-    pub(crate) beat: Moment,
+    pub(crate) last_heartbeat: Moment,
+    /// Index of the first entry of the leader's own term.
     pub(crate) first: Index,
+    /// Newest confirmation round. A round that a majority answered confirms that this
+    /// instance still led when the round began.
     pub(crate) round: u64,
-    pub(crate) asked: bool,
-    pub(crate) reads: Vec<Read>,
-    pub(crate) handing: Option<Moment>,
+    /// Whether a read needs a new confirmation round.
+    pub(crate) round_requested: bool,
+    /// Reads that are not confirmed yet.
+    pub(crate) reads: Vec<PendingRead>,
+    /// Present while leadership is being transferred; no voter is selected after it.
+    pub(crate) transfer_until: Option<Moment>,
 }
 
-/// What a leader knows of one other instance.
+/// Replication state of one other member, on the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) id: NodeId,
+    /// Last index up to which the peer's log is known to agree with the leader's.
     pub(crate) matched: Index,
+    /// Index of the next entry to send.
     pub(crate) next: Index,
+    /// Newest confirmation round that the peer answered.
     pub(crate) round: u64,
-    pub(crate) heard: Moment,
-    /// A large message that is on its way to it.
-    pub(crate) flight: Option<Flight>,
+    /// Time of the last reply.
+    pub(crate) last_contact: Moment,
+    /// Large message that is in flight to the peer.
+    pub(crate) in_flight: Option<InFlight>,
 }
 
-/// Entries or a snapshot on their way, long enough that nobody can answer before some
-/// heartbeats have passed. Nothing of it is sent again, and nothing after it, until it
-/// is answered, reported as not delivered, or overdue.
+/// Entries or a snapshot in flight whose transfer may take several heartbeats. Neither
+/// they nor later entries are sent until the message is answered, reported as not
+/// delivered, or overdue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Flight {
-    /// Last position in it.
+pub(crate) struct InFlight {
+    /// Last index in the message.
     pub(crate) last: Index,
-    /// When it is overdue.
-    pub(crate) until: Moment,
+    /// Time from which the message is overdue.
+    pub(crate) deadline: Moment,
 }
 
-/// A read waiting for confirmation.
+/// A read that waits for confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Read {
+pub(crate) struct PendingRead {
     pub(crate) id: ReadId,
+    /// Index that must be committed before the read is answered.
     pub(crate) index: Index,
+    /// Round that must be confirmed before the read is answered.
     pub(crate) round: u64,
 }
 
-/// Why a request to a node was not taken.
+/// Why a node rejected a request of its owner.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Refused {
-    /// Another instance leads.
-    #[display("this instance does not lead; ask the leader")]
+pub enum RequestError {
+    /// This instance does not lead.
+    #[display("this instance is not the leader; send the request to the leader")]
     NotLeader,
-    /// Leadership is being handed over.
-    #[display("leadership is being handed over; ask again shortly")]
-    HandingOver,
-    /// A change of members is not finished.
-    #[display("another change of members is in progress; ask again shortly")]
+    /// The leader is transferring its leadership.
+    #[display("leadership is being transferred; retry shortly")]
+    TransferInProgress,
+    /// An earlier membership change is not committed.
+    #[display("another membership change is in progress; retry shortly")]
     ChangeInProgress,
-    /// The instance is no member.
+    /// The instance is not a member.
     #[display("there is no such member; list the members first")]
-    NoMember,
-    /// The last voter can't be removed.
+    UnknownMember,
+    /// A cluster without voters could commit nothing.
     #[display("the last voter can't be removed; add another one first")]
     LastVoter,
 }
 
-/// What survived a restart.
+/// State that was made durable before a restart.
 #[derive(Clone, Debug, Default)]
-pub struct Durable {
+pub struct DurableState {
     /// Term and vote.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// Newest snapshot.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// The state machine.
+/// The state machine of one instance.
 #[derive(Debug)]
 pub struct Node<R> {
     pub(crate) id: NodeId,
     pub(crate) timing: Timing,
     pub(crate) random: R,
-    pub(crate) hard: Hard,
+    pub(crate) hard_state: HardState,
     pub(crate) log: Log,
+    /// Last committed index.
     pub(crate) commit: Index,
+    /// Last index returned to the owner as committed.
     pub(crate) applied: Index,
-    pub(crate) durable: Index,
+    /// Last index that is durable on this instance.
+    pub(crate) durable_index: Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<NodeId>,
-    pub(crate) heard: Moment,
-    pub(crate) patience: Moment,
+    /// Start of the present election timeout: the last contact with a leader, the last
+    /// vote granted, or the start of the last candidacy.
+    pub(crate) timer_start: Moment,
+    /// Time after `timer_start` at which a pre-vote is started.
+    pub(crate) election_timeout: Duration,
     pub(crate) ready: Ready,
 }
 
 impl<R: Rng> Node<R> {
-    /// An instance that restarts, or starts for the first time, at `now`.
+    /// An instance that starts or restarts at `now`.
     pub fn new(
         id: NodeId,
         timing: Timing,
-        durable: Durable,
+        durable: DurableState,
         now: Moment,
         random: R,
     ) -> Self {
@@ -175,30 +195,33 @@
             id,
             timing,
             random,
-            hard: durable.hard,
-            durable: log.last(),
+            hard_state: durable.hard_state,
+            durable_index: log.last(),
             log,
             commit: base,
             applied: base,
             role: Role::Follower,
             leader: None,
-            heard: now,
-            patience: Moment::ZERO,
+            timer_start: now,
+            election_timeout: Duration::ZERO,
             ready: Ready::default(),
         };
-        node.wait_within(now, AT_START);
+        node.start_timer(now, START_FACTOR);
         node
     }
 
-    /// Makes the first instance of a new cluster the only voter.
+    /// Forms a new cluster with this instance as the only voter.
     ///
     /// # Panics
     ///
-    /// Where the node has any state already.
+    /// If the node has any state.
     pub fn bootstrap(&mut self, member: Member) {
-        assert!(self.log.last() == 0 && self.hard.term == 0, "a new node");
-        self.hard.term = 1;
-        self.ready.hard = Some(self.hard);
+        assert!(
+            self.log.last() == 0 && self.hard_state.term == 0,
+            "the node must be new"
+        );
+        self.hard_state.term = 1;
+        self.ready.hard_state = Some(self.hard_state);
         let members = Members::new(vec![Member {
             voter: true,
             ..member
@@ -206,137 +229,148 @@
         self.append(Payload::Members(members));
     }
 
-    /// Identity.
+    /// Identity of the instance.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
     /// Newest term seen.
     pub fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Term and vote.
-    pub fn hard(&self) -> Hard {
-        self.hard
+    /// Term and vote, including what is not durable yet.
+    pub fn hard_state(&self) -> HardState {
+        self.hard_state
     }
 
-    /// The leader, where one is known.
+    /// The leader of the present term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
     /// Whether this instance leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Members in force.
+    /// Members in force: the newest list in the log, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members()
     }
 
-    /// Last committed position.
+    /// Last committed index.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// The log.
+    /// The log, including entries that are neither durable nor committed.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Whether a leader, or as leader a majority, was heard from lately.
+    /// Whether this instance leads, or was in contact with a leader within the election
+    /// time.
     pub fn in_contact(&self, now: Moment) -> bool {
-        self.leads() || (self.leader.is_some() && now < self.heard + self.timing.election)
+        self.is_leader()
+            || (self.leader.is_some() && now < self.timer_start + self.timing.election)
     }
 
-    /// Takes out what has to be done.
+    /// Takes the pending work out of the node.
     pub fn take_ready(&mut self) -> Ready {
-        self.confirm_round();
-        self.hand_out();
+        self.start_requested_round();
+        self.release_committed();
         let mut ready = std::mem::take(&mut self.ready);
-        ready.mark = self.log.last();
+        ready.durable_index = self.log.last();
         ready
     }
 
-    /// Everything up to `mark` of the last [`Ready`] is durable.
-    pub fn synced(&mut self, mark: Index) {
-        self.durable = mark.min(self.log.last());
-        self.advance();
+    /// Reports that everything up to `durable_index` of the last [`Ready`] is durable.
+    pub fn synced(&mut self, durable_index: Index) {
+        self.durable_index = durable_index.min(self.log.last());
+        self.advance_commit();
     }
 
-    /// Time passed.
+    /// Advances the node to `now`: sends heartbeats that are due, or starts an election.
     pub fn tick(&mut self, now: Moment) {
         match &self.role {
-            Role::Leader(_) => self.lead(now),
-            _ if now >= self.heard + self.patience && self.members().votes(self.id) => {
-                self.sound(now);
+            Role::Leader(_) => self.tick_leader(now),
+            _ if now >= self.timer_start + self.election_timeout
+                && self.members().is_voter(self.id) =>
+            {
+                self.start_pre_vote(now);
             }
             _ => {}
         }
     }
 
-    /// A message arrived.
+    /// Handles a message from another instance. Messages to another id, such as this
+    /// instance's before it lost its disk, are ignored.
     pub fn receive(&mut self, now: Moment, message: Message) {
-        if message.to != self.id || !self.heed_term(now, &message) {
+        if message.to != self.id || !self.check_term(now, &message) {
             return;
         }
         let Message {
             from, term, body, ..
         } = message;
         match body {
-            Body::PreVote(ballot) => self.pre_vote(now, from, term, ballot),
-            Body::PreVoteReply { granted } => self.pre_voted(now, from, term, granted),
-            Body::Vote(ballot) => self.vote(now, from, ballot),
-            Body::VoteReply { granted } => self.voted(now, from, granted),
-            Body::Append(append) => self.take_append(now, from, &append),
-            Body::AppendReply(reply) => self.appended(now, from, reply),
-            Body::Install { round, snapshot } => self.install(now, from, round, snapshot),
-            Body::TakeOver => self.take_over(now),
+            Body::PreVote(request) => self.handle_pre_vote(now, from, term, request),
+            Body::PreVoteReply { granted } => {
+                self.handle_pre_vote_reply(now, from, term, granted);
+            }
+            Body::Vote(request) => self.handle_vote(now, from, request),
+            Body::VoteReply { granted } => self.handle_vote_reply(now, from, granted),
+            Body::Append(append) => self.handle_append(now, from, &append),
+            Body::AppendReply(reply) => self.handle_append_reply(now, from, reply),
+            Body::Install { round, snapshot } => {
+                self.handle_install(now, from, round, snapshot);
+            }
+            Body::TakeOver => self.handle_take_over(now),
         }
     }
 
-    /// Adds a command to the log and returns its position; it is in force
-    /// once it is handed out as committed under the same term.
+    /// Appends a command to the log and returns its index. The command is committed
+    /// when an entry of that index and of the present term is in [`Ready::committed`].
     ///
     /// # Errors
     ///
-    /// [`Refused`] where this instance can't take it.
-    pub fn propose(&mut self, command: Vec<u8>) -> Result<Index, Refused> {
-        let Role::Leader(leading) = &self.role else {
-            return Err(Refused::NotLeader);
+    /// [`RequestError::NotLeader`] or [`RequestError::TransferInProgress`].
+    pub fn propose(&mut self, command: Vec<u8>) -> Result<Index, RequestError> {
+        let Role::Leader(leader) = &self.role else {
+            return Err(RequestError::NotLeader);
         };
-        if leading.handing.is_some() {
-            return Err(Refused::HandingOver);
+        if leader.transfer_until.is_some() {
+            return Err(RequestError::TransferInProgress);
         }
         let index = self.append(Payload::Command(command));
         self.replicate();
         Ok(index)
     }
 
-    /// Starts a read; its id comes back in [`Ready::reads`] once a majority
-    /// confirmed that this instance still led after the read began.
+    /// Starts a linearizable read. Its id is returned in [`Ready::reads`] once a majority
+    /// confirmed that this instance still led after the read began, or in
+    /// [`Ready::failed_reads`] if it lost its leadership first.
     ///
     /// # Errors
     ///
-    /// [`Refused::NotLeader`].
-    pub fn read(&mut self, id: ReadId) -> Result<(), Refused> {
+    /// [`RequestError::NotLeader`].
+    pub fn read(&mut self, id: ReadId) -> Result<(), RequestError> {
         let commit = self.commit;
-        let Role::Leader(leading) = &mut self.role else {
-            return Err(Refused::NotLeader);
+        let Role::Leader(leader) = &mut self.role else {
+            return Err(RequestError::NotLeader);
         };
-        leading.asked = true;
-        leading.reads.push(Read {
+        leader.round_requested = true;
+        leader.reads.push(PendingRead {
             id,
-            index: commit.max(leading.first),
-            round: leading.round + 1,
+            index: commit.max(leader.first),
+            round: leader.round + 1,
         });
         Ok(())
     }
 
-    /// The owner's state up to `index` is `data`: older entries are dropped.
-    /// Returns the snapshot, which the owner makes durable.
+    /// Replaces the log up to `index` by a snapshot with the owner's state `data` after
+    /// that entry. Returns the snapshot, which the owner makes durable, or `None` if
+    /// `index` is not applied or no longer in the log.
     pub fn compact(&mut self, index: Index, data: Vec<u8>) -> Option<Snapshot> {
         let term = self.log.term(index).filter(|_| index <= self.applied)?;
         let snapshot = Snapshot {
@@ -349,6 +383,7 @@
         Some(snapshot)
     }
 
+    /// Members in force at `index`.
     fn members_at(&self, index: Index) -> Members {
         let mut members = &self.log.snapshot().members;
         let from = self.log.snapshot().index + 1;
@@ -361,79 +396,89 @@
         members.clone()
     }
 
-    /// Handles the sender's term; whether the message is to be read on.
-    fn heed_term(&mut self, now: Moment, message: &Message) -> bool {
-        let newer = message.term > self.hard.term;
+    /// Compares the sender's term with the own one; returns whether to handle the
+    /// message further. A newer term makes this instance a follower, an older one is
+    /// rejected.
+    fn check_term(&mut self, now: Moment, message: &Message) -> bool {
+        let newer = message.term > self.hard_state.term;
         match &message.body {
             Body::PreVote(_) => return true,
             Body::PreVoteReply { granted: true } if newer => return true,
-            Body::Vote(ballot) if newer && !ballot.handed && self.sticky(now) => {
+            Body::Vote(request)
+                if newer && !request.leader_transfer && self.has_recent_leader(now) =>
+            {
                 return false;
             }
             _ => {}
         }
         if newer {
-            self.follow(now, message.term, None);
+            self.become_follower(now, message.term, None);
         }
-        if message.term < self.hard.term {
-            self.rebuke(message);
+        if message.term < self.hard_state.term {
+            self.reject_stale_term(message);
             return false;
         }
         true
     }
 
-    /// Tells the sender of an old term that there is a newer one.
-    fn rebuke(&mut self, message: &Message) {
+    /// Replies to a message of an older term, so that its sender receives the newer one.
+    fn reject_stale_term(&mut self, message: &Message) {
         let body = match message.body {
             Body::Vote(_) => Body::VoteReply { granted: false },
             Body::Append(_) | Body::Install { .. } => {
-                Body::AppendReply(crate::message::Appended {
-                    fits: false,
+                Body::AppendReply(crate::message::AppendReply {
+                    success: false,
                     index: self.log.last(),
                     round: 0,
                 })
             }
             _ => return,
         };
-        self.answer(message.from, body);
+        self.reply_after_sync(message.from, body);
     }
 
-    /// Becomes a follower of `term`.
-    pub(crate) fn follow(&mut self, now: Moment, term: Term, leader: Option<NodeId>) {
-        if term > self.hard.term {
-            self.hard = Hard { term, vote: None };
-            self.ready.hard = Some(self.hard);
+    /// Becomes a follower in `term`; reads that are not confirmed fail.
+    pub(crate) fn become_follower(
+        &mut self,
+        now: Moment,
+        term: Term,
+        leader: Option<NodeId>,
+    ) {
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
+            self.ready.hard_state = Some(self.hard_state);
         }
-        if let Role::Leader(leading) = &mut self.role {
-            let reads = leading.reads.drain(..).map(|read| read.id);
-            self.ready.refused.extend(reads);
+        if let Role::Leader(state) = &mut self.role {
+            let reads = state.reads.drain(..).map(|read| read.id);
+            self.ready.failed_reads.extend(reads);
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.wait(now);
+        self.start_follower_timer(now);
     }
 
-    /// Starts waiting for a leader anew.
-    pub(crate) fn wait(&mut self, now: Moment) {
-        self.wait_within(now, WITH_LEADER);
+    /// Restarts the election timeout of a follower.
+    pub(crate) fn start_follower_timer(&mut self, now: Moment) {
+        self.start_timer(now, FOLLOWER_FACTOR);
     }
 
-    /// Starts waiting for the outcome of asking for votes.
-    pub(crate) fn wait_for_votes(&mut self, now: Moment) {
-        self.wait_within(now, AFTER_ASKING);
+    /// Starts the time in which a candidate must win before it tries again.
+    pub(crate) fn start_candidate_timer(&mut self, now: Moment) {
+        self.start_timer(now, CANDIDATE_FACTOR);
     }
 
-    fn wait_within(&mut self, now: Moment, elections: Range<f64>) {
-        let factor = self.random.random_range(elections);
-        self.patience = self.timing.election.mul_f64(factor);
-        self.heard = now;
+    /// Starts an election timeout of a random multiple of [`Timing::election`].
+    fn start_timer(&mut self, now: Moment, factors: Range<f64>) {
+        let factor = self.random.random_range(factors);
+        self.election_timeout = self.timing.election.mul_f64(factor);
+        self.timer_start = now;
     }
 
-    /// Adds an entry of the present term.
+    /// Adds an entry of the present term to the log.
     pub(crate) fn append(&mut self, payload: Payload) -> Index {
         let entry = Entry {
             index: self.log.last() + 1,
-            term: self.hard.term,
+            term: self.hard_state.term,
             payload,
         };
         let index = entry.index;
@@ -442,10 +487,10 @@
         index
     }
 
-    /// Queues a message that tells of durable state.
-    pub(crate) fn answer(&mut self, to: NodeId, body: Body) {
-        let message = self.message(to, self.hard.term, body);
-        self.ready.synced.push(message);
+    /// Queues a reply that depends on durable state.
+    pub(crate) fn reply_after_sync(&mut self, to: NodeId, body: Body) {
+        let message = self.message(to, self.hard_state.term, body);
+        self.ready.after_sync.push(message);
     }
 
     pub(crate) fn message(&self, to: NodeId, term: Term, body: Body) -> Message {
@@ -457,12 +502,12 @@
         }
     }
 
-    /// Hands out newly committed entries.
-    fn hand_out(&mut self) {
+    /// Moves newly committed entries and confirmed reads to the pending work.
+    fn release_committed(&mut self) {
         let count = self.commit.saturating_sub(self.applied) as usize;
         let entries = self.log.slice(self.applied + 1, count);
         self.ready.committed.extend_from_slice(entries);
         self.applied = self.commit.max(self.applied);
-        self.answer_reads();
+        self.complete_reads();
     }
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,73 +1,78 @@
-//! From the leader's log to the others', and what is committed by it.
+//! Replication of the leader's log, commitment of entries, confirmation of reads,
+//! and transfer of leadership.
 
 use crate::log::{Entry, Snapshot};
-use crate::message::{self, Append, Appended, Body, Message};
-use crate::node::{Flight, Leading, Node, Role};
+use crate::message::{self, AppendEntries, AppendReply, Body, Message};
+use crate::node::{InFlight, LeaderState, Node, Role};
 use crate::{Index, Moment, NodeId};
 use rand::Rng;
 
-/// Most entries in one message.
-const BATCH: usize = 512;
-/// Most bytes of commands in one message, unless a single one is larger: a
-/// message must be sent well within a heartbeat on a link of 100 Mbit/s.
-const BATCH_BYTES: usize = 256 * 1024;
-/// Heartbeats that an answer may take beside the transfer: syncs on both sides. Who
-/// takes longer, as with a disk that stalls, is silent, and gets no entries.
-const ANSWER_BEATS: u32 = 4;
-/// Heartbeats without an answer after which a peer gets no entries, only
-/// probes: what piles up for one that is cut off would fill the memory.
-const SILENT_BEATS: u32 = 4;
+/// Maximum number of entries in one message.
+const MAX_BATCH_ENTRIES: usize = 512;
+/// Maximum bytes of commands in one message, unless a single command is larger: a
+/// message must take well under a heartbeat interval on a link of 100 Mbit/s.
+const MAX_BATCH_BYTES: usize = 256 * 1024;
+/// Heartbeat intervals that a reply may take besides the transfer, for the syncs on both
+/// sides. A peer that takes longer, such as one with a stalled disk, counts as silent and
+/// is sent no entries.
+const REPLY_HEARTBEATS: u32 = 4;
+/// Heartbeat intervals without a reply after which a peer is sent only probes, no
+/// entries: messages queued for a partitioned peer would exhaust the memory.
+const SILENT_HEARTBEATS: u32 = 4;
 
 impl<R: Rng> Node<R> {
-    /// A leader's work as time passes.
-    pub(crate) fn lead(&mut self, now: Moment) {
-        if !self.supported(now) || self.removed() {
-            self.follow(now, self.hard.term, None);
+    /// Steps down if contact with the majority is lost, sends heartbeats that are due, and
+    /// adjusts the members.
+    pub(crate) fn tick_leader(&mut self, now: Moment) {
+        if !self.has_majority_contact(now) || self.is_removed() {
+            self.become_follower(now, self.hard_state.term, None);
             return;
         }
-        let Role::Leader(leading) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if leading.handing.is_some_and(|until| now >= until) {
-            leading.handing = None;
+        if leader.transfer_until.is_some_and(|until| now >= until) {
+            leader.transfer_until = None;
         }
-        if now >= leading.beat + self.timing.heartbeat {
-            leading.beat = now;
-            self.beat(now);
+        if now >= leader.last_heartbeat + self.timing.heartbeat {
+            leader.last_heartbeat = now;
+            self.send_heartbeats(now);
         }
-        self.arrange(now);
+        self.adjust_members(now);
     }
 
-    /// Whether a committed list of members leaves this instance out.
-    fn removed(&self) -> bool {
-        let settled = self.log.members_index() <= self.commit;
-        settled && !self.log.members().votes(self.id)
+    /// Whether the list of members is committed and this instance is no voter in it.
+    fn is_removed(&self) -> bool {
+        let committed = self.log.members_index() <= self.commit;
+        committed && !self.log.members().is_voter(self.id)
     }
 
-    /// Whether a majority answered within an election's time.
-    fn supported(&self, now: Moment) -> bool {
-        let Role::Leader(leading) = &self.role else {
+    /// Whether a majority replied within twice the election time.
+    fn has_majority_contact(&self, now: Moment) -> bool {
+        let Role::Leader(leader) = &self.role else {
             return false;
         };
         let members = self.log.members();
-        let lately = self.timing.election * 2;
-        let answered = leading
-            .peers
-            .iter()
-            .filter(|peer| members.votes(peer.id) && now < peer.heard + lately);
-        let own = usize::from(members.votes(self.id));
-        answered.count() + own >= members.majority()
+        let max_silence = self.timing.election * 2;
+        let responsive = leader.peers.iter().filter(|peer| {
+            members.is_voter(peer.id) && now < peer.last_contact + max_silence
+        });
+        let own = usize::from(members.is_voter(self.id));
+        responsive.count() + own >= members.majority()
     }
 
-    /// Sends to every peer, going back to what is known to agree where no
-    /// answer came since the last heartbeat.
-    fn beat(&mut self, now: Moment) {
-        let beat = self.timing.heartbeat;
-        if let Role::Leader(leading) = &mut self.role {
-            for peer in &mut leading.peers {
-                let overdue = peer.flight.is_some_and(|flight| now >= flight.until);
-                if overdue || (peer.flight.is_none() && now >= peer.heard + beat * 2) {
-                    peer.go_back();
+    /// Sends a heartbeat to every peer. Entries are sent again to peers that did not
+    /// reply for two heartbeat intervals and to those whose large message is overdue.
+    fn send_heartbeats(&mut self, now: Moment) {
+        let interval = self.timing.heartbeat;
+        if let Role::Leader(leader) = &mut self.role {
+            for peer in &mut leader.peers {
+                let overdue = peer.in_flight.is_some_and(|flight| now >= flight.deadline);
+                if overdue
+                    || (peer.in_flight.is_none()
+                        && now >= peer.last_contact + interval * 2)
+                {
+                    peer.reset_next_index();
                 }
             }
         }
@@ -77,68 +82,71 @@
     /// Sends new entries to every peer.
     pub(crate) fn replicate(&mut self) {
         self.send_all(false);
-        self.advance();
+        self.advance_commit();
     }
 
-    /// Starts a round of confirmation where a read asked for one.
-    pub(crate) fn confirm_round(&mut self) {
-        let Role::Leader(leading) = &mut self.role else {
+    /// Starts a confirmation round if a read needs one.
+    pub(crate) fn start_requested_round(&mut self) {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if std::mem::take(&mut leading.asked) {
-            leading.round += 1;
+        if std::mem::take(&mut leader.round_requested) {
+            leader.round += 1;
             self.send_all(true);
         }
     }
 
-    fn send_all(&mut self, empty: bool) {
+    /// Sends pending entries to every peer, or a heartbeat where there are none and
+    /// `allow_empty` is set.
+    fn send_all(&mut self, allow_empty: bool) {
         let ids: Vec<NodeId> = match &self.role {
-            Role::Leader(leading) => leading.peers.iter().map(|peer| peer.id).collect(),
+            Role::Leader(leader) => leader.peers.iter().map(|peer| peer.id).collect(),
             _ => return,
         };
         for id in ids {
-            self.send_to(id, empty);
+            self.send_to(id, allow_empty);
         }
     }
 
-    fn send_to(&mut self, id: NodeId, empty: bool) {
-        let Role::Leader(leading) = &mut self.role else {
+    fn send_to(&mut self, id: NodeId, allow_empty: bool) {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let round = leading.round;
-        let beat = self.timing.heartbeat;
-        let now = leading.beat;
-        let Some(peer) = leading.peers.iter_mut().find(|peer| peer.id == id) else {
+        let round = leader.round;
+        let interval = self.timing.heartbeat;
+        let now = leader.last_heartbeat;
+        let Some(peer) = leader.peers.iter_mut().find(|peer| peer.id == id) else {
             return;
         };
-        if peer.heard < now.saturating_sub(beat * SILENT_BEATS) {
-            if empty {
-                self.probe(id, round);
+        if peer.last_contact < now.saturating_sub(interval * SILENT_HEARTBEATS) {
+            if allow_empty {
+                self.send_probe(id, round);
             }
             return;
         }
-        if peer.flight.is_some() {
+        if peer.in_flight.is_some() {
             let matched = peer.matched;
-            if empty {
-                self.keep_contact(id, matched, round);
+            if allow_empty {
+                self.send_heartbeat(id, matched, round);
             }
             return;
         }
         let prev = peer.next - 1;
         let body = match self.log.term(prev) {
             Some(prev_term) => {
-                let mut entries = batch(self.log.slice(peer.next, BATCH));
-                let large = message::large(entries);
+                let mut entries = batch(self.log.slice(peer.next, MAX_BATCH_ENTRIES));
+                let large = message::are_large(entries);
                 if large && prev != peer.matched {
-                    // Whether it fits has to be known first: nothing that the other
-                    // one says is taken for an answer to what is on its way.
+                    // Send a heartbeat first to find out whether the logs agree:
+                    // replies that arrive while a large message is in flight
+                    // are not taken as its rejection.
                     entries = &[];
                 }
-                if entries.is_empty() && !empty && !large {
+                if entries.is_empty() && !allow_empty && !large {
                     return;
                 }
                 peer.next += entries.len() as Index;
-                Body::Append(Append {
+                Body::Append(AppendEntries {
                     prev,
                     prev_term,
                     entries: entries.to_vec(),
@@ -156,89 +164,104 @@
         let message = Message {
             from: self.id,
             to: id,
-            term: self.hard.term,
+            term: self.hard_state.term,
             body,
         };
-        if message.large() {
-            let until = now + beat * ANSWER_BEATS + message::transfer(message.size());
-            peer.flight = Some(Flight { last, until });
+        if message.is_large() {
+            let deadline = now
+                + interval * REPLY_HEARTBEATS
+                + message::max_transfer_time(message.size());
+            peer.in_flight = Some(InFlight { last, deadline });
         }
-        self.ready.prompt.push(message);
+        self.ready.immediate.push(message);
     }
 
-    /// A heartbeat for a peer that a large message is on its way to: without entries,
-    /// from where both logs are known to agree, so that its answer asks for nothing.
-    fn keep_contact(&mut self, id: NodeId, matched: Index, round: u64) {
+    /// Sends a heartbeat to a peer to which a large message is in flight: without entries,
+    /// at an index where both logs are known to agree, so that the reply is a success and
+    /// requests no entries.
+    fn send_heartbeat(&mut self, id: NodeId, matched: Index, round: u64) {
         let Some(prev_term) = self.log.term(matched) else {
-            self.probe(id, round);
+            self.send_probe(id, round);
             return;
         };
-        let body = Body::Append(Append {
+        let body = Body::Append(AppendEntries {
             prev: matched,
             prev_term,
             entries: Vec::new(),
             commit: self.commit,
             round,
         });
-        let message = self.message(id, self.hard.term, body);
-        self.ready.prompt.push(message);
+        let message = self.message(id, self.hard_state.term, body);
+        self.ready.immediate.push(message);
     }
 
-    /// A large message to `id` was delivered, or not. One that was not is sent again
-    /// with the next heartbeat; so is one that was, if no answer follows soon: whoever
-    /// took it may have restarted before it was on disk.
-    pub fn delivery(&mut self, now: Moment, id: NodeId, delivered: bool) {
-        let Role::Leader(leading) = &mut self.role else {
+    /// Reports whether a large message to `id` was delivered. An undelivered one is sent
+    /// again with the next heartbeat. A delivered one is sent again if no reply follows
+    /// within four heartbeat intervals: the receiver may have restarted before the
+    /// message was durable.
+    pub fn report_delivery(&mut self, now: Moment, id: NodeId, delivered: bool) {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(peer) = leading.peers.iter_mut().find(|peer| peer.id == id) else {
+        let Some(peer) = leader.peers.iter_mut().find(|peer| peer.id == id) else {
             return;
         };
         if !delivered {
-            peer.go_back();
-        } else if let Some(flight) = &mut peer.flight {
-            let soon = now + self.timing.heartbeat * ANSWER_BEATS;
-            flight.until = flight.until.min(soon);
+            peer.reset_next_index();
+        } else if let Some(flight) = &mut peer.in_flight {
+            let reply_deadline = now + self.timing.heartbeat * REPLY_HEARTBEATS;
+            flight.deadline = flight.deadline.min(reply_deadline);
         }
     }
 
-    /// Asks a silent peer for a word, without entries. Its answer tells where
-    /// its log ends.
-    fn probe(&mut self, id: NodeId, round: u64) {
-        let body = Body::Append(Append {
+    /// Sends a silent peer a message without entries, at the end of the leader's log.
+    /// The reply contains the index at which the peer's log ends.
+    fn send_probe(&mut self, id: NodeId, round: u64) {
+        let body = Body::Append(AppendEntries {
             prev: self.log.last(),
             prev_term: self.log.last_term(),
             entries: Vec::new(),
             commit: self.commit,
             round,
         });
-        let message = self.message(id, self.hard.term, body);
-        self.ready.prompt.push(message);
+        let message = self.message(id, self.hard_state.term, body);
+        self.ready.immediate.push(message);
     }
 
-    pub(crate) fn take_append(&mut self, now: Moment, from: NodeId, append: &Append) {
-        self.follow(now, self.hard.term, Some(from));
+    /// Adds a leader's entries to the log if it contains the entry before them.
+    pub(crate) fn handle_append(
+        &mut self,
+        now: Moment,
+        from: NodeId,
+        append: &AppendEntries,
+    ) {
+        self.become_follower(now, self.hard_state.term, Some(from));
         let round = append.round;
-        let reply = |fits, index| Appended { fits, index, round };
+        let reply = |success, index| AppendReply {
+            success,
+            index,
+            round,
+        };
         let last = append.prev + append.entries.len() as Index;
         if append.prev > self.log.last() {
             let index = self.log.last();
-            self.answer(from, Body::AppendReply(reply(false, index)));
+            self.reply_after_sync(from, Body::AppendReply(reply(false, index)));
             return;
         }
         let known = self.log.term(append.prev);
         let behind = append.prev < self.log.snapshot().index;
         if !behind && known != Some(append.prev_term) {
             let index = append.prev.saturating_sub(1);
-            self.answer(from, Body::AppendReply(reply(false, index)));
+            self.reply_after_sync(from, Body::AppendReply(reply(false, index)));
             return;
         }
         self.store(append);
         self.commit = self.commit.max(append.commit.min(last));
-        self.answer(from, Body::AppendReply(reply(true, last)));
+        self.reply_after_sync(from, Body::AppendReply(reply(true, last)));
     }
 
-    fn store(&mut self, append: &Append) {
+    /// Adds the entries that the log lacks and replaces those that conflict.
+    fn store(&mut self, append: &AppendEntries) {
         for entry in &append.entries {
             if entry.index <= self.log.snapshot().index {
                 continue;
@@ -246,8 +269,11 @@
             match self.log.term(entry.index) {
                 Some(term) if term == entry.term => {}
                 Some(_) => {
-                    assert!(entry.index > self.commit, "committed entries stay");
-                    self.cut(entry.index);
+                    assert!(
+                        entry.index > self.commit,
+                        "committed entries are never replaced"
+                    );
+                    self.truncate_log(entry.index);
                     self.log.push(entry.clone());
                     self.ready.append.push(entry.clone());
                 }
@@ -259,23 +285,24 @@
         }
     }
 
-    /// Removes the log from `index` on, also out of what is not durable yet.
-    fn cut(&mut self, index: Index) {
+    /// Truncates the log from `index` on, including entries that are not durable yet.
+    fn truncate_log(&mut self, index: Index) {
         self.log.truncate(index);
         self.ready.append.retain(|entry| entry.index < index);
         let earlier = self.ready.truncate.unwrap_or(Index::MAX);
         self.ready.truncate = Some(index.min(earlier));
-        self.durable = self.durable.min(index - 1);
+        self.durable_index = self.durable_index.min(index - 1);
     }
 
-    pub(crate) fn install(
+    /// Replaces the log up to the snapshot's index by a snapshot from the leader.
+    pub(crate) fn handle_install(
         &mut self,
         now: Moment,
         from: NodeId,
         round: u64,
         snapshot: Snapshot,
     ) {
-        self.follow(now, self.hard.term, Some(from));
+        self.become_follower(now, self.hard_state.term, Some(from));
         let index = snapshot.index;
         if index > self.commit {
             self.log.compact(snapshot.clone());
@@ -290,75 +317,83 @@
             self.applied = index;
             self.ready.snapshot = Some(snapshot);
         }
-        let reply = Appended {
-            fits: true,
+        let reply = AppendReply {
+            success: true,
             index,
             round,
         };
-        self.answer(from, Body::AppendReply(reply));
+        self.reply_after_sync(from, Body::AppendReply(reply));
     }
 
-    pub(crate) fn appended(&mut self, now: Moment, from: NodeId, reply: Appended) {
+    /// Updates a peer's replication state and sends it the entries that it lacks.
+    pub(crate) fn handle_append_reply(
+        &mut self,
+        now: Moment,
+        from: NodeId,
+        reply: AppendReply,
+    ) {
         let last = self.log.last();
-        let Role::Leader(leading) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(peer) = leading.peers.iter_mut().find(|peer| peer.id == from) else {
+        let Some(peer) = leader.peers.iter_mut().find(|peer| peer.id == from) else {
             return;
         };
-        peer.heard = now;
+        peer.last_contact = now;
         peer.round = peer.round.max(reply.round);
-        if reply.fits {
+        if reply.success {
             peer.matched = peer.matched.max(reply.index.min(last));
             peer.next = peer.next.max(peer.matched + 1);
             let matched = peer.matched;
-            peer.flight = peer.flight.filter(|flight| flight.last > matched);
-        } else if peer.flight.is_none() {
-            // An old refusal must not take the peer back below what agreed.
+            peer.in_flight = peer.in_flight.filter(|flight| flight.last > matched);
+        } else if peer.in_flight.is_none() {
+            // A late rejection must not move the peer back below the matching entries.
             peer.next = (reply.index + 1).max(peer.matched + 1);
         }
         let behind = peer.next <= last;
         if behind {
             self.send_to(from, false);
         }
-        self.finish_handing(now, from);
-        self.advance();
+        self.try_transfer(now, from);
+        self.advance_commit();
     }
 
-    /// Commits what a majority has made durable in the present term.
-    pub(crate) fn advance(&mut self) {
-        let Role::Leader(leading) = &self.role else {
+    /// Commits the last index that a majority has made durable, if its entry is of the
+    /// present term.
+    pub(crate) fn advance_commit(&mut self) {
+        let Role::Leader(leader) = &self.role else {
             return;
         };
         let members = self.log.members();
-        let mut marks: Vec<Index> = leading
+        let mut durable_indices: Vec<Index> = leader
             .peers
             .iter()
-            .filter(|peer| members.votes(peer.id))
+            .filter(|peer| members.is_voter(peer.id))
             .map(|peer| peer.matched)
             .collect();
-        if members.votes(self.id) {
-            marks.push(self.durable);
+        if members.is_voter(self.id) {
+            durable_indices.push(self.durable_index);
         }
-        marks.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(agreed) = marks.get(members.majority() - 1).copied() else {
+        durable_indices.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(majority_index) = durable_indices.get(members.majority() - 1).copied()
+        else {
             return;
         };
-        let own = self.log.term(agreed) == Some(self.hard.term);
-        if agreed > self.commit && own {
-            self.commit = agreed;
+        let own_term = self.log.term(majority_index) == Some(self.hard_state.term);
+        if majority_index > self.commit && own_term {
+            self.commit = majority_index;
         }
     }
 
-    /// Moves reads that are confirmed to the owner.
-    pub(crate) fn answer_reads(&mut self) {
+    /// Moves confirmed reads whose index is committed to the pending work.
+    pub(crate) fn complete_reads(&mut self) {
         let commit = self.commit;
-        let confirmed = self.confirmed();
-        let Role::Leader(leading) = &mut self.role else {
+        let confirmed = self.confirmed_round();
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let ready = &mut self.ready;
-        leading.reads.retain(|read| {
+        leader.reads.retain(|read| {
             let done = read.round <= confirmed && read.index <= commit;
             if done {
                 ready.reads.push(read.id);
@@ -367,61 +402,65 @@
         });
     }
 
-    /// Newest round that a majority answered.
-    fn confirmed(&self) -> u64 {
-        let Role::Leader(leading) = &self.role else {
+    /// Newest confirmation round that a majority answered.
+    fn confirmed_round(&self) -> u64 {
+        let Role::Leader(leader) = &self.role else {
             return 0;
         };
         let members = self.log.members();
-        let mut rounds: Vec<u64> = answered(leading, |id| members.votes(id));
-        if members.votes(self.id) {
-            rounds.push(leading.round);
+        let mut rounds: Vec<u64> = voter_rounds(leader, |id| members.is_voter(id));
+        if members.is_voter(self.id) {
+            rounds.push(leader.round);
         }
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         rounds.get(members.majority() - 1).copied().unwrap_or(0)
     }
 
-    /// Begins to hand leadership over, because this instance will stop.
-    pub fn hand_over(&mut self, now: Moment) {
+    /// Starts to transfer leadership to a voter that has the complete log, because this
+    /// instance will stop. New commands are rejected meanwhile; the transfer is abandoned
+    /// after twice the election time.
+    pub fn transfer_leadership(&mut self, now: Moment) {
         let until = now + self.timing.election * 2;
-        if let Role::Leader(leading) = &mut self.role {
-            leading.handing = Some(until);
+        if let Role::Leader(leader) = &mut self.role {
+            leader.transfer_until = Some(until);
         }
         let ids: Vec<NodeId> = self.log.members().voters().collect();
         for id in ids {
-            self.finish_handing(now, id);
+            self.try_transfer(now, id);
         }
     }
 
-    /// Asks a voter that has the whole log to take over.
-    fn finish_handing(&mut self, now: Moment, id: NodeId) {
+    /// Requests an election from the voter `id` if a transfer is in progress and the voter
+    /// has the complete log.
+    fn try_transfer(&mut self, now: Moment, id: NodeId) {
         let last = self.log.last();
-        let votes = self.log.members().votes(id);
-        let Role::Leader(leading) = &mut self.role else {
+        let votes = self.log.members().is_voter(id);
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let current = |peer: &&crate::node::Peer| peer.id == id && peer.matched == last;
-        let fits = votes && leading.peers.iter().any(|peer| current(&peer));
-        if leading.handing.is_some_and(|until| now < until) && fits {
-            // One is asked; the next only if nothing came of it.
-            leading.handing = Some(Moment::ZERO);
-            let message: Message = self.message(id, self.hard.term, Body::TakeOver);
-            self.ready.prompt.push(message);
+        let has_all = |peer: &&crate::node::Peer| peer.id == id && peer.matched == last;
+        let complete = votes && leader.peers.iter().any(|peer| has_all(&peer));
+        if leader.transfer_until.is_some_and(|until| now < until) && complete {
+            // Requests go to one voter only: the deadline expires with the next tick.
+            leader.transfer_until = Some(Moment::ZERO);
+            let message: Message = self.message(id, self.hard_state.term, Body::TakeOver);
+            self.ready.immediate.push(message);
         }
     }
 }
 
-fn answered(leading: &Leading, votes: impl Fn(NodeId) -> bool) -> Vec<u64> {
-    let voters = leading.peers.iter().filter(|peer| votes(peer.id));
+/// Newest confirmation round that each voting peer answered.
+fn voter_rounds(leader: &LeaderState, votes: impl Fn(NodeId) -> bool) -> Vec<u64> {
+    let voters = leader.peers.iter().filter(|peer| votes(peer.id));
     voters.map(|peer| peer.round).collect()
 }
 
-/// As many entries as one message may carry, but at least one.
+/// The longest prefix that fits into one message, but at least one entry.
 fn batch(entries: &[Entry]) -> &[Entry] {
     let mut bytes = 0;
     let fits = |entry: &&Entry| {
         bytes += entry.size();
-        bytes <= BATCH_BYTES
+        bytes <= MAX_BATCH_BYTES
     };
     let count = entries.iter().take_while(fits).count();
     &entries[..count.max(1).min(entries.len())]
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -2,9 +2,11 @@
 
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_consensus::members::{Member, Members};
-use dogwoodhill_consensus::message::{Append, Appended, Ballot, Body, Message};
-use dogwoodhill_consensus::node::{Durable, Node, Refused, Timing};
-use dogwoodhill_consensus::ready::{Hard, Ready};
+use dogwoodhill_consensus::message::{
+    AppendEntries, AppendReply, Body, Message, VoteRequest,
+};
+use dogwoodhill_consensus::node::{DurableState, Node, RequestError, Timing};
+use dogwoodhill_consensus::ready::{HardState, Ready};
 use dogwoodhill_consensus::{Index, Moment, NodeId, Term};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -34,11 +36,11 @@
     }
 }
 
-fn node(hard: Hard, entries: Vec<Entry>) -> Node<SmallRng> {
-    let durable = Durable {
-        hard,
+fn node(hard_state: HardState, entries: Vec<Entry>) -> Node<SmallRng> {
+    let durable = DurableState {
+        hard_state,
         entries,
-        ..Durable::default()
+        ..DurableState::default()
     };
     let random = SmallRng::seed_from_u64(7);
     Node::new(1, Timing::default(), durable, Moment::ZERO, random)
@@ -46,7 +48,7 @@
 
 fn flush(node: &mut Node<SmallRng>) -> Ready {
     let ready = node.take_ready();
-    node.synced(ready.mark);
+    node.synced(ready.durable_index);
     ready
 }
 
@@ -60,22 +62,22 @@
 }
 
 fn vote(from: NodeId, term: Term) -> Message {
-    let ballot = Ballot {
+    let request = VoteRequest {
         last: 9,
         last_term: 9,
-        handed: false,
+        leader_transfer: false,
     };
-    message(from, term, Body::Vote(ballot))
+    message(from, term, Body::Vote(request))
 }
 
 fn granted(ready: &Ready) -> bool {
     let yes = Body::VoteReply { granted: true };
-    ready.synced.iter().any(|message| message.body == yes)
+    ready.after_sync.iter().any(|message| message.body == yes)
 }
 
 #[test]
 fn vote_second_candidate_refused() {
-    let mut node = node(Hard::default(), vec![entry(1, 1)]);
+    let mut node = node(HardState::default(), vec![entry(1, 1)]);
     node.receive(LATE, vote(2, 5));
     assert!(granted(&flush(&mut node)));
     node.receive(LATE, vote(3, 5));
@@ -89,50 +91,50 @@
 
 #[test]
 fn vote_survives_restart() {
-    let mut first = node(Hard::default(), vec![entry(1, 1)]);
+    let mut first = node(HardState::default(), vec![entry(1, 1)]);
     first.receive(LATE, vote(2, 5));
     let ready = flush(&mut first);
-    let hard = ready.hard.expect("a vote is made durable");
-    let mut again = node(hard, vec![entry(1, 1)]);
+    let hard_state = ready.hard_state.expect("a vote is made durable");
+    let mut again = node(hard_state, vec![entry(1, 1)]);
     again.receive(LATE, vote(3, 5));
     assert!(!granted(&flush(&mut again)));
 }
 
 #[test]
 fn vote_own_survives_restart() {
-    let mut first = node(Hard::default(), vec![entry(1, 1)]);
-    let hard = campaign(&mut first);
-    let mut again = node(hard, vec![entry(1, 1)]);
-    again.receive(LATE, vote(3, hard.term));
+    let mut first = node(HardState::default(), vec![entry(1, 1)]);
+    let hard_state = campaign(&mut first);
+    let mut again = node(hard_state, vec![entry(1, 1)]);
+    again.receive(LATE, vote(3, hard_state.term));
     assert!(!granted(&flush(&mut again)));
 }
 
 /// Lets the node win its pre-vote; the durable state it asks for.
-fn campaign(node: &mut Node<SmallRng>) -> Hard {
+fn campaign(node: &mut Node<SmallRng>) -> HardState {
     node.tick(LATE);
     flush(node);
     let term = node.term() + 1;
     let body = Body::PreVoteReply { granted: true };
     node.receive(LATE, message(2, term, body));
-    flush(node).hard.expect("a candidacy is made durable")
+    flush(node).hard_state.expect("a candidacy is made durable")
 }
 
 fn leader(entries: Vec<Entry>) -> Node<SmallRng> {
-    let hard = Hard {
+    let hard_state = HardState {
         term: 3,
         vote: None,
     };
-    let mut node = node(hard, entries);
+    let mut node = node(hard_state, entries);
     let term = campaign(&mut node).term;
     node.receive(LATE, message(2, term, Body::VoteReply { granted: true }));
-    assert!(node.leads());
+    assert!(node.is_leader());
     flush(&mut node);
     node
 }
 
 fn matched(from: NodeId, term: Term, index: Index) -> Message {
-    let reply = Appended {
-        fits: true,
+    let reply = AppendReply {
+        success: true,
         index,
         round: 0,
     };
@@ -161,7 +163,7 @@
     let ready = node.take_ready();
     node.receive(LATE, matched(2, term, index));
     assert!(node.commit() < index, "own copy is not durable yet");
-    node.synced(ready.mark);
+    node.synced(ready.durable_index);
     assert_eq!(node.commit(), index);
 }
 
@@ -169,27 +171,33 @@
 fn change_second_refused_until_committed() {
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
-    assert_eq!(node.add(LATE, member(4)), Err(Refused::ChangeInProgress));
+    assert_eq!(
+        node.add_learner(LATE, member(4)),
+        Err(RequestError::ChangeInProgress)
+    );
     node.receive(LATE, matched(2, term, 2));
-    assert_eq!(node.add(LATE, member(4)), Ok(()));
-    assert_eq!(node.add(LATE, member(5)), Err(Refused::ChangeInProgress));
+    assert_eq!(node.add_learner(LATE, member(4)), Ok(()));
+    assert_eq!(
+        node.add_learner(LATE, member(5)),
+        Err(RequestError::ChangeInProgress)
+    );
     assert!(
-        !node.members().votes(4),
+        !node.members().is_voter(4),
         "a new instance only follows at first"
     );
 }
 
 #[test]
 fn take_over_by_learner_ignored() {
-    let mut node = node(Hard::default(), Vec::new());
+    let mut node = node(HardState::default(), Vec::new());
     node.receive(LATE, message(2, 1, Body::TakeOver));
-    assert!(!node.leads());
+    assert!(!node.is_leader());
     assert_eq!(node.term(), 1);
 }
 
 /// Entries sent to `to` in what is ready.
 fn sent(ready: &Ready, to: NodeId) -> Option<Vec<usize>> {
-    let messages = ready.prompt.iter().filter(|message| message.to == to);
+    let messages = ready.immediate.iter().filter(|message| message.to == to);
     let sizes = messages.filter_map(|message| match &message.body {
         Body::Append(append) => Some(append.entries.len()),
         _ => None,
@@ -220,8 +228,8 @@
     let ready = flush(&mut node);
     assert_eq!(sent(&ready, 3), Some(vec![0]), "it is asked for a word");
     // It speaks again: its log ends at 1, and it gets what it lacks.
-    let reply = Appended {
-        fits: false,
+    let reply = AppendReply {
+        success: false,
         index: 1,
         round: 0,
     };
@@ -249,8 +257,8 @@
     // The follower's third entry is of a leader that lost; the new one has
     // committed another third entry, but sent only the second so far.
     let stale = vec![entry(1, 1), entry(2, 1), entry(3, 1)];
-    let mut node = node(Hard::default(), stale);
-    let append = Append {
+    let mut node = node(HardState::default(), stale);
+    let append = AppendEntries {
         prev: 1,
         prev_term: 1,
         entries: vec![entry(2, 1)],
@@ -272,8 +280,11 @@
         node.tick(now);
         flush(&mut node);
     }
-    assert!(node.leads());
-    assert!(node.members().votes(3), "a cut must not shrink the cluster");
+    assert!(node.is_leader());
+    assert!(
+        node.members().is_voter(3),
+        "a cut must not shrink the cluster"
+    );
 }
 
 #[test]
@@ -286,13 +297,13 @@
         name: "control-3".to_string(),
         ..member(4)
     };
-    node.add(LATE, again).expect("nothing else changes");
+    node.add_learner(LATE, again).expect("nothing else changes");
     flush(&mut node);
     node.receive(LATE, matched(2, term, 3));
     node.receive(LATE, matched(4, term, 3));
     node.tick(LATE);
     flush(&mut node);
-    let votes = |node: &Node<SmallRng>, id| node.members().votes(id);
+    let votes = |node: &Node<SmallRng>, id| node.members().is_voter(id);
     assert!(!votes(&node, 3), "the earlier one leaves first");
     assert!(!votes(&node, 4), "two majorities must share an instance");
     node.receive(LATE, matched(2, term, 4));
@@ -373,14 +384,14 @@
     let ready = flush(&mut node);
     assert_eq!(sent(&ready, 2), Some(vec![0]), "a heartbeat");
     assert_eq!(beats(&mut node, 2..=30), 0, "and nothing but heartbeats");
-    assert!(node.leads());
+    assert!(node.is_leader());
 }
 
 #[test]
 fn replicate_large_entry_undelivered_sent_again() {
     let (mut node, index) = with_large_entry();
     let term = node.term();
-    node.delivery(LATE, 2, false);
+    node.report_delivery(LATE, 2, false);
     assert_eq!(beats(&mut node, 1..=5), 1, "once");
     node.receive(LATE, matched(2, term, index));
     assert_eq!(node.commit(), index);
@@ -391,7 +402,7 @@
     // Its receiver restarted before the entry was on disk: it answers heartbeats, and
     // would be left without the entry until that is overdue by its size, 4.5 s.
     let (mut node, _) = with_large_entry();
-    node.delivery(LATE, 2, true);
+    node.report_delivery(LATE, 2, true);
     assert_eq!(beats(&mut node, 1..=3), 0, "an answer may still come");
     assert_eq!(beats(&mut node, 4..=5), 1);
 }
@@ -413,8 +424,8 @@
     assert_eq!(copies(&flush(&mut node), 2), 0);
     node.receive(LATE, matched(2, term, index - 1));
     assert_eq!(copies(&flush(&mut node), 2), 1);
-    let reply = Appended {
-        fits: false,
+    let reply = AppendReply {
+        success: false,
         index: 1,
         round: 0,
     };
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -3,7 +3,7 @@
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_consensus::members::Member;
 use dogwoodhill_consensus::message::Message;
-use dogwoodhill_consensus::node::{Durable, Node, Timing};
+use dogwoodhill_consensus::node::{DurableState, Node, Timing};
 use dogwoodhill_consensus::ready::Ready;
 use dogwoodhill_consensus::{Index, Moment, NodeId, ReadId, Term};
 use proptest::prelude::*;
@@ -84,7 +84,7 @@
     /// Whether it asks to join as a replacement.
     replaces: bool,
     node: Option<Node<SmallRng>>,
-    durable: Durable,
+    durable: DurableState,
     /// Commands applied, as the owner's state.
     state: Vec<u8>,
     applied: Index,
@@ -146,13 +146,19 @@
         let id = self.next;
         self.next += 1;
         let random = SmallRng::seed_from_u64(id);
-        let node = Node::new(id, Timing::default(), Durable::default(), self.now, random);
+        let node = Node::new(
+            id,
+            Timing::default(),
+            DurableState::default(),
+            self.now,
+            random,
+        );
         let place = Place {
             id,
             name: format!("control-{i}"),
             replaces: false,
             node: Some(node),
-            durable: Durable::default(),
+            durable: DurableState::default(),
             state: Vec::new(),
             applied: 0,
             ahead: Moment::ZERO,
@@ -201,7 +207,7 @@
             Step::Heal => self.cuts.clear(),
             Step::HandOver(n) => {
                 let now = self.clock(n % count);
-                self.with(n % count, |node| node.hand_over(now));
+                self.with(n % count, |node| node.transfer_leadership(now));
             }
             Step::Remove(a, b) => self.remove(a % count, b % count),
         }
@@ -237,7 +243,7 @@
         let nodes = || self.places.iter().filter_map(|place| place.node.as_ref());
         let led = nodes().any(|node| {
             let voters: Vec<NodeId> = node.members().voters().collect();
-            node.leads()
+            node.is_leader()
                 && voters.len() == self.voters
                 && self.places.iter().all(|place| voters.contains(&place.id))
         });
@@ -263,8 +269,8 @@
                 let member = member.clone();
                 let now = self.clock(i);
                 self.with(i, |node| {
-                    if node.leads() && node.members().get(member.id).is_none() {
-                        let _ = node.add(now, member);
+                    if node.is_leader() && node.members().get(member.id).is_none() {
+                        let _ = node.add_learner(now, member);
                     }
                 });
             }
@@ -292,11 +298,11 @@
 
     /// Whoever sends a large message learns that it was not delivered.
     fn report(&mut self, lost: &Message) {
-        if lost.large() {
+        if lost.is_large() {
             let from = self.places.iter().position(|place| place.id == lost.from);
             if let Some(i) = from {
                 let now = self.clock(i);
-                self.with(i, |node| node.delivery(now, lost.to, false));
+                self.with(i, |node| node.report_delivery(now, lost.to, false));
             }
         }
     }
@@ -441,26 +447,26 @@
     }
 
     fn handle(&mut self, i: usize, ready: Ready) -> bool {
-        self.net.extend(ready.prompt.iter().cloned());
-        if self.places[i].crash == CrashPoint::BeforeSync && ready.durable() {
+        self.net.extend(ready.immediate.iter().cloned());
+        if self.places[i].crash == CrashPoint::BeforeSync && ready.must_sync() {
             self.places[i].crash = CrashPoint::Never;
             self.stop(i);
             return false;
         }
         self.persist(i, &ready);
-        if self.places[i].crash == CrashPoint::AfterSync && ready.durable() {
+        if self.places[i].crash == CrashPoint::AfterSync && ready.must_sync() {
             self.places[i].crash = CrashPoint::Never;
             self.stop(i);
             return false;
         }
         let node = self.places[i].node.as_mut().unwrap();
-        node.synced(ready.mark);
-        self.net.extend(ready.synced);
+        node.synced(ready.durable_index);
+        self.net.extend(ready.after_sync);
         for entry in ready.committed {
             self.apply(i, entry);
         }
         self.finish_reads(i, &ready.reads);
-        let refused = ready.refused;
+        let refused = ready.failed_reads;
         self.places[i].reads.retain(|(id, _)| !refused.contains(id));
         true
     }
@@ -468,9 +474,12 @@
     fn persist(&mut self, i: usize, ready: &Ready) {
         let place = &mut self.places[i];
         let durable = &mut place.durable;
-        if let Some(hard) = ready.hard {
-            assert!(hard.term >= durable.hard.term, "terms only rise");
-            durable.hard = hard;
+        if let Some(hard_state) = ready.hard_state {
+            assert!(
+                hard_state.term >= durable.hard_state.term,
+                "terms only rise"
+            );
+            durable.hard_state = hard_state;
         }
         if let Some(snapshot) = &ready.snapshot {
             let log = place.node.as_ref().unwrap().log();
@@ -536,7 +545,7 @@
     fn check_leaders(&mut self) {
         for place in &self.places {
             let Some(node) = &place.node else { continue };
-            if !node.leads() {
+            if !node.is_leader() {
                 continue;
             }
             let term = node.term();
@@ -551,12 +560,12 @@
     // What named tests look at.
 
     pub(crate) fn leader(&self) -> Option<usize> {
-        let leads = |place: &Place| place.node.as_ref().is_some_and(Node::leads);
+        let leads = |place: &Place| place.node.as_ref().is_some_and(Node::is_leader);
         self.places.iter().position(leads)
     }
 
     pub(crate) fn leads(&self, i: usize) -> bool {
-        self.places[i].node.as_ref().is_some_and(Node::leads)
+        self.places[i].node.as_ref().is_some_and(Node::is_leader)
     }
 
     pub(crate) fn chosen(&self) -> usize {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -182,7 +182,7 @@
             .await
             .change_context(ControlError::Listen)?;
         let identity = opened.identity.clone();
-        let fresh = opened.durable.hard.term == 0;
+        let fresh = opened.durable.hard_state.term == 0;
         let member = Member {
             id: identity.node,
             name: settings.name.clone(),
@@ -388,10 +388,10 @@
 ) -> Result<Opened, Report<ControlError>> {
     let fault = ControlError::Store;
     let files = DiskFiles::open(&settings.data).change_context(fault)?;
-    let vacant = Store::vacant(&files).change_context(ControlError::Store)?;
+    let vacant = Store::is_uninitialized(&files).change_context(ControlError::Store)?;
     let opened = match (vacant, settings.start) {
-        (true, Start::Again) => Err(StoreError::Empty),
-        (false, Start::Bootstrap) => Err(StoreError::Occupied),
+        (true, Start::Again) => Err(StoreError::Uninitialized),
+        (false, Start::Bootstrap) => Err(StoreError::AlreadyInitialized),
         (false, _) => Store::open(Box::new(files)),
         (true, _) if founds(settings) => {
             refuse_second_cluster(settings, caller).await?;
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -9,7 +9,7 @@
 //! of it again before that.
 
 use dogwoodhill_consensus::NodeId;
-use dogwoodhill_consensus::message::{Message, transfer};
+use dogwoodhill_consensus::message::{Message, max_transfer_time};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::client::PeerClient;
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
             self.peers[at] = self.start(id, address);
         }
         let peer = &self.peers[at];
-        if !message.large() {
+        if !message.is_large() {
             // A full queue drops the message; the log sends again.
             let _ = peer.small.try_send(message);
         } else if peer.large.try_send(message).is_err() {
@@ -176,11 +176,13 @@
             messages,
         };
         let bytes = envelope.messages.iter().map(Message::size).sum::<usize>();
-        let large = envelope.messages.iter().any(Message::large);
+        let large = envelope.messages.iter().any(Message::is_large);
         let begun = Instant::now();
         let call = self.caller.call::<_, ()>(self.address, LOG_PATH, &envelope);
-        let delivered =
-            matches!(timeout(DELIVERY + transfer(bytes), call).await, Ok(Ok(())));
+        let delivered = matches!(
+            timeout(DELIVERY + max_transfer_time(bytes), call).await,
+            Ok(Ok(()))
+        );
         if large {
             report(self.address, bytes, begun.elapsed(), delivered);
         }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -17,7 +17,7 @@
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_consensus::members::Member;
 use dogwoodhill_consensus::message::Message;
-use dogwoodhill_consensus::node::{Node, Refused, Timing};
+use dogwoodhill_consensus::node::{Node, RequestError, Timing};
 use dogwoodhill_consensus::ready::Ready;
 use dogwoodhill_consensus::{Index, Moment, ReadId, Term};
 use dogwoodhill_core::prelude::*;
@@ -227,7 +227,8 @@
 
     fn delivery(&mut self, report: Delivery) {
         let now = self.start.elapsed();
-        self.node.delivery(now, report.peer, report.delivered);
+        self.node
+            .report_delivery(now, report.peer, report.delivered);
     }
 
     fn take(&mut self, input: Input) {
@@ -241,10 +242,10 @@
             Input::Propose { action, reply } => self.propose(action, reply),
             Input::Confirm(reply) => self.confirm(reply),
             Input::Add { member, reply } => {
-                let added = self.node.add(now, member);
+                let added = self.node.add_learner(now, member);
                 let _ = reply.send(added.map_err(|refused| self.unable(refused)));
             }
-            Input::HandOver => self.node.hand_over(now),
+            Input::HandOver => self.node.transfer_leadership(now),
             Input::Stop => {}
         }
     }
@@ -301,11 +302,13 @@
         led.now + led.since.elapsed()
     }
 
-    fn unable(&self, refused: Refused) -> ControlUnavailable {
+    fn unable(&self, refused: RequestError) -> ControlUnavailable {
         match refused {
-            Refused::NotLeader | Refused::HandingOver => ControlUnavailable::NotLeader {
-                leader: self.leader(),
-            },
+            RequestError::NotLeader | RequestError::TransferInProgress => {
+                ControlUnavailable::NotLeader {
+                    leader: self.leader(),
+                }
+            }
             _ => ControlUnavailable::NoMajority,
         }
     }
@@ -327,12 +330,12 @@
     }
 
     async fn handle(&mut self, mut ready: Ready) -> Result<(), Stopped> {
-        self.send(std::mem::take(&mut ready.prompt));
-        if ready.durable() {
+        self.send(std::mem::take(&mut ready.immediate));
+        if ready.must_sync() {
             ready = self.persist(ready).await?;
         }
-        self.node.synced(ready.mark);
-        self.send(std::mem::take(&mut ready.synced));
+        self.node.synced(ready.durable_index);
+        self.send(std::mem::take(&mut ready.after_sync));
         if let Some(snapshot) = &ready.snapshot {
             self.state = decode(&snapshot.data);
             self.documents.store(Arc::new(self.state.documents.clone()));
@@ -364,12 +367,12 @@
             let log = self.node.log();
             log.slice(snapshot.index + 1, usize::MAX / 2).to_vec()
         });
-        let hard = self.node.hard();
+        let hard = self.node.hard_state();
         let work = move || {
             let done = match (&ready.snapshot, rest) {
                 (Some(snapshot), Some(rest)) => store.replace(hard, snapshot, &rest),
                 _ => store.write(&Batch {
-                    hard: ready.hard,
+                    hard_state: ready.hard_state,
                     truncate: ready.truncate,
                     append: &ready.append,
                 }),
@@ -478,7 +481,7 @@
         for reading in std::mem::take(&mut self.reads) {
             if ready.reads.contains(&reading.id) {
                 let _ = reading.reply.send(Ok(index));
-            } else if ready.refused.contains(&reading.id) {
+            } else if ready.failed_reads.contains(&reading.id) {
                 let _ = reading
                     .reply
                     .send(Err(ControlUnavailable::NotLeader { leader }));
@@ -500,7 +503,7 @@
         let Some(snapshot) = self.node.compact(applied, data) else {
             return Ok(());
         };
-        let hard = self.node.hard();
+        let hard = self.node.hard_state();
         let rest = self.node.log().slice(applied + 1, usize::MAX / 2).to_vec();
         let mut store = self.store.take().ok_or(Stopped::Writer)?;
         let work = move || store.replace(hard, &snapshot, &rest).map(|()| store);
@@ -515,7 +518,7 @@
         let standing = Standing {
             node: self.node.id(),
             term: self.node.term(),
-            leads: self.node.leads(),
+            leads: self.node.is_leader(),
             leader: self.leader(),
             contact: self.node.in_contact(self.start.elapsed()),
             members: self.node.members().clone(),
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -5,7 +5,7 @@
 use axum::routing::post;
 use bytes::Bytes;
 use dogwoodhill_consensus::log::{Entry, Payload};
-use dogwoodhill_consensus::message::{Append, Body, Message};
+use dogwoodhill_consensus::message::{AppendEntries, Body, Message};
 use dogwoodhill_control::peers::{Envelope, LOG_PATH, Peers};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
@@ -72,7 +72,7 @@
         from: 1,
         to: 2,
         term: 1,
-        body: Body::Append(Append {
+        body: Body::Append(AppendEntries {
             prev: 1,
             prev_term: 1,
             entries: if size > 0 { vec![entry] } else { Vec::new() },
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! A folder of the operating system.
+//! A folder in the operating system's file system.
 
 use crate::error::StoreError;
 use crate::files::Files;
@@ -6,48 +6,49 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// File whose lock keeps a second process out.
-const LOCK: &str = "lock";
+/// File that a process locks while it uses the folder.
+const LOCK_FILE: &str = "lock";
 
-/// A folder this process alone has open. The lock ends with the value.
+/// A folder locked for exclusive use by this process. Dropping the value releases the
+/// lock.
 #[derive(Debug)]
 pub struct DiskFiles {
     folder: PathBuf,
-    open: Option<Open>,
+    open_file: Option<OpenFile>,
     _lock: File,
 }
 
-/// The file that was appended to last.
+/// The last file that was written to, kept open for the next write.
 #[derive(Debug)]
-struct Open {
+struct OpenFile {
     name: String,
     file: File,
 }
 
 impl DiskFiles {
-    /// Opens a folder, and makes it where it is missing.
+    /// Opens a folder, creating it if it is missing.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Locked`] where another process has it open, or what the
-    /// operating system refuses.
+    /// [`StoreError::Locked`] if another process has the folder open, or the error of
+    /// the operating system.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
-        let fault = |source| StoreError::of(&folder.display().to_string(), source);
-        std::fs::create_dir_all(folder).map_err(fault)?;
+        let error = |source| StoreError::from_io(&folder.display().to_string(), source);
+        std::fs::create_dir_all(folder).map_err(error)?;
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(folder.join(LOCK))
-            .map_err(fault)?;
+            .open(folder.join(LOCK_FILE))
+            .map_err(error)?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(StoreError::Locked),
-            Err(TryLockError::Error(source)) => return Err(fault(source)),
+            Err(TryLockError::Error(source)) => return Err(error(source)),
         }
         Ok(Self {
             folder: folder.to_path_buf(),
-            open: None,
+            open_file: None,
             _lock: lock,
         })
     }
@@ -56,15 +57,18 @@
         self.folder.join(name)
     }
 
-    /// The file `name`, open for appending.
+    /// The existing file `name`, opened for appending.
     fn writable(&mut self, name: &str) -> io::Result<&mut File> {
-        let same = self.open.as_ref().is_some_and(|open| open.name == name);
+        let same = self
+            .open_file
+            .as_ref()
+            .is_some_and(|open| open.name == name);
         if !same {
             let file = OpenOptions::new().append(true).open(self.path(name))?;
             let name = name.to_string();
-            self.open = Some(Open { name, file });
+            self.open_file = Some(OpenFile { name, file });
         }
-        let open = self.open.as_mut().expect("opened above");
+        let open = self.open_file.as_mut().expect("opened above");
         Ok(&mut open.file)
     }
 }
@@ -74,7 +78,7 @@
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.folder)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            if name != LOCK {
+            if name != LOCK_FILE {
                 names.push(name);
             }
         }
@@ -87,7 +91,7 @@
     }
 
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         let mut file = File::create(self.path(name))?;
         file.write_all(bytes)
     }
@@ -104,17 +108,17 @@
         self.writable(name)?.sync_data()
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_folder(&mut self) -> io::Result<()> {
         File::open(&self.folder)?.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::rename(self.path(from), self.path(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::remove_file(self.path(name))
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,75 +1,75 @@
-//! Why state can't be read or written.
+//! Errors of the store.
 
 use derive_more::{Display, Error};
 use std::io;
 
-/// Why state can't be read or written; each message names the remedy.
+/// Why state can't be read or written; each message contains the remedy.
 #[derive(Debug, Display, Error)]
 pub enum StoreError {
     /// Another process has the folder open.
     #[display("the data folder is in use; stop the other process first")]
     Locked,
-    /// The folder holds no state.
+    /// The folder has no identity file.
     #[display(
         "the data folder holds no state; start once with --bootstrap for a new cluster, or with --join to join one"
     )]
-    Empty,
-    /// The folder holds state already.
+    Uninitialized,
+    /// The folder has an identity file already.
     #[display(
         "the data folder holds state already; start without --bootstrap and --join"
     )]
-    Occupied,
-    /// A file is damaged where it had been synced.
+    AlreadyInitialized,
+    /// A file is damaged in a part that had been synced.
     #[display(
         "{file} is damaged at byte {offset}; move the data folder away and start with --join"
     )]
     Corrupt {
-        /// File.
+        /// Name of the file.
         file: String,
-        /// First byte that can't be read.
+        /// Position of the first byte that can't be read.
         offset: usize,
     },
-    /// A file is not one of this program's.
+    /// A file does not start with this program's magic bytes.
     #[display("{file} was not written by this program; move it out of the data folder")]
-    Foreign {
-        /// File.
+    UnknownFormat {
+        /// Name of the file.
         file: String,
     },
-    /// A file was written by a newer version.
+    /// A file was written by a newer version of the program.
     #[display(
         "{file} has format {version}; run the version that wrote it or a newer one"
     )]
-    Newer {
-        /// File.
+    NewerFormat {
+        /// Name of the file.
         file: String,
-        /// Its format.
+        /// Format version of the file.
         version: u32,
     },
     /// No space is left.
     #[display("the disk is full; free space for the data folder and start again")]
-    Full,
+    DiskFull,
     /// The folder can't be written.
     #[display("the data folder can't be written; mount it writable for this user")]
     ReadOnly,
-    /// Another failure of the operating system.
+    /// Another error of the operating system.
     #[display("{file}: {source}; check the disk, then start again")]
-    Failed {
-        /// File.
+    Io {
+        /// Name of the file or folder.
         file: String,
-        /// What the system said.
+        /// The error as the operating system returned it.
         source: io::Error,
     },
 }
 
 impl StoreError {
-    /// Classifies a failure on `file`.
-    pub fn of(file: &str, source: io::Error) -> Self {
+    /// Classifies an I/O error on `file`.
+    pub fn from_io(file: &str, source: io::Error) -> Self {
         match source.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::Full,
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::DiskFull,
             io::ErrorKind::ReadOnlyFilesystem | io::ErrorKind::PermissionDenied => {
                 Self::ReadOnly
             }
-            _ => Self::Failed {
+            _ => Self::Io {
                 file: file.to_string(),
                 source,
             },
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,61 +1,61 @@
-//! The folder as the store sees it, behind a trait.
+//! The file operations that the store needs, as a trait.
 
 use std::fmt::Debug;
 use std::io;
 
-/// Files in one folder. What was written lasts only once [`Files::sync`]
-/// returned, a new or changed name only once [`Files::sync_names`] did.
+/// Files in one folder. Content is durable only after [`Files::sync`], a file that was
+/// created, renamed or removed only after [`Files::sync_folder`].
 pub trait Files: Send + Debug {
     /// Names of all files.
     ///
     /// # Errors
     ///
-    /// As the operating system reports them; so for all that follow.
+    /// The error of the operating system; likewise in the other methods.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// Content of a file.
+    /// Reads the content of a file.
     ///
     /// # Errors
     ///
     /// See [`Files::names`].
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Makes a new file, or empties one, and writes `bytes` to it.
+    /// Creates or truncates a file and writes `bytes` to it.
     ///
     /// # Errors
     ///
     /// See [`Files::names`].
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Adds bytes to the end of a file.
+    /// Appends `bytes` to an existing file.
     ///
     /// # Errors
     ///
     /// See [`Files::names`].
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
     ///
     /// See [`Files::names`].
     fn truncate(&mut self, name: &str, length: usize) -> io::Result<()>;
 
-    /// Makes a file's content last.
+    /// Makes the content of a file durable.
     ///
     /// # Errors
     ///
     /// See [`Files::names`].
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes the folder's names last.
+    /// Makes the names of the files durable.
     ///
     /// # Errors
     ///
     /// See [`Files::names`].
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_folder(&mut self) -> io::Result<()>;
 
-    /// Gives a file another name, replacing what had it.
+    /// Renames a file, replacing any file of the new name.
     ///
     /// # Errors
     ///
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,18 +1,18 @@
-//! The control instances' state on disk.
+//! Durable state of a control instance.
 //!
 //! A data folder holds an identity, one log and, once the log was compacted,
 //! one snapshot. The log is a sequence of checksummed records, written in
-//! batches: one sync makes a batch durable, and nothing of it is acknowledged
-//! before. That decides what a damaged log means when it is opened:
+//! batches: one sync makes a batch durable, and nothing in it is acknowledged
+//! before. That decides how damage is treated when a log is opened:
 //!
-//! * damage in the last batch is the trace of a crash before its sync; the
-//!   batch was never acknowledged, so it is cut off ([`record`]);
-//! * damage followed by a later batch is a fault of the disk: acknowledged
-//!   state is missing, and the store refuses to open rather than guess.
+//! * damage in the last batch results from a crash before its sync; the batch
+//!   was never acknowledged, so it is truncated (see [`record`]);
+//! * damage followed by a later batch is a disk failure: acknowledged state is
+//!   missing, and the store refuses to open.
 //!
-//! Nothing is overwritten in place. Compaction writes a new generation beside
-//! the old one and renames its log last; the newest generation with a log is
-//! the one in force.
+//! Files are never overwritten in place. Compaction writes a new generation
+//! of files beside the old one and renames its log last; the newest generation
+//! with a log is the current one.
 
 pub mod disk;
 pub mod error;
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,78 +1,80 @@
-//! A folder in memory that crashes as a disk may: what was not synced is
-//! lost, kept in part, or damaged.
+//! A folder in memory for tests of crashes: after a crash, writes that were not synced
+//! are lost, kept in part, or damaged.
 
 use crate::files::Files;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct MemoryFile {
     name: String,
     content: Vec<u8>,
+    /// Bytes of the content that are durable.
     synced: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    files: Vec<Stored>,
-    /// The names and synced contents a crash falls back to.
-    lasting: Vec<Stored>,
-    failing: bool,
-    full: bool,
+    files: Vec<MemoryFile>,
+    /// Durable names and contents, which remain after a crash.
+    durable: Vec<MemoryFile>,
+    syncs_fail: bool,
+    disk_full: bool,
 }
 
-/// The folder. Clones share it, so that a test can open it again.
+/// The folder. Clones share its files, so that a test can open it again after a crash.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFiles {
     state: Arc<Mutex<State>>,
 }
 
-/// What a crash leaves of bytes that were not synced.
+/// Effect of a crash on bytes that were not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tear {
-    /// Share of the unsynced bytes that stay, in 255ths.
+pub struct TornWrite {
+    /// Share of the unsynced bytes that remain, in 255ths.
     pub kept: u8,
-    /// Whether one of the kept bytes is damaged.
+    /// Whether one of the remaining bytes is changed.
     pub damaged: bool,
 }
 
 impl MemoryFiles {
-    /// Loses what was not synced, but for what `tear` leaves.
-    pub fn crash(&self, tear: Tear) {
+    /// Simulates a crash: unsynced writes are lost, except for the part that `torn`
+    /// keeps.
+    pub fn crash(&self, torn: TornWrite) {
         let mut state = self.lock();
-        let now = std::mem::take(&mut state.files);
-        let mut after = state.lasting.clone();
+        let before = std::mem::take(&mut state.files);
+        let mut after = state.durable.clone();
         for file in &mut after {
-            let Some(written) = now.iter().find(|f| f.name == file.name) else {
+            let Some(written) = before.iter().find(|f| f.name == file.name) else {
                 continue;
             };
             let unsynced = written.content.len().saturating_sub(written.synced);
-            let kept = unsynced * usize::from(tear.kept) / usize::from(u8::MAX);
+            let kept = unsynced * usize::from(torn.kept) / usize::from(u8::MAX);
             let end = (written.synced + kept).min(written.content.len());
             file.content = written.content[..end].to_vec();
-            if tear.damaged && kept > 0 {
+            if torn.damaged && kept > 0 {
                 file.content[written.synced + kept / 2] ^= 0x55;
             }
             file.synced = file.content.len();
         }
-        state.lasting.clone_from(&after);
+        state.durable.clone_from(&after);
         state.files = after;
-        state.failing = false;
-        state.full = false;
+        state.syncs_fail = false;
+        state.disk_full = false;
     }
 
-    /// Makes every sync fail until the next crash.
+    /// Makes each sync fail until the next crash.
     pub fn fail_syncs(&self) {
-        self.lock().failing = true;
+        self.lock().syncs_fail = true;
     }
 
-    /// Leaves no space until the next crash.
-    pub fn fill(&self) {
-        self.lock().full = true;
+    /// Makes writes fail for lack of space until the next crash.
+    pub fn fill_disk(&self) {
+        self.lock().disk_full = true;
     }
 
-    /// Damages one byte of a file.
-    pub fn damage(&self, name: &str, offset: usize) {
+    /// Changes one byte of a file.
+    pub fn corrupt(&self, name: &str, offset: usize) {
         let mut state = self.lock();
         let found = state.files.iter_mut().find(|file| file.name == name);
         if let Some(file) = found {
@@ -83,25 +85,25 @@
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
 impl State {
-    fn find(&mut self, name: &str) -> io::Result<&mut Stored> {
+    fn find(&mut self, name: &str) -> io::Result<&mut MemoryFile> {
         let found = self.files.iter_mut().find(|file| file.name == name);
         found.ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
     }
 
-    fn space(&self) -> io::Result<()> {
-        if self.full {
+    fn check_space(&self) -> io::Result<()> {
+        if self.disk_full {
             return Err(io::ErrorKind::StorageFull.into());
         }
         Ok(())
     }
 
-    fn syncable(&self) -> io::Result<()> {
-        if self.failing {
+    fn check_sync(&self) -> io::Result<()> {
+        if self.syncs_fail {
             return Err(io::Error::other("sync failed"));
         }
         Ok(())
@@ -120,9 +122,9 @@
 
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.lock();
-        state.space()?;
+        state.check_space()?;
         state.files.retain(|file| file.name != name);
-        state.files.push(Stored {
+        state.files.push(MemoryFile {
             name: name.to_string(),
             content: bytes.to_vec(),
             synced: 0,
@@ -132,10 +134,10 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.lock();
-        let space = state.space();
+        let space = state.check_space();
         let file = state.find(name)?;
         if space.is_err() {
-            // A full disk takes part of a write.
+            // A full disk stores part of a write.
             file.content.extend_from_slice(&bytes[..bytes.len() / 2]);
             return space;
         }
@@ -153,24 +155,24 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        state.syncable()?;
+        state.check_sync()?;
         let file = state.find(name)?;
         file.synced = file.content.len();
         let synced = file.clone();
-        if let Some(lasting) = state.lasting.iter_mut().find(|f| f.name == name) {
-            *lasting = synced;
+        if let Some(durable) = state.durable.iter_mut().find(|f| f.name == name) {
+            *durable = synced;
         }
         Ok(())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_folder(&mut self) -> io::Result<()> {
         let mut state = self.lock();
-        state.syncable()?;
-        let mut lasting = state.files.clone();
-        for file in &mut lasting {
+        state.check_sync()?;
+        let mut durable = state.files.clone();
+        for file in &mut durable {
             file.content.truncate(file.synced);
         }
-        state.lasting = lasting;
+        state.durable = durable;
         Ok(())
     }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,99 +1,105 @@
-//! The store: identity, snapshot and log of one control instance.
+//! Identity, snapshot and log of one control instance.
+//!
+//! Generation 0 has a log and no snapshot. Each later generation consists of
+//! `snapshot-N` and `log-N`; the log is renamed to its name last, so a log in the
+//! folder proves that its snapshot is complete.
 
 use crate::error::StoreError;
 use crate::files::Files;
-use crate::record::{header, put, scan};
+use crate::record::{encode_record, header, scan};
 use dogwoodhill_consensus::log::{Entry, Snapshot};
-use dogwoodhill_consensus::node::Durable;
-use dogwoodhill_consensus::ready::Hard;
+use dogwoodhill_consensus::node::DurableState;
+use dogwoodhill_consensus::ready::HardState;
 use dogwoodhill_consensus::{Index, NodeId};
 use dogwoodhill_core::event::Event;
 use serde::{Deserialize, Serialize};
 
-/// File with the identity.
-const IDENTITY: &str = "identity";
-/// Ending of files that are not in force yet.
+/// File with the identity; a folder without it is uninitialized.
+const IDENTITY_FILE: &str = "identity";
+/// Suffix of files that are not complete yet.
 const TEMPORARY: &str = ".new";
 
-/// Who an instance is. Made with the data folder and never changed.
+/// Identity of an instance: created with the data folder and never changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Cluster the instance belongs to.
     pub cluster: u128,
-    /// The instance.
+    /// Id of the instance.
     pub node: NodeId,
 }
 
-/// One record of the log.
+/// One record of the log file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
-    Hard(Hard),
+    Hard(HardState),
     Truncate(Index),
     Entry(Entry),
 }
 
-/// What one sync makes durable.
+/// Changes that one sync makes durable.
 #[derive(Clone, Debug, Default)]
 pub struct Batch<'a> {
-    /// Term and vote, where they changed.
-    pub hard: Option<Hard>,
-    /// Position from which on earlier entries are void.
+    /// Term and vote, if they changed.
+    pub hard_state: Option<HardState>,
+    /// First index of the earlier entries to be removed.
     pub truncate: Option<Index>,
-    /// New entries.
+    /// New entries, which follow the remaining ones.
     pub append: &'a [Entry],
 }
 
 /// An opened data folder.
 #[derive(Debug)]
 pub struct Opened {
-    /// The store.
+    /// Store for further writes.
     pub store: Store,
-    /// Who the instance is.
+    /// Identity of the instance.
     pub identity: Identity,
-    /// What it had made durable.
-    pub durable: Durable,
+    /// State that was made durable before.
+    pub durable: DurableState,
 }
 
-/// State of one instance on disk.
+/// Writer of one instance's data folder.
 #[derive(Debug)]
 pub struct Store {
     files: Box<dyn Files>,
     generation: u64,
+    /// Number of the last batch in the log.
     batch: u64,
+    /// Bytes in the log.
     size: usize,
 }
 
 impl Store {
-    /// Whether a folder holds no state.
+    /// Whether a folder has no identity, and so no state.
     ///
     /// # Errors
     ///
-    /// What the disk refuses.
-    pub fn vacant(files: &dyn Files) -> Result<bool, StoreError> {
-        Ok(!names(files)?.iter().any(|name| name == IDENTITY))
+    /// The error of the operating system.
+    pub fn is_uninitialized(files: &dyn Files) -> Result<bool, StoreError> {
+        Ok(!names(files)?.iter().any(|name| name == IDENTITY_FILE))
     }
 
-    /// Sets a new data folder up.
+    /// Initializes a new data folder.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Occupied`] where it holds state, or what the disk
-    /// refuses.
+    /// [`StoreError::AlreadyInitialized`] if the folder holds state, or the error of the
+    /// operating system.
     pub fn create(
         mut files: Box<dyn Files>,
         identity: Identity,
     ) -> Result<Opened, StoreError> {
-        if !Self::vacant(files.as_ref())? {
-            return Err(StoreError::Occupied);
+        if !Self::is_uninitialized(files.as_ref())? {
+            return Err(StoreError::AlreadyInitialized);
         }
         let mut bytes = header();
-        put(&mut bytes, 1, true, &identity);
-        write_file(files.as_mut(), &temporary(IDENTITY), &bytes)?;
+        encode_record(&mut bytes, 1, true, &identity);
+        write_file(files.as_mut(), &temporary_name(IDENTITY_FILE), &bytes)?;
         let mut log = header();
-        put(&mut log, 1, true, &Record::Hard(Hard::default()));
+        encode_record(&mut log, 1, true, &Record::Hard(HardState::default()));
         write_file(files.as_mut(), &log_name(0), &log)?;
-        // The identity gets its name last: without it the folder is empty.
-        rename(files.as_mut(), IDENTITY)?;
+        // The identity is renamed last: without it the folder counts as uninitialized.
+        rename_temporary(files.as_mut(), IDENTITY_FILE)?;
         let store = Self {
             files,
             generation: 0,
@@ -103,37 +109,38 @@
         Ok(Opened {
             store,
             identity,
-            durable: Durable::default(),
+            durable: DurableState::default(),
         })
     }
 
-    /// Opens a data folder.
+    /// Opens a data folder. A log that ends in an incomplete batch is truncated.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]; nothing is changed where it is refused.
+    /// [`StoreError::Uninitialized`], or what makes a file unreadable; damaged files are
+    /// left unchanged.
     pub fn open(mut files: Box<dyn Files>) -> Result<Opened, StoreError> {
         let names = names(files.as_ref())?;
-        if !names.iter().any(|name| name == IDENTITY) {
-            return Err(StoreError::Empty);
+        if !names.iter().any(|name| name == IDENTITY_FILE) {
+            return Err(StoreError::Uninitialized);
         }
-        let identity = read_one(files.as_ref(), IDENTITY)?;
-        let generation = newest(&names)?;
+        let identity = read_single_record(files.as_ref(), IDENTITY_FILE)?;
+        let generation = newest_generation(&names)?;
         let name = log_name(generation);
         let bytes = read(files.as_ref(), &name)?;
         let found = scan(&name, &bytes)?;
         let snapshot = match generation {
             0 => Snapshot::default(),
-            _ => read_one(files.as_ref(), &snapshot_name(generation))?,
+            _ => read_single_record(files.as_ref(), &snapshot_name(generation))?,
         };
         if found.end < bytes.len() {
             Event::new("torn-log-cut")
                 .field("file", &name)
                 .field("bytes", bytes.len() - found.end)
                 .warn();
-            let fault = |source| StoreError::of(&name, source);
-            files.truncate(&name, found.end).map_err(fault)?;
-            files.sync(&name).map_err(fault)?;
+            let error = |source| StoreError::from_io(&name, source);
+            files.truncate(&name, found.end).map_err(error)?;
+            files.sync(&name).map_err(error)?;
         }
         let durable = replay(&name, snapshot, found.records)?;
         let mut store = Self {
@@ -142,7 +149,7 @@
             batch: found.batch,
             size: found.end,
         };
-        store.tidy(&names)?;
+        store.remove_stale_files(&names)?;
         Ok(Opened {
             store,
             identity,
@@ -150,7 +157,7 @@
         })
     }
 
-    /// Bytes in the log.
+    /// Bytes in the log file.
     pub fn size(&self) -> usize {
         self.size
     }
@@ -159,79 +166,82 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`]. The instance must stop then: what the log holds is not
-    /// known, and opening it again finds out.
+    /// The error of the operating system. The instance must then stop: the content of
+    /// the log is unknown until it is opened again.
     pub fn write(&mut self, batch: &Batch<'_>) -> Result<(), StoreError> {
         let mut records = Vec::new();
-        records.extend(batch.hard.map(Record::Hard));
+        records.extend(batch.hard_state.map(Record::Hard));
         records.extend(batch.truncate.map(Record::Truncate));
         records.extend(batch.append.iter().cloned().map(Record::Entry));
         if records.is_empty() {
             return Ok(());
         }
         self.batch += 1;
-        let bytes = batch_bytes(self.batch, &records);
+        let bytes = encode_batch(self.batch, &records);
         let name = log_name(self.generation);
-        let fault = |source| StoreError::of(&name, source);
-        self.files.append(&name, &bytes).map_err(fault)?;
-        self.files.sync(&name).map_err(fault)?;
+        let error = |source| StoreError::from_io(&name, source);
+        self.files.append(&name, &bytes).map_err(error)?;
+        self.files.sync(&name).map_err(error)?;
         self.size += bytes.len();
         Ok(())
     }
 
-    /// Replaces everything by a snapshot and the entries after it.
+    /// Replaces the whole state by a snapshot and the entries after it, as a new
+    /// generation of files.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]; the earlier state stays in force then.
+    /// The error of the operating system. Unless the new log was renamed already, the
+    /// earlier generation is still the current one.
     pub fn replace(
         &mut self,
-        hard: Hard,
+        hard_state: HardState,
         snapshot: &Snapshot,
         entries: &[Entry],
     ) -> Result<(), StoreError> {
         let next = self.generation + 1;
         let files = self.files.as_mut();
         let mut bytes = header();
-        put(&mut bytes, 1, true, snapshot);
+        encode_record(&mut bytes, 1, true, snapshot);
         let name = snapshot_name(next);
-        write_file(files, &temporary(&name), &bytes)?;
-        rename(files, &name)?;
-        let mut records = vec![Record::Hard(hard)];
+        write_file(files, &temporary_name(&name), &bytes)?;
+        rename_temporary(files, &name)?;
+        let mut records = vec![Record::Hard(hard_state)];
         records.extend(entries.iter().cloned().map(Record::Entry));
         let mut log = header();
-        log.extend_from_slice(&batch_bytes(1, &records));
-        write_file(files, &temporary(&log_name(next)), &log)?;
-        rename(files, &log_name(next))?;
+        log.extend_from_slice(&encode_batch(1, &records));
+        write_file(files, &temporary_name(&log_name(next)), &log)?;
+        rename_temporary(files, &log_name(next))?;
         self.generation = next;
         self.batch = 1;
         self.size = log.len();
         let names = names(self.files.as_ref())?;
-        self.tidy(&names)
+        self.remove_stale_files(&names)
     }
 
-    /// Removes what belongs to no generation in force.
-    fn tidy(&mut self, names: &[String]) -> Result<(), StoreError> {
+    /// Removes temporary files and those of other generations.
+    fn remove_stale_files(&mut self, names: &[String]) -> Result<(), StoreError> {
         let keep = [
-            IDENTITY.to_string(),
+            IDENTITY_FILE.to_string(),
             log_name(self.generation),
             snapshot_name(self.generation),
         ];
         for name in names
             .iter()
-            .filter(|name| ours(name) && !keep.contains(name))
+            .filter(|name| is_removable(name) && !keep.contains(name))
         {
             let removed = self.files.remove(name);
-            removed.map_err(|source| StoreError::of(name, source))?;
+            removed.map_err(|source| StoreError::from_io(name, source))?;
         }
         Ok(())
     }
 }
 
-fn batch_bytes(batch: u64, records: &[Record]) -> Vec<u8> {
+/// Encodes the records of one batch.
+fn encode_batch(batch: u64, records: &[Record]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for (i, record) in records.iter().enumerate() {
-        put(&mut bytes, batch, i + 1 == records.len(), record);
+        encode_record(&mut bytes, batch, i + 1 == records.len(), record);
     }
     bytes
 }
@@ -244,25 +254,25 @@
     format!("snapshot-{generation:012}")
 }
 
-fn temporary(name: &str) -> String {
+fn temporary_name(name: &str) -> String {
     format!("{name}{TEMPORARY}")
 }
 
-/// Whether a file is one that this store makes.
-fn ours(name: &str) -> bool {
+/// Whether the store may remove a file: a log, a snapshot or a temporary file.
+fn is_removable(name: &str) -> bool {
     name.starts_with("log-")
         || name.starts_with("snapshot-")
-        || name == temporary(IDENTITY)
+        || name == temporary_name(IDENTITY_FILE)
 }
 
 fn names(files: &dyn Files) -> Result<Vec<String>, StoreError> {
     files
         .names()
-        .map_err(|source| StoreError::of("folder", source))
+        .map_err(|source| StoreError::from_io("folder", source))
 }
 
-/// Newest generation whose log is in force.
-fn newest(names: &[String]) -> Result<u64, StoreError> {
+/// Newest generation that has a log.
+fn newest_generation(names: &[String]) -> Result<u64, StoreError> {
     let number = |name: &String| name.strip_prefix("log-")?.parse().ok();
     let newest = names.iter().filter_map(number).max();
     newest.ok_or_else(|| StoreError::Corrupt {
@@ -274,11 +284,11 @@
 fn read(files: &dyn Files, name: &str) -> Result<Vec<u8>, StoreError> {
     files
         .read(name)
-        .map_err(|source| StoreError::of(name, source))
+        .map_err(|source| StoreError::from_io(name, source))
 }
 
-/// Reads a file of one record.
-fn read_one<T: serde::de::DeserializeOwned>(
+/// Reads a file that consists of one record.
+fn read_single_record<T: serde::de::DeserializeOwned>(
     files: &dyn Files,
     name: &str,
 ) -> Result<T, StoreError> {
@@ -290,31 +300,33 @@
     })
 }
 
+/// Creates a file and makes its content durable.
 fn write_file(files: &mut dyn Files, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
-    let fault = |source| StoreError::of(name, source);
-    files.create(name, bytes).map_err(fault)?;
-    files.sync(name).map_err(fault)
+    let error = |source| StoreError::from_io(name, source);
+    files.create(name, bytes).map_err(error)?;
+    files.sync(name).map_err(error)
 }
 
-/// Gives a temporary file its name, lastingly.
-fn rename(files: &mut dyn Files, name: &str) -> Result<(), StoreError> {
-    let fault = |source| StoreError::of(name, source);
-    files.rename(&temporary(name), name).map_err(fault)?;
-    files.sync_names().map_err(fault)
+/// Renames a temporary file to its final name, durably.
+fn rename_temporary(files: &mut dyn Files, name: &str) -> Result<(), StoreError> {
+    let error = |source| StoreError::from_io(name, source);
+    files.rename(&temporary_name(name), name).map_err(error)?;
+    files.sync_folder().map_err(error)
 }
 
+/// The state after all `records` are applied to `snapshot`.
 fn replay(
     name: &str,
     snapshot: Snapshot,
     records: Vec<Record>,
-) -> Result<Durable, StoreError> {
-    let mut durable = Durable {
+) -> Result<DurableState, StoreError> {
+    let mut durable = DurableState {
         snapshot,
-        ..Durable::default()
+        ..DurableState::default()
     };
     for record in records {
         match record {
-            Record::Hard(hard) => durable.hard = hard,
+            Record::Hard(hard_state) => durable.hard_state = hard_state,
             Record::Truncate(from) => {
                 durable.entries.retain(|entry| entry.index < from);
             }
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,6 +1,6 @@
-//! A folder of the operating system. In a file of its own: snapshot tests may
-//! start a process to find their folder, and between its fork and its start
-//! that process holds every lock of this one.
+//! The lock of a data folder. In a test binary of its own, because snapshot tests may
+//! start a process to find their folder, and between fork and exec that process holds
+//! all locks of this one.
 
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_store::{Batch, DiskFiles, Identity, Store, StoreError};
@@ -18,7 +18,7 @@
     assert!(matches!(DiskFiles::open(&folder), Err(StoreError::Locked)));
     drop(first);
     let files = DiskFiles::open(&folder).unwrap();
-    assert!(Store::vacant(&files).unwrap());
+    assert!(Store::is_uninitialized(&files).unwrap());
     let mut store = Store::create(Box::new(files), IDENTITY).unwrap().store;
     let entry = Entry {
         index: 1,
@@ -32,7 +32,7 @@
     store.write(&batch).unwrap();
     drop(store);
     let files = DiskFiles::open(&folder).unwrap();
-    assert!(!Store::vacant(&files).unwrap());
+    assert!(!Store::is_uninitialized(&files).unwrap());
     let opened = Store::open(Box::new(files)).unwrap();
     assert_eq!(opened.identity, IDENTITY);
     assert_eq!(opened.durable.entries, vec![entry]);
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,11 +1,11 @@
-//! The store under crashes, damage and failing disks.
+//! The store under crashes, damaged files and disk failures.
 
 use dogwoodhill_consensus::log::{Entry, Payload, Snapshot};
-use dogwoodhill_consensus::node::Durable;
-use dogwoodhill_consensus::ready::Hard;
+use dogwoodhill_consensus::node::DurableState;
+use dogwoodhill_consensus::ready::HardState;
 use dogwoodhill_store::files::Files;
-use dogwoodhill_store::memory::{MemoryFiles, Tear};
-use dogwoodhill_store::record::{HEADER, VERSION};
+use dogwoodhill_store::memory::{MemoryFiles, TornWrite};
+use dogwoodhill_store::record::{FORMAT_VERSION, HEADER_LEN};
 use dogwoodhill_store::{Batch, Identity, Store, StoreError};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -39,11 +39,12 @@
         .store
 }
 
-fn open(files: &MemoryFiles) -> Result<Durable, StoreError> {
+fn open(files: &MemoryFiles) -> Result<DurableState, StoreError> {
     Store::open(Box::new(files.clone())).map(|opened| opened.durable)
 }
 
-const LOST: Tear = Tear {
+/// A crash that keeps no unsynced byte.
+const LOST: TornWrite = TornWrite {
     kept: 0,
     damaged: false,
 };
@@ -53,46 +54,46 @@
     let files = MemoryFiles::default();
     let mut store = create(&files);
     write(&mut store, 1..=3);
-    let hard = Hard {
+    let hard_state = HardState {
         term: 4,
         vote: Some(2),
     };
     let batch = Batch {
-        hard: Some(hard),
+        hard_state: Some(hard_state),
         truncate: Some(3),
         append: &[],
     };
     store.write(&batch).unwrap();
     files.crash(LOST);
     let durable = open(&files).unwrap();
-    assert_eq!(durable.hard, hard);
+    assert_eq!(durable.hard_state, hard_state);
     assert_eq!(durable.entries, vec![entry(1), entry(2)]);
 }
 
 #[test]
-fn open_empty_refused() {
+fn open_uninitialized_refused() {
     let error = open(&MemoryFiles::default()).unwrap_err();
     insta::assert_snapshot!(error, @"the data folder holds no state; start once with --bootstrap for a new cluster, or with --join to join one");
 }
 
 #[test]
-fn create_occupied_refused() {
+fn create_initialized_refused() {
     let files = MemoryFiles::default();
     create(&files);
     let again = Store::create(Box::new(files), IDENTITY);
-    assert!(matches!(again, Err(StoreError::Occupied)));
+    assert!(matches!(again, Err(StoreError::AlreadyInitialized)));
 }
 
 #[test]
-fn open_damaged_last_batch_cut() {
+fn open_damaged_last_batch_truncated() {
     let files = MemoryFiles::default();
     let mut store = create(&files);
     write(&mut store, 1..=1);
     let size = store.size();
     write(&mut store, 2..=2);
-    files.damage(LOG, size + 20);
+    files.corrupt(LOG, size + 20);
     assert_eq!(open(&files).unwrap().entries, vec![entry(1)]);
-    // What was cut stays cut, and the log can be written on.
+    // The truncation is durable, and the log can be appended to.
     let mut store = Store::open(Box::new(files.clone())).unwrap().store;
     write(&mut store, 2..=2);
     assert_eq!(open(&files).unwrap().entries.len(), 2);
@@ -106,32 +107,35 @@
     let size = store.size();
     write(&mut store, 2..=2);
     write(&mut store, 3..=3);
-    files.damage(LOG, size + 20);
+    files.corrupt(LOG, size + 20);
     let error = open(&files).unwrap_err();
     assert!(matches!(error, StoreError::Corrupt { offset, .. } if offset == size));
     assert_eq!(
         files.read(LOG).unwrap().len(),
         store.size(),
-        "nothing is cut"
+        "nothing is truncated"
     );
 }
 
 #[test]
-fn open_foreign_refused() {
+fn open_unknown_format_refused() {
     let files = MemoryFiles::default();
     create(&files);
-    files.damage("identity", 0);
-    assert!(matches!(open(&files), Err(StoreError::Foreign { .. })));
+    files.corrupt("identity", 0);
+    assert!(matches!(
+        open(&files),
+        Err(StoreError::UnknownFormat { .. })
+    ));
 }
 
 #[test]
-fn open_newer_refused() {
+fn open_newer_format_refused() {
     let files = MemoryFiles::default();
     create(&files);
-    files.damage(LOG, HEADER - 4);
-    let newer = VERSION ^ 0x55;
+    files.corrupt(LOG, HEADER_LEN - 4);
+    let newer = FORMAT_VERSION ^ 0x55;
     let error = open(&files).unwrap_err();
-    assert!(matches!(error, StoreError::Newer { version, .. } if version == newer));
+    assert!(matches!(error, StoreError::NewerFormat { version, .. } if version == newer));
 }
 
 #[test]
@@ -143,10 +147,7 @@
         append: &[entry(1)],
         ..Batch::default()
     };
-    assert!(matches!(
-        store.write(&batch),
-        Err(StoreError::Failed { .. })
-    ));
+    assert!(matches!(store.write(&batch), Err(StoreError::Io { .. })));
     files.crash(LOST);
     assert!(open(&files).unwrap().entries.is_empty());
 }
@@ -156,13 +157,13 @@
     let files = MemoryFiles::default();
     let mut store = create(&files);
     write(&mut store, 1..=1);
-    files.fill();
+    files.fill_disk();
     let batch = Batch {
         append: &[entry(2)],
         ..Batch::default()
     };
-    assert!(matches!(store.write(&batch), Err(StoreError::Full)));
-    files.crash(Tear {
+    assert!(matches!(store.write(&batch), Err(StoreError::DiskFull)));
+    files.crash(TornWrite {
         kept: 255,
         damaged: false,
     });
@@ -173,28 +174,28 @@
 enum Step {
     Write(u8),
     Compact,
-    Crash(Tear),
-    /// A sync fails; the instance stops and starts again.
-    FailedWrite(u8, Tear),
-    FailedCompact(Tear),
+    Crash(TornWrite),
+    /// A sync fails; the instance crashes and restarts.
+    FailedWrite(u8, TornWrite),
+    FailedCompact(TornWrite),
 }
 
-fn tear() -> impl Strategy<Value = Tear> {
-    any::<(u8, bool)>().prop_map(|(kept, damaged)| Tear { kept, damaged })
+fn torn_write() -> impl Strategy<Value = TornWrite> {
+    any::<(u8, bool)>().prop_map(|(kept, damaged)| TornWrite { kept, damaged })
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (1u8..5).prop_map(Step::Write),
         1 => Just(Step::Compact),
-        1 => tear().prop_map(Step::Crash),
-        1 => ((1u8..5), tear()).prop_map(|(n, tear)| Step::FailedWrite(n, tear)),
-        1 => tear().prop_map(Step::FailedCompact),
+        1 => torn_write().prop_map(Step::Crash),
+        1 => ((1u8..5), torn_write()).prop_map(|(n, torn)| Step::FailedWrite(n, torn)),
+        1 => torn_write().prop_map(Step::FailedCompact),
     ]
 }
 
-/// What was acknowledged is there after any crash; what was not may be.
-fn survives(steps: &[Step]) -> Result<(), TestCaseError> {
+/// Checks that acknowledged entries are present after each step; others may be.
+fn check_acknowledged_survive(steps: &[Step]) -> Result<(), TestCaseError> {
     let files = MemoryFiles::default();
     let mut store = create(&files);
     let mut acknowledged = 0;
@@ -209,8 +210,8 @@
                 let done = compact(&mut store, acknowledged);
                 prop_assert!(done.is_ok());
             }
-            Step::Crash(tear) => files.crash(*tear),
-            Step::FailedWrite(count, tear) => {
+            Step::Crash(torn_write) => files.crash(*torn_write),
+            Step::FailedWrite(count, torn_write) => {
                 files.fail_syncs();
                 let append: Vec<Entry> = (1..=u64::from(*count))
                     .map(|n| entry(acknowledged + n))
@@ -220,12 +221,12 @@
                     ..Batch::default()
                 };
                 prop_assert!(store.write(&batch).is_err());
-                files.crash(*tear);
+                files.crash(*torn_write);
             }
-            Step::FailedCompact(tear) => {
+            Step::FailedCompact(torn_write) => {
                 files.fail_syncs();
                 prop_assert!(compact(&mut store, acknowledged).is_err());
-                files.crash(*tear);
+                files.crash(*torn_write);
             }
         }
         let opened = Store::open(Box::new(files.clone())).unwrap();
@@ -248,7 +249,7 @@
         term: 1,
         ..Snapshot::default()
     };
-    store.replace(Hard::default(), &snapshot, &[])
+    store.replace(HardState::default(), &snapshot, &[])
 }
 
 #[test]
@@ -261,7 +262,7 @@
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let mut runner = TestRunner::new_with_rng(config, random);
     let steps = proptest::collection::vec(step(), 1..40);
-    let result = runner.run(&steps, |steps| survives(&steps));
+    let result = runner.run(&steps, |steps| check_acknowledged_survive(&steps));
     if let Err(error) = result {
         panic!("{error}");
     }
