--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -12,8 +12,9 @@
 const LARGE_MESSAGE_BYTES: usize = 64 * 1024;
 /// Lowest transfer rate to one peer in bytes per second, below which a message counts as
 /// lost: 1 Mbit/s, a hundredth of a control instance's link. With time limits independent
-/// of the size, a leader sent sets of 516 and 768 KB two and three times to each peer, and
-/// abandoned messages that held two copies of one after a second on a saturated link.
+/// of the size, a leader sent route sets of 516 and 768 KB two and three times to each
+/// peer, and abandoned messages that held two copies of one after a second on a saturated
+/// link.
 const MIN_TRANSFER_RATE: f64 = 125_000.0;
 
 /// A message from one instance to another.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -84,7 +84,8 @@
     pub(crate) round_requested: bool,
     /// Reads that are not confirmed yet.
     pub(crate) reads: Vec<PendingRead>,
-    /// Present while leadership is being transferred; no voter is selected after it.
+    /// Deadline of a leadership transfer in progress; zero once a voter was sent the
+    /// request to start an election.
     pub(crate) transfer_until: Option<Moment>,
 }
 
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -21,8 +21,8 @@
 const SILENT_HEARTBEATS: u32 = 4;
 
 impl<R: Rng> Node<R> {
-    /// Steps down if contact with the majority is lost, sends heartbeats that are due, and
-    /// adjusts the members.
+    /// Steps down if contact with the majority is lost, sends heartbeats that are due,
+    /// and adjusts the members.
     pub(crate) fn tick_leader(&mut self, now: Moment) {
         if !self.has_majority_contact(now) || self.is_removed() {
             self.become_follower(now, self.hard_state.term, None);
@@ -108,6 +108,8 @@
         }
     }
 
+    /// Sends the next entries, a snapshot or a heartbeat to one peer. A silent peer is
+    /// sent probes only, and one with a large message in flight only heartbeats.
     fn send_to(&mut self, id: NodeId, allow_empty: bool) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -127,7 +129,7 @@
         if peer.in_flight.is_some() {
             let matched = peer.matched;
             if allow_empty {
-                self.send_heartbeat(id, matched, round);
+                self.send_empty_append(id, matched, round);
             }
             return;
         }
@@ -176,10 +178,10 @@
         self.ready.immediate.push(message);
     }
 
-    /// Sends a heartbeat to a peer to which a large message is in flight: without entries,
-    /// at an index where both logs are known to agree, so that the reply is a success and
-    /// requests no entries.
-    fn send_heartbeat(&mut self, id: NodeId, matched: Index, round: u64) {
+    /// Sends a heartbeat to a peer to which a large message is in flight: without
+    /// entries, at an index where both logs are known to agree, so that the reply is a
+    /// success and requests no entries.
+    fn send_empty_append(&mut self, id: NodeId, matched: Index, round: u64) {
         let Some(prev_term) = self.log.term(matched) else {
             self.send_probe(id, round);
             return;
@@ -430,8 +432,8 @@
         }
     }
 
-    /// Requests an election from the voter `id` if a transfer is in progress and the voter
-    /// has the complete log.
+    /// Requests an election from the voter `id` if a transfer is in progress and the
+    /// voter has the complete log.
     fn try_transfer(&mut self, now: Moment, id: NodeId) {
         let last = self.log.last();
         let votes = self.log.members().is_voter(id);
@@ -441,7 +443,7 @@
         let has_all = |peer: &&crate::node::Peer| peer.id == id && peer.matched == last;
         let complete = votes && leader.peers.iter().any(|peer| has_all(&peer));
         if leader.transfer_until.is_some_and(|until| now < until) && complete {
-            // Requests go to one voter only: the deadline expires with the next tick.
+            // Only one voter is sent the request: the next tick ends the transfer.
             leader.transfer_until = Some(Moment::ZERO);
             let message: Message = self.message(id, self.hard_state.term, Body::TakeOver);
             self.ready.immediate.push(message);
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -1,4 +1,4 @@
-//! Single rules of the log that a random walk seldom puts to the test.
+//! Rules of the log that random steps seldom exercise.
 
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_consensus::members::{Member, Members};
@@ -12,6 +12,7 @@
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 
+/// A time after each election timeout.
 const LATE: Moment = Moment::from_secs(10);
 
 fn member(id: NodeId) -> Member {
@@ -85,7 +86,7 @@
     node.receive(LATE, vote(2, 5));
     assert!(
         granted(&flush(&mut node)),
-        "the same candidate may ask again"
+        "the same candidate is granted the vote again"
     );
 }
 
@@ -103,20 +104,22 @@
 #[test]
 fn vote_own_survives_restart() {
     let mut first = node(HardState::default(), vec![entry(1, 1)]);
-    let hard_state = campaign(&mut first);
+    let hard_state = start_election(&mut first);
     let mut again = node(hard_state, vec![entry(1, 1)]);
     again.receive(LATE, vote(3, hard_state.term));
     assert!(!granted(&flush(&mut again)));
 }
 
-/// Lets the node win its pre-vote; the durable state it asks for.
-fn campaign(node: &mut Node<SmallRng>) -> HardState {
+/// Makes the node win its pre-vote and start an election; returns its term and vote.
+fn start_election(node: &mut Node<SmallRng>) -> HardState {
     node.tick(LATE);
     flush(node);
     let term = node.term() + 1;
     let body = Body::PreVoteReply { granted: true };
     node.receive(LATE, message(2, term, body));
-    flush(node).hard_state.expect("a candidacy is made durable")
+    flush(node)
+        .hard_state
+        .expect("a candidate's vote for itself is made durable")
 }
 
 fn leader(entries: Vec<Entry>) -> Node<SmallRng> {
@@ -125,7 +128,7 @@
         vote: None,
     };
     let mut node = node(hard_state, entries);
-    let term = campaign(&mut node).term;
+    let term = start_election(&mut node).term;
     node.receive(LATE, message(2, term, Body::VoteReply { granted: true }));
     assert!(node.is_leader());
     flush(&mut node);
@@ -143,8 +146,8 @@
 
 #[test]
 fn commit_earlier_term_waits() {
-    // The case of figure 8 in the Raft paper: an entry of an earlier term on
-    // a majority is not committed by counting alone.
+    // Figure 8 of the Raft paper: an entry of an earlier term is not committed just
+    // because a majority has it.
     let mut node = leader(vec![entry(1, 1), entry(2, 2)]);
     let term = node.term();
     node.receive(LATE, matched(2, term, 2));
@@ -195,7 +198,7 @@
     assert_eq!(node.term(), 1);
 }
 
-/// Entries sent to `to` in what is ready.
+/// Number of entries in each message to `to`; `None` if there is no message.
 fn sent(ready: &Ready, to: NodeId) -> Option<Vec<usize>> {
     let messages = ready.immediate.iter().filter(|message| message.to == to);
     let sizes = messages.filter_map(|message| match &message.body {
@@ -210,10 +213,10 @@
 fn replicate_silent_peer_gets_probes_only() {
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
-    let beat = Timing::default().heartbeat;
+    let interval = Timing::default().heartbeat;
     // Instance 2 answers each heartbeat, instance 3 never does.
     for i in 1..=9 {
-        let now = LATE + beat * i;
+        let now = LATE + interval * i;
         node.receive(now, matched(2, term, 2));
         node.tick(now);
         flush(&mut node);
@@ -221,13 +224,17 @@
     node.propose(vec![0; 100]).unwrap();
     let ready = flush(&mut node);
     assert_eq!(sent(&ready, 2), Some(vec![1]));
-    assert_eq!(sent(&ready, 3), None, "nothing piles up for it");
-    let now = LATE + beat * 10;
+    assert_eq!(
+        sent(&ready, 3),
+        None,
+        "no entries are queued for a silent peer"
+    );
+    let now = LATE + interval * 10;
     node.receive(now, matched(2, term, 3));
     node.tick(now);
     let ready = flush(&mut node);
-    assert_eq!(sent(&ready, 3), Some(vec![0]), "it is asked for a word");
-    // It speaks again: its log ends at 1, and it gets what it lacks.
+    assert_eq!(sent(&ready, 3), Some(vec![0]), "a probe without entries");
+    // It replies again: its log ends at 1, and it is sent the missing entries.
     let reply = AppendReply {
         success: false,
         index: 1,
@@ -248,14 +255,14 @@
         node.propose(vec![0; 100_000]).unwrap();
     }
     let ready = flush(&mut node);
-    let sizes = sent(&ready, 2).expect("entries go out");
+    let sizes = sent(&ready, 2).expect("entries are sent");
     assert!(sizes.iter().all(|size| *size <= 2), "{sizes:?}");
 }
 
 #[test]
-fn append_commits_only_what_was_compared() {
-    // The follower's third entry is of a leader that lost; the new one has
-    // committed another third entry, but sent only the second so far.
+fn append_commits_only_compared_entries() {
+    // The follower's third entry comes from a leader that was replaced. The new leader
+    // has committed another third entry, but has sent only the second so far.
     let stale = vec![entry(1, 1), entry(2, 1), entry(3, 1)];
     let mut node = node(HardState::default(), stale);
     let append = AppendEntries {
@@ -271,7 +278,7 @@
 }
 
 #[test]
-fn arrange_silent_voter_stays_without_a_replacement() {
+fn adjust_members_silent_voter_kept_without_replacement() {
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
     for i in 1..100 {
@@ -283,28 +290,29 @@
     assert!(node.is_leader());
     assert!(
         node.members().is_voter(3),
-        "a cut must not shrink the cluster"
+        "a partition must not shrink the cluster"
     );
 }
 
 #[test]
-fn promote_never_exchanges_two_voters_at_once() {
+fn promote_never_swaps_voters_in_one_change() {
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
     node.receive(LATE, matched(2, term, 2));
-    // Instance 3 lost its disk and came back as 4.
-    let again = Member {
+    // Instance 3 lost its disk and rejoined as 4.
+    let rejoined = Member {
         name: "control-3".to_string(),
         ..member(4)
     };
-    node.add_learner(LATE, again).expect("nothing else changes");
+    node.add_learner(LATE, rejoined)
+        .expect("no other change is in progress");
     flush(&mut node);
     node.receive(LATE, matched(2, term, 3));
     node.receive(LATE, matched(4, term, 3));
     node.tick(LATE);
     flush(&mut node);
     let votes = |node: &Node<SmallRng>, id| node.members().is_voter(id);
-    assert!(!votes(&node, 3), "the earlier one leaves first");
+    assert!(!votes(&node, 3), "the earlier instance is removed first");
     assert!(!votes(&node, 4), "two majorities must share an instance");
     node.receive(LATE, matched(2, term, 4));
     node.receive(LATE, matched(4, term, 4));
@@ -313,32 +321,32 @@
     assert!(votes(&node, 4));
 }
 
-/// Copies of its newest entry that `to` is sent.
+/// Number of entries sent to `to`, in all messages.
 fn copies(ready: &Ready, to: NodeId) -> usize {
     sent(ready, to).map_or(0, |sizes| sizes.iter().sum())
 }
 
-/// What was seen: with a route set of 516 KB as its entry, a leader sent each of seven
-/// instances three copies, two of them in one message of 1,032 KB, within 0.8 s. Its link
-/// of 100 Mbit/s was full of them, instances lost their leader, and the next one did the
-/// same, six times in a row; a change took 6.3 s to be acknowledged. Nobody answers while
-/// a large entry is on its way, and the leader took silence for two heartbeats as loss.
-/// Lines with the size and time of each delivery showed it.
+/// Guards against repeated sends of a large entry. No peer replies while such an entry is
+/// in flight; when silence for two heartbeats counted as loss, a leader sent a route set
+/// of 516 KB to each of seven instances three times within 0.8 s, two copies in one
+/// message of 1,032 KB. That saturated its link of 100 Mbit/s, instances lost contact
+/// with the leader, and the next leaders did the same, six in a row: a change took 6.3 s
+/// to be acknowledged.
 #[test]
-fn replicate_large_entry_under_way_sent_once() {
+fn replicate_large_entry_in_flight_sent_once() {
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
-    let beat = Timing::default().heartbeat;
+    let interval = Timing::default().heartbeat;
     node.receive(LATE, matched(2, term, 2));
     node.receive(LATE, matched(3, term, 2));
     flush(&mut node);
     let index = node.propose(vec![0; 516_000]).unwrap();
     let mut seen = copies(&flush(&mut node), 2);
     for i in 1..=8 {
-        node.tick(LATE + beat * i);
+        node.tick(LATE + interval * i);
         seen += copies(&flush(&mut node), 2);
     }
-    let now = LATE + beat * 9;
+    let now = LATE + interval * 9;
     node.receive(now, matched(2, term, index));
     node.tick(now);
     seen += copies(&flush(&mut node), 2);
@@ -346,8 +354,8 @@
     assert_eq!(seen, 1, "copies sent in 0.9 s");
 }
 
-/// A leader with a large entry on its way to both others, and its position.
-fn with_large_entry() -> (Node<SmallRng>, Index) {
+/// A leader with a large entry in flight to both other instances, and its index.
+fn leader_with_large_entry() -> (Node<SmallRng>, Index) {
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
     node.receive(LATE, matched(2, term, 2));
@@ -358,14 +366,18 @@
     (node, index)
 }
 
-/// Beats until `from` has been silent for `beats`; the copies sent to it.
-fn beats(node: &mut Node<SmallRng>, beats: std::ops::RangeInclusive<u32>) -> usize {
-    let beat = Timing::default().heartbeat;
+/// Runs the given heartbeat intervals, both peers replying to each heartbeat; returns the
+/// number of entries sent to instance 2.
+fn run_heartbeats(
+    node: &mut Node<SmallRng>,
+    intervals: std::ops::RangeInclusive<u32>,
+) -> usize {
+    let interval = Timing::default().heartbeat;
     let term = node.term();
     let mut seen = 0;
-    for i in beats {
-        let now = LATE + beat * i;
-        // Both answer heartbeats: what they agree on is what they had before.
+    for i in intervals {
+        let now = LATE + interval * i;
+        // The replies report only the entries before the large one.
         node.receive(now, matched(2, term, 2));
         node.receive(now, matched(3, term, 2));
         node.tick(now);
@@ -376,48 +388,53 @@
 
 #[test]
 fn replicate_large_entry_keeps_contact_meanwhile() {
-    let (mut node, _) = with_large_entry();
+    let (mut node, _) = leader_with_large_entry();
     let term = node.term();
-    let beat = Timing::default().heartbeat;
-    node.receive(LATE + beat, matched(2, term, 2));
-    node.tick(LATE + beat);
+    let interval = Timing::default().heartbeat;
+    node.receive(LATE + interval, matched(2, term, 2));
+    node.tick(LATE + interval);
     let ready = flush(&mut node);
     assert_eq!(sent(&ready, 2), Some(vec![0]), "a heartbeat");
-    assert_eq!(beats(&mut node, 2..=30), 0, "and nothing but heartbeats");
+    assert_eq!(run_heartbeats(&mut node, 2..=30), 0, "and no entries");
     assert!(node.is_leader());
 }
 
 #[test]
 fn replicate_large_entry_undelivered_sent_again() {
-    let (mut node, index) = with_large_entry();
+    let (mut node, index) = leader_with_large_entry();
     let term = node.term();
     node.report_delivery(LATE, 2, false);
-    assert_eq!(beats(&mut node, 1..=5), 1, "once");
+    assert_eq!(run_heartbeats(&mut node, 1..=5), 1, "once");
     node.receive(LATE, matched(2, term, index));
     assert_eq!(node.commit(), index);
 }
 
 #[test]
-fn replicate_large_entry_taken_and_forgotten_sent_again() {
-    // Its receiver restarted before the entry was on disk: it answers heartbeats, and
-    // would be left without the entry until that is overdue by its size, 4.5 s.
-    let (mut node, _) = with_large_entry();
+fn replicate_large_entry_delivered_and_lost_sent_again() {
+    // The receiver restarted before the entry was durable. It replies to heartbeats, and
+    // without the report of the delivery it would get the entry only when that is overdue
+    // by its size, after 4.5 s.
+    let (mut node, _) = leader_with_large_entry();
     node.report_delivery(LATE, 2, true);
-    assert_eq!(beats(&mut node, 1..=3), 0, "an answer may still come");
-    assert_eq!(beats(&mut node, 4..=5), 1);
+    assert_eq!(
+        run_heartbeats(&mut node, 1..=3),
+        0,
+        "a reply may still arrive"
+    );
+    assert_eq!(run_heartbeats(&mut node, 4..=5), 1);
 }
 
 #[test]
 fn replicate_large_entry_overdue_sent_again() {
-    // 516 KB at 125 KB/s and four heartbeats are 4.5 s.
-    let (mut node, _) = with_large_entry();
-    assert_eq!(beats(&mut node, 1..=44), 0);
-    assert_eq!(beats(&mut node, 45..=46), 1);
+    // 516 KB at 125 KB/s and four heartbeat intervals are 4.5 s.
+    let (mut node, _) = leader_with_large_entry();
+    assert_eq!(run_heartbeats(&mut node, 1..=44), 0);
+    assert_eq!(run_heartbeats(&mut node, 45..=46), 1);
 }
 
 #[test]
 fn replicate_large_entry_only_where_logs_agree() {
-    // A new leader does not know yet whether the others' logs agree with its own.
+    // A new leader has no confirmation yet that the other logs agree with its own.
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
     let index = node.propose(vec![0; 516_000]).unwrap();
@@ -430,5 +447,9 @@
         round: 0,
     };
     node.receive(LATE, message(2, term, Body::AppendReply(reply)));
-    assert_eq!(copies(&flush(&mut node), 2), 0, "an answer to a probe");
+    assert_eq!(
+        copies(&flush(&mut node), 2),
+        0,
+        "a late reply to an earlier message"
+    );
 }
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -1,22 +1,24 @@
-//! The replicated log under failures of messages, instances and disks.
+//! The replicated log under message loss, crashes, lost disks and clock skew.
 
 mod support;
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use support::{Group, Step, step};
+use support::{Cluster, Step, step};
 
-/// Steps of one case.
-const STEPS: usize = 500;
-/// Cases without `DOGWOODHILL_CASES`.
-const CASES: u32 = 100;
+/// Number of steps in one case.
+const STEPS_PER_CASE: usize = 500;
+/// Number of cases if `DOGWOODHILL_CASES` is not set.
+const DEFAULT_CASES: u32 = 100;
 
 fn cases() -> u32 {
     let given = std::env::var("DOGWOODHILL_CASES").ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(CASES)
+    given
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(DEFAULT_CASES)
 }
 
-fn explore(count: usize, seed: u8) {
+fn check_random_steps(count: usize, seed: u8) {
     let config = Config {
         cases: cases(),
         failure_persistence: None,
@@ -24,12 +26,12 @@
     };
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let steps = proptest::collection::vec(step(), STEPS);
+    let steps = proptest::collection::vec(step(), STEPS_PER_CASE);
     let result = runner.run(&steps, |steps| {
-        let mut group = Group::new(count);
-        steps.iter().for_each(|step| group.run(step));
-        group.settle();
-        prop_assert!(group.chosen() > 0);
+        let mut cluster = Cluster::new(count);
+        steps.iter().for_each(|step| cluster.run(step));
+        cluster.recover();
+        prop_assert!(cluster.committed() > 0);
         Ok(())
     });
     if let Err(error) = result {
@@ -39,121 +41,128 @@
 
 #[test]
 fn invariants_one_instance() {
-    explore(1, 1);
+    check_random_steps(1, 1);
 }
 
 #[test]
 fn invariants_three_instances() {
-    explore(3, 3);
+    check_random_steps(3, 3);
 }
 
 #[test]
 fn invariants_five_instances() {
-    explore(5, 5);
+    check_random_steps(5, 5);
 }
 
 #[test]
 fn leader_isolated_steps_down() {
-    let mut group = Group::new(3);
-    let old = group.leader().unwrap();
-    let before = group.chosen();
-    group.isolate(old);
+    let mut cluster = Cluster::new(3);
+    let old = cluster.leader().unwrap();
+    let before = cluster.committed();
+    cluster.isolate(old);
     for _ in 0..40 {
-        group.run(&Step::Pass(50));
-        group.run(&Step::Read(old));
-        group.run(&Step::Propose(old));
-        group.run(&Step::DeliverAll);
+        cluster.run(&Step::Advance(50));
+        cluster.run(&Step::Read(old));
+        cluster.run(&Step::Propose(old));
+        cluster.run(&Step::DeliverAll);
     }
-    assert!(!group.leads(old), "an isolated leader steps down");
-    assert_eq!(group.confirmed, 0, "and confirms no read");
-    assert!(group.leader().is_some(), "the others elect a new one");
-    assert!(group.chosen() > before);
+    assert!(!cluster.is_leader(old), "an isolated leader steps down");
+    assert_eq!(cluster.confirmed_reads, 0, "and confirms no read");
+    assert!(cluster.leader().is_some(), "the others elect a new one");
+    assert!(cluster.committed() > before);
 }
 
 #[test]
 fn isolated_follower_keeps_its_term() {
-    let mut group = Group::new(3);
-    let leader = group.leader().unwrap();
-    let cut = (leader + 1) % 3;
-    let term = group.term(cut);
-    group.isolate(cut);
+    let mut cluster = Cluster::new(3);
+    let leader = cluster.leader().unwrap();
+    let isolated = (leader + 1) % 3;
+    let term = cluster.term(isolated);
+    cluster.isolate(isolated);
     for _ in 0..60 {
-        group.run(&Step::Pass(100));
-        group.run(&Step::DeliverAll);
+        cluster.run(&Step::Advance(100));
+        cluster.run(&Step::DeliverAll);
     }
-    assert_eq!(group.term(cut), term, "asking for pre-votes raises no term");
-    group.run(&Step::Heal);
-    group.run(&Step::Pass(100));
-    group.run(&Step::DeliverAll);
-    assert!(group.leads(leader), "and the return disturbs nobody");
+    assert_eq!(
+        cluster.term(isolated),
+        term,
+        "a pre-vote does not increase the term"
+    );
+    cluster.run(&Step::Heal);
+    cluster.run(&Step::Advance(100));
+    cluster.run(&Step::DeliverAll);
+    assert!(
+        cluster.is_leader(leader),
+        "and its return does not disrupt the leader"
+    );
 }
 
 #[test]
-fn hand_over_moves_leadership() {
-    let mut group = Group::new(3);
-    let old = group.leader().unwrap();
-    group.run(&Step::HandOver(old));
-    group.run(&Step::DeliverAll);
-    let new = group.leader();
+fn transfer_leadership_elects_another_leader() {
+    let mut cluster = Cluster::new(3);
+    let old = cluster.leader().unwrap();
+    cluster.run(&Step::TransferLeadership(old));
+    cluster.run(&Step::DeliverAll);
+    let new = cluster.leader();
     assert!(
         new.is_some_and(|new| new != old),
-        "without an election's wait"
+        "without an election timeout"
     );
 }
 
 #[test]
 fn read_confirmed_by_majority() {
-    let mut group = Group::new(3);
-    let leader = group.leader().unwrap();
-    group.run(&Step::Read(leader));
-    assert_eq!(group.confirmed, 0);
-    group.run(&Step::DeliverAll);
-    assert_eq!(group.confirmed, 1);
+    let mut cluster = Cluster::new(3);
+    let leader = cluster.leader().unwrap();
+    cluster.run(&Step::Read(leader));
+    assert_eq!(cluster.confirmed_reads, 0);
+    cluster.run(&Step::DeliverAll);
+    assert_eq!(cluster.confirmed_reads, 1);
 }
 
 #[test]
 fn lost_disk_rejoins_as_new_identity() {
-    let mut group = Group::new(3);
-    let leader = group.leader().unwrap();
-    group.run(&Step::LoseDisk((leader + 1) % 3));
-    group.settle();
-    // A second instance fails right after the repair.
-    group.run(&Step::LoseDisk((leader + 2) % 3));
-    group.settle();
+    let mut cluster = Cluster::new(3);
+    let leader = cluster.leader().unwrap();
+    cluster.run(&Step::LoseDisk((leader + 1) % 3));
+    cluster.recover();
+    // A second instance fails right after the recovery.
+    cluster.run(&Step::LoseDisk((leader + 2) % 3));
+    cluster.recover();
 }
 
 #[test]
 fn late_instance_catches_up_by_snapshot() {
-    let mut group = Group::new(3);
-    let leader = group.leader().unwrap();
+    let mut cluster = Cluster::new(3);
+    let leader = cluster.leader().unwrap();
     let late = (leader + 1) % 3;
-    group.run(&Step::Crash(late, support::CrashPoint::Never));
+    cluster.run(&Step::Crash(late, support::CrashPoint::Never));
     for _ in 0..300 {
-        group.run(&Step::Propose(leader));
-        group.run(&Step::Pass(20));
-        group.run(&Step::DeliverAll);
+        cluster.run(&Step::Propose(leader));
+        cluster.run(&Step::Advance(20));
+        cluster.run(&Step::DeliverAll);
     }
-    (0..3).for_each(|i| group.run(&Step::Compact(i)));
-    group.settle();
+    (0..3).for_each(|i| cluster.run(&Step::Compact(i)));
+    cluster.recover();
 }
 
 #[test]
 fn invariants_four_instances() {
-    explore(4, 4);
+    check_random_steps(4, 4);
 }
 
 #[test]
-fn replacement_takes_the_seat_of_the_gone() {
+fn replacement_takes_seat_of_lost_voter() {
     for count in [3, 4, 5] {
-        let mut group = Group::new(count);
-        let leader = group.leader().unwrap();
-        // One after the other, each right after the last repair.
+        let mut cluster = Cluster::new(count);
+        let leader = cluster.leader().unwrap();
+        // Replace one instance after the other, each right after the last recovery.
         for i in 1..count {
-            group.run(&Step::Replace((leader + i) % count));
-            group.settle();
+            cluster.run(&Step::Replace((leader + i) % count));
+            cluster.recover();
         }
-        group.run(&Step::Replace(leader));
-        group.settle();
-        assert_eq!(group.seats(), count, "no instance is left over");
+        cluster.run(&Step::Replace(leader));
+        cluster.recover();
+        assert_eq!(cluster.seats(), count, "seats after all replacements");
     }
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small group of nodes with a network and disks that fail on command.
+//! A simulated cluster of nodes, with a network, disks and clocks that fail on command.
 
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_consensus::members::Member;
@@ -11,12 +11,12 @@
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 
-/// Bytes of a command that is sent alone, and not again while it is under way.
-const LARGE: usize = 64 * 1024;
-/// One in so many commands is large.
-const LARGE_EVERY: usize = 5;
+/// Bytes of a large command: it is sent alone, and not repeated while it is in flight.
+const LARGE_COMMAND: usize = 64 * 1024;
+/// One of this many commands is large.
+const LARGE_COMMAND_INTERVAL: usize = 5;
 
-/// Where in the handling of a [`Ready`] an instance crashes.
+/// Point in the processing of a [`Ready`] at which an instance crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CrashPoint {
     Never,
@@ -24,13 +24,13 @@
     AfterSync,
 }
 
-/// One thing that happens. Numbers are taken modulo what there is.
+/// One event. Numbers select an instance or a message, modulo how many there are.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    Pass(u16),
-    /// Time passes for one instance only, as under a frozen process or a
-    /// clock that runs ahead.
-    PassOne(usize, u16),
+    /// Time passes, in milliseconds.
+    Advance(u16),
+    /// Time passes for one instance only, as after a paused process or with a fast clock.
+    AdvanceOne(usize, u16),
     Isolate(usize),
     Deliver(usize),
     DeliverAll,
@@ -39,14 +39,14 @@
     Crash(usize, CrashPoint),
     Restart(usize),
     LoseDisk(usize),
-    /// An instance is gone for good; an empty one with another name comes.
+    /// An instance fails permanently, and an empty one of another name joins.
     Replace(usize),
     Propose(usize),
     Read(usize),
     Compact(usize),
-    Cut(usize, usize),
+    BlockLink(usize, usize),
     Heal,
-    HandOver(usize),
+    TransferLeadership(usize),
     Remove(usize, usize),
 }
 
@@ -57,8 +57,8 @@
         Just(CrashPoint::AfterSync)
     ];
     prop_oneof![
-        4 => (20u16..300).prop_map(Step::Pass),
-        12 => (any::<usize>(), 100u16..1500).prop_map(|(n, ms)| Step::PassOne(n, ms)),
+        4 => (20u16..300).prop_map(Step::Advance),
+        12 => (any::<usize>(), 100u16..1500).prop_map(|(n, ms)| Step::AdvanceOne(n, ms)),
         40 => any::<usize>().prop_map(Step::Deliver),
         3 => Just(Step::DeliverAll),
         6 => any::<usize>().prop_map(Step::Drop),
@@ -71,65 +71,72 @@
         10 => any::<usize>().prop_map(Step::Propose),
         2 => any::<usize>().prop_map(Step::Read),
         1 => any::<usize>().prop_map(Step::Compact),
-        1 => any::<(usize, usize)>().prop_map(|(a, b)| Step::Cut(a, b)),
+        1 => any::<(usize, usize)>().prop_map(|(a, b)| Step::BlockLink(a, b)),
         2 => Just(Step::Heal),
-        1 => any::<usize>().prop_map(Step::HandOver),
+        1 => any::<usize>().prop_map(Step::TransferLeadership),
         1 => any::<(usize, usize)>().prop_map(|(a, b)| Step::Remove(a, b)),
     ]
 }
 
-struct Place {
+/// A simulated machine with a disk and a clock, which runs one instance at a time.
+struct Host {
     id: NodeId,
     name: String,
-    /// Whether it asks to join as a replacement.
-    replaces: bool,
+    /// Whether it joins as a replacement, without a seat.
+    is_replacement: bool,
     node: Option<Node<SmallRng>>,
     durable: DurableState,
-    /// Commands applied, as the owner's state.
+    /// First byte of each command applied.
     state: Vec<u8>,
     applied: Index,
-    /// How far this instance's clock is ahead.
-    ahead: Moment,
+    /// Time by which this instance's clock is ahead.
+    clock_offset: Moment,
     crash: CrashPoint,
+    /// Reads in progress, each with the number of entries committed before it.
     reads: Vec<(ReadId, usize)>,
 }
 
-pub(crate) struct Group {
-    places: Vec<Place>,
-    net: Vec<Message>,
-    cuts: Vec<(NodeId, NodeId)>,
+/// The hosts, the network between them, and what the invariants are checked against.
+pub(crate) struct Cluster {
+    hosts: Vec<Host>,
+    network: Vec<Message>,
+    /// Sender and receiver of links that drop all messages.
+    blocked_links: Vec<(NodeId, NodeId)>,
     now: Moment,
-    chosen: Vec<Entry>,
+    /// All entries committed so far.
+    committed: Vec<Entry>,
+    /// The leader of each term that had one, sorted by term.
     leaders: Vec<(Term, NodeId)>,
+    /// Id of the next instance.
     next: u64,
-    voters: usize,
+    voter_count: usize,
     reads: u64,
-    pub(crate) confirmed: usize,
+    pub(crate) confirmed_reads: usize,
 }
 
 fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-impl Group {
-    /// `count` instances, all voters, with a leader.
+impl Cluster {
+    /// A cluster of `count` instances, all voters, with a leader.
     pub(crate) fn new(count: usize) -> Self {
-        let mut group = Self {
-            places: Vec::new(),
-            net: Vec::new(),
-            cuts: Vec::new(),
+        let mut cluster = Self {
+            hosts: Vec::new(),
+            network: Vec::new(),
+            blocked_links: Vec::new(),
             now: Moment::ZERO,
-            chosen: Vec::new(),
+            committed: Vec::new(),
             leaders: Vec::new(),
             next: 1,
-            voters: count,
+            voter_count: count,
             reads: 0,
-            confirmed: 0,
+            confirmed_reads: 0,
         };
         for i in 0..count {
-            group.spawn(i);
+            cluster.spawn(i);
         }
-        let first = &mut group.places[0];
+        let first = &mut cluster.hosts[0];
         let member = Member {
             id: first.id,
             name: first.name.clone(),
@@ -138,8 +145,8 @@
             seat: true,
         };
         first.node.as_mut().unwrap().bootstrap(member);
-        group.settle();
-        group
+        cluster.recover();
+        cluster
     }
 
     fn spawn(&mut self, i: usize) {
@@ -153,122 +160,121 @@
             self.now,
             random,
         );
-        let place = Place {
+        let host = Host {
             id,
             name: format!("control-{i}"),
-            replaces: false,
+            is_replacement: false,
             node: Some(node),
             durable: DurableState::default(),
             state: Vec::new(),
             applied: 0,
-            ahead: Moment::ZERO,
+            clock_offset: Moment::ZERO,
             crash: CrashPoint::Never,
             reads: Vec::new(),
         };
-        if i < self.places.len() {
-            self.places[i] = place;
+        if i < self.hosts.len() {
+            self.hosts[i] = host;
         } else {
-            self.places.push(place);
+            self.hosts.push(host);
         }
     }
 
     pub(crate) fn run(&mut self, step: &Step) {
-        let count = self.places.len();
+        let count = self.hosts.len();
         match step {
-            Step::Pass(ms) => self.pass(Moment::from_millis(u64::from(*ms))),
-            Step::PassOne(n, ms) => {
+            Step::Advance(ms) => self.advance(Moment::from_millis(u64::from(*ms))),
+            Step::AdvanceOne(n, ms) => {
                 let i = n % count;
-                self.places[i].ahead += Moment::from_millis(u64::from(*ms));
+                self.hosts[i].clock_offset += Moment::from_millis(u64::from(*ms));
                 let now = self.clock(i);
-                self.with(i, |node| node.tick(now));
+                self.with_node(i, |node| node.tick(now));
             }
             Step::Isolate(n) => self.isolate(n % count),
             Step::Deliver(n) => self.deliver_one(*n, false),
             Step::DeliverAll => self.deliver_all(),
-            Step::Drop(n) if !self.net.is_empty() => {
-                let at = n % self.net.len();
-                let lost = self.net.swap_remove(at);
-                self.report(&lost);
+            Step::Drop(n) if !self.network.is_empty() => {
+                let at = n % self.network.len();
+                let lost = self.network.swap_remove(at);
+                self.report_undelivered(&lost);
             }
             Step::Drop(_) => {}
             Step::Repeat(n) => self.deliver_one(*n, true),
             Step::Crash(n, CrashPoint::Never) => self.stop(n % count),
-            Step::Crash(n, at) => self.places[n % count].crash = *at,
+            Step::Crash(n, at) => self.hosts[n % count].crash = *at,
             Step::Restart(n) => self.restart(n % count),
             Step::LoseDisk(n) => self.lose_disk(n % count),
             Step::Replace(n) => self.replace(n % count),
             Step::Propose(n) => self.propose(n % count),
             Step::Read(n) => self.read(n % count),
             Step::Compact(n) => self.compact(n % count),
-            Step::Cut(a, b) => {
-                let cut = (self.places[a % count].id, self.places[b % count].id);
-                self.cuts.push(cut);
+            Step::BlockLink(a, b) => {
+                let link = (self.hosts[a % count].id, self.hosts[b % count].id);
+                self.blocked_links.push(link);
             }
-            Step::Heal => self.cuts.clear(),
-            Step::HandOver(n) => {
+            Step::Heal => self.blocked_links.clear(),
+            Step::TransferLeadership(n) => {
                 let now = self.clock(n % count);
-                self.with(n % count, |node| node.transfer_leadership(now));
+                self.with_node(n % count, |node| node.transfer_leadership(now));
             }
             Step::Remove(a, b) => self.remove(a % count, b % count),
         }
         self.check_leaders();
     }
 
-    /// Heals everything, and lets time pass until a leader commits.
-    pub(crate) fn settle(&mut self) {
-        self.cuts.clear();
-        for i in 0..self.places.len() {
-            self.places[i].crash = CrashPoint::Never;
+    /// Ends all failures, and advances the time until a leader commits an entry.
+    pub(crate) fn recover(&mut self) {
+        self.blocked_links.clear();
+        for i in 0..self.hosts.len() {
+            self.hosts[i].crash = CrashPoint::Never;
             self.restart(i);
         }
-        let before = self.chosen.len();
+        let before = self.committed.len();
         for round in 0..600 {
-            self.pass(Moment::from_millis(50));
+            self.advance(Moment::from_millis(50));
             self.deliver_all();
             self.check_leaders();
-            self.join_missing();
+            self.add_missing_members();
             if round % 10 == 0 {
-                (0..self.places.len()).for_each(|i| self.propose(i));
+                (0..self.hosts.len()).for_each(|i| self.propose(i));
             }
-            if self.chosen.len() > before && self.whole() {
+            if self.committed.len() > before && self.has_recovered() {
                 return;
             }
         }
         panic!("no leader with all voters within 30 s");
     }
 
-    /// Whether some leader has as many voters as there are instances, each
-    /// running, and everyone applied everything.
-    fn whole(&self) -> bool {
-        let nodes = || self.places.iter().filter_map(|place| place.node.as_ref());
-        let led = nodes().any(|node| {
+    /// Whether all instances are the voters of a leader and have applied all entries.
+    fn has_recovered(&self) -> bool {
+        let nodes = || self.hosts.iter().filter_map(|host| host.node.as_ref());
+        let has_leader = nodes().any(|node| {
             let voters: Vec<NodeId> = node.members().voters().collect();
             node.is_leader()
-                && voters.len() == self.voters
-                && self.places.iter().all(|place| voters.contains(&place.id))
+                && voters.len() == self.voter_count
+                && self.hosts.iter().all(|host| voters.contains(&host.id))
         });
-        let last = self.chosen.len() as Index;
-        led && self.places.iter().all(|place| place.applied == last)
+        let last = self.committed.len() as Index;
+        has_leader && self.hosts.iter().all(|host| host.applied == last)
     }
 
-    /// What an instance does that is no member: asks the leader to add it.
-    fn join_missing(&mut self) {
+    /// Adds instances that are not members, as if each had requested to join.
+    fn add_missing_members(&mut self) {
         let missing: Vec<Member> = self
-            .places
+            .hosts
             .iter()
-            .map(|place| Member {
-                id: place.id,
-                name: place.name.clone(),
+            .map(|host| Member {
+                id: host.id,
+                name: host.name.clone(),
                 address: address(),
                 voter: false,
-                seat: !place.replaces,
+                seat: !host.is_replacement,
             })
             .collect();
-        for i in 0..self.places.len() {
+        for i in 0..self.hosts.len() {
             for member in &missing {
                 let member = member.clone();
                 let now = self.clock(i);
-                self.with(i, |node| {
+                self.with_node(i, |node| {
                     if node.is_leader() && node.members().get(member.id).is_none() {
                         let _ = node.add_learner(now, member);
                     }
@@ -278,51 +284,51 @@
     }
 
     fn clock(&self, i: usize) -> Moment {
-        self.now + self.places[i].ahead
+        self.now + self.hosts[i].clock_offset
     }
 
-    fn with(&mut self, i: usize, act: impl FnOnce(&mut Node<SmallRng>)) {
-        if let Some(node) = &mut self.places[i].node {
+    fn with_node(&mut self, i: usize, act: impl FnOnce(&mut Node<SmallRng>)) {
+        if let Some(node) = &mut self.hosts[i].node {
             act(node);
-            self.pump(i);
+            self.process_ready(i);
         }
     }
 
-    fn pass(&mut self, time: Moment) {
+    fn advance(&mut self, time: Moment) {
         self.now += time;
-        for i in 0..self.places.len() {
+        for i in 0..self.hosts.len() {
             let now = self.clock(i);
-            self.with(i, |node| node.tick(now));
+            self.with_node(i, |node| node.tick(now));
         }
     }
 
-    /// Whoever sends a large message learns that it was not delivered.
-    fn report(&mut self, lost: &Message) {
+    /// Reports to the sender of a large message that it was not delivered.
+    fn report_undelivered(&mut self, lost: &Message) {
         if lost.is_large() {
-            let from = self.places.iter().position(|place| place.id == lost.from);
+            let from = self.hosts.iter().position(|host| host.id == lost.from);
             if let Some(i) = from {
                 let now = self.clock(i);
-                self.with(i, |node| node.report_delivery(now, lost.to, false));
+                self.with_node(i, |node| node.report_delivery(now, lost.to, false));
             }
         }
     }
 
-    fn deliver_one(&mut self, n: usize, keep: bool) {
-        if self.net.is_empty() {
+    fn deliver_one(&mut self, n: usize, duplicate: bool) {
+        if self.network.is_empty() {
             return;
         }
-        let at = n % self.net.len();
-        let message = if keep {
-            self.net[at].clone()
+        let at = n % self.network.len();
+        let message = if duplicate {
+            self.network[at].clone()
         } else {
-            self.net.swap_remove(at)
+            self.network.swap_remove(at)
         };
         self.deliver(message);
     }
 
     fn deliver_all(&mut self) {
         for _ in 0..40 {
-            let messages = std::mem::take(&mut self.net);
+            let messages = std::mem::take(&mut self.network);
             if messages.is_empty() {
                 return;
             }
@@ -333,67 +339,66 @@
     }
 
     fn deliver(&mut self, message: Message) {
-        if self.cuts.contains(&(message.from, message.to)) {
+        if self.blocked_links.contains(&(message.from, message.to)) {
             return;
         }
-        let found = self.places.iter().position(|place| place.id == message.to);
+        let found = self.hosts.iter().position(|host| host.id == message.to);
         if let Some(i) = found {
             let now = self.clock(i);
-            self.with(i, |node| node.receive(now, message));
+            self.with_node(i, |node| node.receive(now, message));
         }
     }
 
     fn stop(&mut self, i: usize) {
-        self.places[i].node = None;
-        self.places[i].reads.clear();
+        self.hosts[i].node = None;
+        self.hosts[i].reads.clear();
     }
 
     fn restart(&mut self, i: usize) {
         let now = self.clock(i);
-        let place = &mut self.places[i];
-        if place.node.is_some() {
+        let host = &mut self.hosts[i];
+        if host.node.is_some() {
             return;
         }
-        place.state = place.durable.snapshot.data.clone();
-        place.applied = place.durable.snapshot.index;
-        let random = SmallRng::seed_from_u64(place.id + now.as_millis() as u64);
-        let durable = place.durable.clone();
-        place.node = Some(Node::new(place.id, Timing::default(), durable, now, random));
+        host.state = host.durable.snapshot.data.clone();
+        host.applied = host.durable.snapshot.index;
+        let random = SmallRng::seed_from_u64(host.id + now.as_millis() as u64);
+        let durable = host.durable.clone();
+        host.node = Some(Node::new(host.id, Timing::default(), durable, now, random));
     }
 
-    /// An instance without its disk returns under a new id. Only where every
-    /// other one is up: with three voters a second loss would lose data, and
-    /// that is no failure to be survived. A single instance has nothing to
-    /// come back from.
+    /// An instance that lost its disk returns under a new id. Only if all instances are
+    /// up: with three voters a second loss would lose data, which the cluster need not
+    /// survive. A single instance can't recover from a lost disk at all.
     fn lose_disk(&mut self, i: usize) {
-        if self.voters > 1
-            && self.whole()
-            && self.places.iter().all(|place| place.node.is_some())
+        if self.voter_count > 1
+            && self.has_recovered()
+            && self.hosts.iter().all(|host| host.node.is_some())
         {
             self.spawn(i);
-            self.join_missing();
+            self.add_missing_members();
         }
     }
 
-    /// Another instance takes the place of one that never returns. As with a
-    /// lost disk, only where every other one is up.
+    /// A new instance replaces one that never returns. Only if all are up, as above.
     fn replace(&mut self, i: usize) {
-        if self.voters > 1
-            && self.whole()
-            && self.places.iter().all(|place| place.node.is_some())
+        if self.voter_count > 1
+            && self.has_recovered()
+            && self.hosts.iter().all(|host| host.node.is_some())
         {
             self.spawn(i);
-            let place = &mut self.places[i];
-            place.name = format!("replacement-{}", place.id);
-            place.replaces = true;
-            self.join_missing();
+            let host = &mut self.hosts[i];
+            host.name = format!("replacement-{}", host.id);
+            host.is_replacement = true;
+            self.add_missing_members();
         }
     }
 
     fn propose(&mut self, i: usize) {
-        let large = self.chosen.len().is_multiple_of(LARGE_EVERY);
-        let command = vec![self.chosen.len() as u8; if large { LARGE } else { 1 }];
-        self.with(i, |node| {
+        let large = self.committed.len().is_multiple_of(LARGE_COMMAND_INTERVAL);
+        let command =
+            vec![self.committed.len() as u8; if large { LARGE_COMMAND } else { 1 }];
+        self.with_node(i, |node| {
             let _ = node.propose(command);
         });
     }
@@ -401,39 +406,39 @@
     fn read(&mut self, i: usize) {
         self.reads += 1;
         let id = self.reads;
-        let seen = self.chosen.len();
-        if let Some(node) = &mut self.places[i].node
+        let seen = self.committed.len();
+        if let Some(node) = &mut self.hosts[i].node
             && node.read(id).is_ok()
         {
-            self.places[i].reads.push((id, seen));
-            self.pump(i);
+            self.hosts[i].reads.push((id, seen));
+            self.process_ready(i);
         }
     }
 
     fn remove(&mut self, a: usize, b: usize) {
         let now = self.clock(a);
-        let id = self.places[b].id;
-        if self.whole() && a != b {
-            self.with(a, |node| {
+        let id = self.hosts[b].id;
+        if self.has_recovered() && a != b {
+            self.with_node(a, |node| {
                 let _ = node.remove(now, id);
             });
         }
     }
 
     fn compact(&mut self, i: usize) {
-        let place = &mut self.places[i];
-        let Some(node) = &mut place.node else { return };
-        if let Some(snapshot) = node.compact(place.applied, place.state.clone()) {
+        let host = &mut self.hosts[i];
+        let Some(node) = &mut host.node else { return };
+        if let Some(snapshot) = node.compact(host.applied, host.state.clone()) {
             let index = snapshot.index;
-            place.durable.snapshot = snapshot;
-            place.durable.entries.retain(|entry| entry.index > index);
+            host.durable.snapshot = snapshot;
+            host.durable.entries.retain(|entry| entry.index > index);
         }
     }
 
-    /// Handles everything a node has ready, as its owner would.
-    fn pump(&mut self, i: usize) {
+    /// Processes all pending work of a node, as its owner would.
+    fn process_ready(&mut self, i: usize) {
         loop {
-            let Some(node) = &mut self.places[i].node else {
+            let Some(node) = &mut self.hosts[i].node else {
                 return;
             };
             let ready = node.take_ready();
@@ -447,47 +452,44 @@
     }
 
     fn handle(&mut self, i: usize, ready: Ready) -> bool {
-        self.net.extend(ready.immediate.iter().cloned());
-        if self.places[i].crash == CrashPoint::BeforeSync && ready.must_sync() {
-            self.places[i].crash = CrashPoint::Never;
+        self.network.extend(ready.immediate.iter().cloned());
+        if self.hosts[i].crash == CrashPoint::BeforeSync && ready.must_sync() {
+            self.hosts[i].crash = CrashPoint::Never;
             self.stop(i);
             return false;
         }
         self.persist(i, &ready);
-        if self.places[i].crash == CrashPoint::AfterSync && ready.must_sync() {
-            self.places[i].crash = CrashPoint::Never;
+        if self.hosts[i].crash == CrashPoint::AfterSync && ready.must_sync() {
+            self.hosts[i].crash = CrashPoint::Never;
             self.stop(i);
             return false;
         }
-        let node = self.places[i].node.as_mut().unwrap();
+        let node = self.hosts[i].node.as_mut().unwrap();
         node.synced(ready.durable_index);
-        self.net.extend(ready.after_sync);
+        self.network.extend(ready.after_sync);
         for entry in ready.committed {
             self.apply(i, entry);
         }
         self.finish_reads(i, &ready.reads);
-        let refused = ready.failed_reads;
-        self.places[i].reads.retain(|(id, _)| !refused.contains(id));
+        let failed = ready.failed_reads;
+        self.hosts[i].reads.retain(|(id, _)| !failed.contains(id));
         true
     }
 
     fn persist(&mut self, i: usize, ready: &Ready) {
-        let place = &mut self.places[i];
-        let durable = &mut place.durable;
-        if let Some(hard_state) = ready.hard_state {
-            assert!(
-                hard_state.term >= durable.hard_state.term,
-                "terms only rise"
-            );
-            durable.hard_state = hard_state;
+        let host = &mut self.hosts[i];
+        let durable = &mut host.durable;
+        if let Some(hard) = ready.hard_state {
+            assert!(hard.term >= durable.hard_state.term, "terms never fall");
+            durable.hard_state = hard;
         }
         if let Some(snapshot) = &ready.snapshot {
-            let log = place.node.as_ref().unwrap().log();
+            let log = host.node.as_ref().unwrap().log();
             durable.entries = log.slice(snapshot.index + 1, usize::MAX >> 1).to_vec();
             durable.snapshot = snapshot.clone();
-            place.state = snapshot.data.clone();
-            place.applied = snapshot.index;
-            self.agree(snapshot.index, i);
+            host.state = snapshot.data.clone();
+            host.applied = snapshot.index;
+            self.check_snapshot(snapshot.index, i);
             return;
         }
         if let Some(from) = ready.truncate {
@@ -500,95 +502,92 @@
         }
     }
 
-    /// A snapshot must equal what the chosen entries give.
-    fn agree(&self, index: Index, i: usize) {
-        let state: Vec<u8> = self.chosen[..index as usize]
+    /// Checks that a snapshot equals the state after the committed entries.
+    fn check_snapshot(&self, index: Index, i: usize) {
+        let state: Vec<u8> = self.committed[..index as usize]
             .iter()
             .filter_map(command)
             .collect();
-        assert_eq!(
-            self.places[i].state, state,
-            "a snapshot is the chosen state"
-        );
+        assert_eq!(self.hosts[i].state, state, "equals the applied entries");
     }
 
     fn apply(&mut self, i: usize, entry: Entry) {
-        let place = &mut self.places[i];
-        assert_eq!(entry.index, place.applied + 1, "applied in order");
-        place.applied = entry.index;
-        place.state.extend(command(&entry));
+        let host = &mut self.hosts[i];
+        assert_eq!(entry.index, host.applied + 1, "applied in order");
+        host.applied = entry.index;
+        host.state.extend(command(&entry));
         let at = entry.index as usize - 1;
-        match self.chosen.get(at) {
-            Some(chosen) => assert_eq!(*chosen, entry, "committed entries never change"),
+        match self.committed.get(at) {
+            Some(known) => assert_eq!(*known, entry, "committed entries never change"),
             None => {
-                assert_eq!(at, self.chosen.len());
-                self.chosen.push(entry);
+                assert_eq!(at, self.committed.len());
+                self.committed.push(entry);
             }
         }
     }
 
     fn finish_reads(&mut self, i: usize, done: &[ReadId]) {
-        let place = &mut self.places[i];
-        let applied = place.applied;
-        let mut confirmed = 0;
-        place.reads.retain(|(id, seen)| {
+        let host = &mut self.hosts[i];
+        let applied = host.applied;
+        let mut confirmed_reads = 0;
+        host.reads.retain(|(id, seen)| {
             let ends = done.contains(id);
             if ends {
-                assert!(applied >= *seen as Index, "a read sees what was committed");
-                confirmed += 1;
+                assert!(applied >= *seen as Index, "a read sees earlier entries");
+                confirmed_reads += 1;
             }
             !ends
         });
-        self.confirmed += confirmed;
+        self.confirmed_reads += confirmed_reads;
     }
 
     fn check_leaders(&mut self) {
-        for place in &self.places {
-            let Some(node) = &place.node else { continue };
+        for host in &self.hosts {
+            let Some(node) = &host.node else { continue };
             if !node.is_leader() {
                 continue;
             }
             let term = node.term();
             let at = self.leaders.binary_search_by_key(&term, |known| known.0);
             match at {
-                Ok(at) => assert_eq!(self.leaders[at].1, place.id, "one leader a term"),
-                Err(at) => self.leaders.insert(at, (term, place.id)),
+                Ok(at) => assert_eq!(self.leaders[at].1, host.id, "one leader a term"),
+                Err(at) => self.leaders.insert(at, (term, host.id)),
             }
         }
     }
 
-    // What named tests look at.
+    // State that single tests inspect.
 
     pub(crate) fn leader(&self) -> Option<usize> {
-        let leads = |place: &Place| place.node.as_ref().is_some_and(Node::is_leader);
-        self.places.iter().position(leads)
+        let leads = |host: &Host| host.node.as_ref().is_some_and(Node::is_leader);
+        self.hosts.iter().position(leads)
     }
 
-    pub(crate) fn leads(&self, i: usize) -> bool {
-        self.places[i].node.as_ref().is_some_and(Node::is_leader)
+    pub(crate) fn is_leader(&self, i: usize) -> bool {
+        self.hosts[i].node.as_ref().is_some_and(Node::is_leader)
     }
 
-    pub(crate) fn chosen(&self) -> usize {
-        self.chosen.len()
+    pub(crate) fn committed(&self) -> usize {
+        self.committed.len()
     }
 
     pub(crate) fn isolate(&mut self, i: usize) {
-        let id = self.places[i].id;
-        for other in 0..self.places.len() {
-            let other = self.places[other].id;
-            self.cuts.push((id, other));
-            self.cuts.push((other, id));
+        let id = self.hosts[i].id;
+        for other in 0..self.hosts.len() {
+            let other = self.hosts[other].id;
+            self.blocked_links.push((id, other));
+            self.blocked_links.push((other, id));
         }
     }
 
     pub(crate) fn seats(&self) -> usize {
         let leader = self.leader().expect("a leader");
-        let node = self.places[leader].node.as_ref().unwrap();
+        let node = self.hosts[leader].node.as_ref().unwrap();
         node.members().iter().filter(|member| member.seat).count()
     }
 
     pub(crate) fn term(&self, i: usize) -> Term {
-        self.places[i].node.as_ref().map_or(0, Node::term)
+        self.hosts[i].node.as_ref().map_or(0, Node::term)
     }
 }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Opens a data folder. A log that ends in an incomplete batch is truncated.
+    /// Opens a data folder. An incomplete or damaged last batch of the log is removed.
     ///
     /// # Errors
     ///
@@ -228,7 +228,7 @@
         ];
         for name in names
             .iter()
-            .filter(|name| is_removable(name) && !keep.contains(name))
+            .filter(|name| is_store_file(name) && !keep.contains(name))
         {
             let removed = self.files.remove(name);
             removed.map_err(|source| StoreError::from_io(name, source))?;
@@ -258,8 +258,8 @@
     format!("{name}{TEMPORARY}")
 }
 
-/// Whether the store may remove a file: a log, a snapshot or a temporary file.
-fn is_removable(name: &str) -> bool {
+/// Whether a file is a log, a snapshot, or a temporary file of the store.
+fn is_store_file(name: &str) -> bool {
     name.starts_with("log-")
         || name.starts_with("snapshot-")
         || name == temporary_name(IDENTITY_FILE)
