--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,12 +1,12 @@
-//! The agent's HTTP service and its life from start to drain.
+//! The agent's HTTP service, from start to the end of its drain.
 
 use crate::endpoint::{Endpoint, HttpEndpoint, SendError};
-use crate::lease::{Holding, Right};
-use crate::leaving::{Source, Sources};
+use crate::lease::{EndpointLease, Permission};
+use crate::leaving::{LeavingFlags, Source};
 use crate::relay::Relay;
 use crate::settings::{Platform, Settings};
 use crate::slot::{SharedGate, Slot};
-use crate::watch::{Following, look};
+use crate::watch::{ControlTasks, poll_sources};
 use axum::Router;
 use axum::body::Body as HttpBody;
 use axum::extract::{DefaultBodyLimit, State};
@@ -31,16 +31,16 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-/// Path of attempts.
+/// Path to which entries post attempts.
 pub const ATTEMPT_PATH: &str = "/v1/attempt";
-/// Largest message an entry may send: a body and its headers.
-const MAX_ATTEMPT: usize = 64 * 1024 * 1024;
-/// Frames that wait between a detached request and its entry.
-const DETACHED_FRAMES: usize = 4;
-/// Header with which an endpoint says that it is being taken out of use.
+/// Largest message from an entry: one body and its headers.
+const MAX_ATTEMPT_BYTES: usize = 64 * 1024 * 1024;
+/// Frames buffered between a detached request and its entry.
+const DETACHED_BUFFER_FRAMES: usize = 4;
+/// Response header with which an endpoint reports that it is being taken out of service.
 const STATE_HEADER: &str = "x-endpoint-state";
 
-/// An agent that is listening.
+/// An agent that is bound to its address.
 #[derive(Debug)]
 pub struct Agent {
     listener: Listener,
@@ -55,8 +55,8 @@
     pub(crate) endpoint: Box<dyn Endpoint>,
     pub(crate) platform: Option<Box<dyn PlatformList>>,
     pub(crate) gate: SharedGate,
-    pub(crate) sources: Sources,
-    pub(crate) holding: Holding,
+    pub(crate) leaving_flags: LeavingFlags,
+    pub(crate) lease: EndpointLease,
     pub(crate) drain: Drain,
     pub(crate) metrics: Metrics,
     pub(crate) attempts: IntCounterVec,
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// [`ListenError`] where the address can't be bound.
+    /// [`ListenError`] if the address can't be bound.
     pub async fn bind(
         settings: Settings,
         drain: Drain,
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Address the agent listens on.
+    /// Returns the address on which the agent listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
@@ -98,17 +98,17 @@
             .field("endpoint", &self.core.settings.endpoint)
             .field("listen", self.address())
             .info();
-        let looking = tokio::spawn(look(Arc::clone(&self.core)));
-        let control = Following::start(&self.core);
+        let polling = tokio::spawn(poll_sources(Arc::clone(&self.core)));
+        let control_tasks = ControlTasks::start(&self.core);
         let drain = self.drain.clone();
         let router = router(&self.core);
         self.listener
             .serve(router, drain.clone(), self.linger)
             .await;
         drain.idle().await;
-        looking.abort();
-        if let Some(control) = control {
-            control.stop().await;
+        polling.abort();
+        if let Some(control_tasks) = control_tasks {
+            control_tasks.stop().await;
         }
         Event::new("agent-stopped").info();
     }
@@ -118,18 +118,18 @@
     fn new(settings: Settings, endpoint: Box<dyn Endpoint>, drain: Drain) -> Self {
         let metrics = Metrics::default();
         let limit = Limit::new(
-            settings.first_limit,
-            settings.least_limit,
-            settings.most_limit,
+            settings.initial_limit,
+            settings.min_limit,
+            settings.max_limit,
         );
         Self {
             endpoint,
-            platform: settings.platform.as_ref().map(platform),
+            platform: settings.platform.as_ref().map(platform_list),
             gate: SharedGate::new(Gate::new(limit)),
-            sources: Sources::default(),
-            holding: match settings.control.is_empty() {
-                true => Holding::alone(),
-                false => Holding::wanted(),
+            leaving_flags: LeavingFlags::default(),
+            lease: match settings.control.is_empty() {
+                true => EndpointLease::unmanaged(),
+                false => EndpointLease::unacquired(),
             },
             drain,
             attempts: metrics.counters(
@@ -150,15 +150,15 @@
         }
     }
 
-    /// Notes what a source says of leaving.
-    pub(crate) fn close_gate(&self, source: Source, leaving: bool) {
-        let before = self.sources.leaving();
-        self.sources.say(source, leaving);
-        let now = self.sources.leaving();
-        self.gate.leave(now);
-        if before != now {
+    /// Sets the leaving flag of `source` and closes or reopens the gate accordingly.
+    pub(crate) fn set_leaving(&self, source: Source, leaving: bool) {
+        let was_leaving = self.leaving_flags.is_leaving();
+        self.leaving_flags.set(source, leaving);
+        let is_leaving = self.leaving_flags.is_leaving();
+        self.gate.set_leaving(is_leaving);
+        if was_leaving != is_leaving {
             Event::new("leaving-changed")
-                .field("leaving", now)
+                .field("leaving", is_leaving)
                 .field("source", format!("{source:?}"))
                 .info();
         }
@@ -169,35 +169,37 @@
     }
 
     fn admit(&self, attempt: &Attempt) -> Result<Slot, RefusalReason> {
-        let own = attempt.service == self.settings.service
+        let is_own = attempt.service == self.settings.service
             && attempt.endpoint == self.settings.endpoint;
-        if !own {
+        if !is_own {
             return Err(RefusalReason::Misdirected);
         }
         if attempt.remaining.is_zero() {
             return Err(RefusalReason::Late);
         }
-        self.entitled(attempt)?;
-        let ask = AdmissionRequest {
+        self.check_lease(attempt)?;
+        let request = AdmissionRequest {
             attempt: attempt.attempt,
             tier: attempt.tier,
             due: attempt.due,
         };
-        self.gate.admit(&ask).map_err(|refusal| match refusal {
+        self.gate.admit(&request).map_err(|refusal| match refusal {
             Refusal::Full => RefusalReason::Full,
             Refusal::Leaving => RefusalReason::Leaving,
             Refusal::Repeated => RefusalReason::Repeated,
         })
     }
 
-    /// Checks the lease.
-    fn entitled(&self, attempt: &Attempt) -> Result<(), RefusalReason> {
-        self.holding.superseded(attempt.fence);
+    /// Checks that the lease permits the attempt, and applies the fencing token that the
+    /// entry sent.
+    fn check_lease(&self, attempt: &Attempt) -> Result<(), RefusalReason> {
+        self.lease.observe_fence(attempt.fence);
         match (
-            self.holding.right(std::time::Instant::now()),
+            self.lease.permission(std::time::Instant::now()),
             attempt.repeat,
         ) {
-            (Right::All(fence), _) | (Right::Idempotent(fence), Repeat::Allowed) => {
+            (Permission::All(fence), _)
+            | (Permission::Idempotent(fence), Repeat::Allowed) => {
                 self.gate.set_fence(fence);
                 Ok(())
             }
@@ -205,10 +207,11 @@
         }
     }
 
-    /// Runs an attempt up to the head of the endpoint's answer.
+    /// Runs an attempt until the head of the endpoint's response arrives.
     async fn start(&self, attempt: &mut Attempt) -> Result<Relay, Body> {
         let slot = self.admit(attempt).map_err(Body::Refused)?;
-        // The endpoint is told the own number, whatever the entry knows.
+        // The endpoint gets the fencing token of this agent, not the one that the entry
+        // sent.
         attempt.fence = self.gate.load().fence;
         let attempt = &*attempt;
         let started = Instant::now();
@@ -219,31 +222,33 @@
         };
         match sent {
             Ok(Ok(response)) => {
-                self.heed(&response);
+                self.apply_endpoint_state(&response);
                 let gate = self.gate.clone();
-                let most = self.settings.max_answer;
-                Ok(Relay::new(attempt, response, gate, slot, most, started))
+                let max_answer = self.settings.max_answer;
+                Ok(Relay::new(
+                    attempt, response, gate, slot, max_answer, started,
+                ))
             }
             Ok(Err(SendError::Unreachable | SendError::Invalid)) => {
                 Err(Body::Refused(RefusalReason::Unreachable))
             }
-            Ok(Err(lost @ SendError::Lost)) => {
-                self.gate.saw_end(false);
-                Err(Body::Broken(lost.to_string()))
+            Ok(Err(error @ SendError::Lost)) => {
+                self.gate.record_end(false);
+                Err(Body::Broken(error.to_string()))
             }
             Err(_) => Err(Body::Broken("the deadline passed".to_string())),
         }
     }
 
-    /// Heeds an endpoint that says in its answer that it is leaving.
-    fn heed<B>(&self, response: &http::Response<B>) {
+    /// Closes the gate if the endpoint reports in its response that it is leaving.
+    fn apply_endpoint_state<B>(&self, response: &http::Response<B>) {
         let state = response.headers().get(STATE_HEADER);
         if state.is_some_and(|state| state == "leaving") {
-            self.close_gate(Source::Endpoint, true);
+            self.set_leaving(Source::Endpoint, true);
         }
     }
 
-    fn single(&self, attempt: AttemptId, body: Body) -> Bytes {
+    fn single_frame(&self, attempt: AttemptId, body: Body) -> Bytes {
         encode(&Frame {
             attempt,
             seq: 0,
@@ -253,7 +258,7 @@
     }
 }
 
-fn platform(platform: &Platform) -> Box<dyn PlatformList> {
+fn platform_list(platform: &Platform) -> Box<dyn PlatformList> {
     match platform {
         Platform::File(path) => Box::new(FileList { path: path.clone() }),
         Platform::Http { address, path } => {
@@ -264,23 +269,24 @@
 
 fn router(core: &Arc<Core>) -> Router {
     let metrics = core.metrics.clone();
-    let gauges = Arc::clone(core);
+    let gauge_core = Arc::clone(core);
     let ready = Arc::new(move || {
-        let load = gauges.gate.load();
-        gauges.running.set(load.running.into());
-        gauges.limit.set(load.limit.into());
-        let idle = gauges.holding.right(std::time::Instant::now()) == Right::Nothing;
-        !load.leaving && !idle
+        let load = gauge_core.gate.load();
+        gauge_core.running.set(load.running.into());
+        gauge_core.limit.set(load.limit.into());
+        let stopped =
+            gauge_core.lease.permission(std::time::Instant::now()) == Permission::Nothing;
+        !load.leaving && !stopped
     });
     Router::new()
-        .route(ATTEMPT_PATH, post(attempt))
+        .route(ATTEMPT_PATH, post(post_attempt))
         .route("/v1/load", get(load))
-        .layer(DefaultBodyLimit::max(MAX_ATTEMPT))
+        .layer(DefaultBodyLimit::max(MAX_ATTEMPT_BYTES))
         .with_state(Arc::clone(core))
         .merge(health::routes(&core.drain, &metrics, ready))
 }
 
-fn allowed(core: &Core, headers: &HeaderMap) -> bool {
+fn is_authorized(core: &Core, headers: &HeaderMap) -> bool {
     let given = headers.get(http::header::AUTHORIZATION);
     let given = given.and_then(|given| given.as_bytes().strip_prefix(b"Bearer "));
     given.is_some_and(|given| given.ct_eq(core.settings.secret.as_bytes()).into())
@@ -291,89 +297,90 @@
     axum::Json(load).into_response()
 }
 
-async fn attempt(
+async fn post_attempt(
     State(core): State<Arc<Core>>,
     headers: HeaderMap,
     bytes: Bytes,
 ) -> Response {
-    if !allowed(&core, &headers) {
+    if !is_authorized(&core, &headers) {
         let text = "wrong cluster key; set the same cluster_key everywhere\n";
         return (StatusCode::UNAUTHORIZED, text).into_response();
     }
-    let Ok(attempt) = rmp_decode(&bytes) else {
+    let Ok(attempt) = decode_attempt(&bytes) else {
         let text = "unreadable attempt; run one version on both ends\n";
         return (StatusCode::BAD_REQUEST, text).into_response();
     };
     match attempt.repeat {
-        Repeat::Allowed => attached(core, attempt).await,
-        Repeat::Never => detached(core, attempt),
+        Repeat::Allowed => serve_attached(core, attempt).await,
+        Repeat::Never => serve_detached(core, attempt),
     }
 }
 
-fn rmp_decode(bytes: &Bytes) -> Result<Attempt, CodecFault> {
-    dogwoodhill_wire::codec::decode(bytes).map_err(|_| CodecFault)
+fn decode_attempt(bytes: &Bytes) -> Result<Attempt, UndecodableAttempt> {
+    dogwoodhill_wire::codec::decode(bytes).map_err(|_| UndecodableAttempt)
 }
 
-/// The message could not be read.
+/// The message can't be decoded as an [`Attempt`].
 #[derive(Debug)]
-struct CodecFault;
+struct UndecodableAttempt;
 
-/// A request that ends at once when its entry goes away.
-async fn attached(core: Arc<Core>, mut attempt: Attempt) -> Response {
-    let busy = core.drain.enter();
+/// Serves an attempt that is cancelled as soon as its entry disconnects.
+async fn serve_attached(core: Arc<Core>, mut attempt: Attempt) -> Response {
+    let drain_guard = core.drain.enter();
     match core.start(&mut attempt).await {
         Err(body) => {
-            let result = result_of(&body);
+            let result = result_label(&body);
             core.count(&result);
-            let frame = core.single(attempt.attempt, body);
+            let frame = core.single_frame(attempt.attempt, body);
             (StatusCode::OK, frame).into_response()
         }
         Ok(relay) => {
             core.count("started");
-            let pulled = stream::unfold(relay, move |mut relay| {
-                let _held = &busy;
+            let chunks = stream::unfold(relay, move |mut relay| {
+                let _guard = &drain_guard;
                 async move {
                     let bytes = relay.next().await?;
                     Some((Ok::<_, Infallible>(bytes), relay))
                 }
             });
-            HttpBody::from_stream(pulled).into_response()
+            HttpBody::from_stream(chunks).into_response()
         }
     }
 }
 
-/// A request that runs to its end even when its entry goes away.
-fn detached(core: Arc<Core>, mut attempt: Attempt) -> Response {
-    let (out, frames) = mpsc::channel(DETACHED_FRAMES);
-    let busy = core.drain.enter();
+/// Serves an attempt that runs to its end even if its entry disconnects.
+fn serve_detached(core: Arc<Core>, mut attempt: Attempt) -> Response {
+    let (sender, receiver) = mpsc::channel(DETACHED_BUFFER_FRAMES);
+    let drain_guard = core.drain.enter();
     tokio::spawn(async move {
-        run_detached(&core, &mut attempt, &out).await;
-        drop(busy);
+        run_detached(&core, &mut attempt, &sender).await;
+        drop(drain_guard);
     });
-    let pulled = stream::unfold(frames, |mut frames| async move {
-        let bytes = frames.recv().await?;
-        Some((Ok::<_, Infallible>(bytes), frames))
+    let chunks = stream::unfold(receiver, |mut receiver| async move {
+        let bytes = receiver.recv().await?;
+        Some((Ok::<_, Infallible>(bytes), receiver))
     });
-    HttpBody::from_stream(pulled).into_response()
+    HttpBody::from_stream(chunks).into_response()
 }
 
-async fn run_detached(core: &Core, attempt: &mut Attempt, out: &mpsc::Sender<Bytes>) {
+async fn run_detached(core: &Core, attempt: &mut Attempt, sender: &mpsc::Sender<Bytes>) {
     match core.start(attempt).await {
         Err(body) => {
-            core.count(&result_of(&body));
-            let _ = out.send(core.single(attempt.attempt, body)).await;
+            core.count(&result_label(&body));
+            let _ = sender.send(core.single_frame(attempt.attempt, body)).await;
         }
         Ok(mut relay) => {
             core.count("started");
             while let Some(bytes) = relay.next().await {
-                // With the entry gone the answer is still read to its end.
-                let _ = out.send(bytes).await;
+                // A send fails once the entry has disconnected; the response is still
+                // read to its end.
+                let _ = sender.send(bytes).await;
             }
         }
     }
 }
 
-fn result_of(body: &Body) -> String {
+fn result_label(body: &Body) -> String {
     match body {
         Body::Refused(reason) => reason.to_string(),
         _ => "broken".to_string(),
--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -1,11 +1,10 @@
-//! The connection to the endpoint, behind a trait.
+//! Connections to the endpoint, behind the trait [`Endpoint`].
 //!
-//! The only question that matters for the outcome is whether a byte of the
-//! request can have reached the endpoint. [`SendError::Unreachable`] says that
-//! none can: the TCP connection was never made. Everything later is
-//! [`SendError::Lost`]. A non-idempotent request always gets a connection of
-//! its own, because on a kept connection the endpoint may close at the moment
-//! of sending, which would leave its outcome unknown without need.
+//! The outcome of a failed request depends on whether any byte of it can have reached the
+//! endpoint. [`SendError::Unreachable`] means that none can have: no TCP connection was
+//! established. Every later failure is [`SendError::Lost`]. A non-idempotent request
+//! always uses a new connection, because the endpoint may close an idle connection while
+//! the request is being sent, which would make its outcome unknown.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -22,94 +21,94 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 
-/// Header with which the router names an attempt to an endpoint, and in which
-/// engines usually echo it.
+/// Header that carries the attempt id to the endpoint; engines usually echo it in the
+/// response.
 pub const ID_HEADER: &str = "x-request-id";
-/// Header that passes the fencing number on.
+/// Header that carries the fencing token to the endpoint.
 pub const FENCE_HEADER: &str = "x-fence";
-/// Header that passes the tier on.
+/// Header that carries the request's tier to the endpoint.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Longest wait for a connection.
+/// Limit on establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for a load report.
+/// Limit on reading a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest load report.
-const MAX_REPORT: usize = 64 * 1024;
-/// Idle connections kept to the endpoint.
+/// Largest load report that is read.
+const MAX_REPORT_BYTES: usize = 64 * 1024;
+/// Largest number of idle connections in the pool.
 const MAX_IDLE: usize = 512;
-/// How long an idle connection is kept; below the usual keep-alive of servers.
+/// Lifetime of an idle connection, shorter than the usual keep-alive of HTTP servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a request got no answer's head.
+/// Why a request got no response head.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection could be made: no byte reached the endpoint.
-    #[display("the endpoint accepts no connection")]
+    /// No connection was established: no byte reached the endpoint.
+    #[display("could not connect to the endpoint")]
     Unreachable,
-    /// The request itself can't be written as HTTP: nothing was sent.
-    #[display("the request has no valid HTTP form")]
+    /// The request has no valid HTTP form: nothing was sent.
+    #[display("the request cannot be encoded as HTTP")]
     Invalid,
-    /// The connection broke after the request may have been sent.
+    /// The connection failed after part of the request may have been sent.
     #[display("the connection broke before an answer")]
     Lost,
 }
 
-/// The endpoint's own report of its load.
+/// The load report of the endpoint, from its path `/load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct EndpointLoad {
-    /// Requests running.
+    /// Requests that the endpoint is running.
     #[serde(default)]
     pub running: u32,
-    /// Requests waiting inside the endpoint.
+    /// Requests queued inside the endpoint.
     #[serde(default)]
     pub waiting: u32,
-    /// Whether it is being taken out of use.
+    /// Whether the endpoint is being taken out of service.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A call in progress.
-pub type Sending<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+/// The future of a call to the endpoint.
+pub type EndpointFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// An endpoint.
+/// A client of one endpoint.
 pub trait Endpoint: Send + Sync + Debug {
-    /// Sends the request of an attempt and waits for the answer's head.
+    /// Sends the request of an attempt and waits for the response head.
     fn send<'a>(
         &'a self,
         attempt: &'a Attempt,
-    ) -> Sending<'a, Result<Response<Incoming>, SendError>>;
+    ) -> EndpointFuture<'a, Result<Response<Incoming>, SendError>>;
 
-    /// Reads the endpoint's load report, if it gives one.
-    fn load(&self) -> Sending<'_, Option<EndpointLoad>>;
+    /// Reads the endpoint's load report; `None` if it provides none in time.
+    fn load(&self) -> EndpointFuture<'_, Option<EndpointLoad>>;
 }
 
-/// An endpoint behind HTTP/1.
+/// A client of an endpoint that speaks HTTP/1.
 #[derive(Debug)]
 pub struct HttpEndpoint {
     address: SocketAddr,
-    kept: Client<HttpConnector, Full<Bytes>>,
-    single: Client<HttpConnector, Full<Bytes>>,
-    reports: Client<HttpConnector, Empty<Bytes>>,
+    pooled: Client<HttpConnector, Full<Bytes>>,
+    unpooled: Client<HttpConnector, Full<Bytes>>,
+    report_client: Client<HttpConnector, Empty<Bytes>>,
 }
 
 impl HttpEndpoint {
-    /// Makes a client for the endpoint at `address`.
+    /// Creates a client for the endpoint at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            kept: client(MAX_IDLE),
-            single: client(0),
-            reports: Client::builder(TokioExecutor::new()).build(connector()),
+            pooled: client(MAX_IDLE),
+            unpooled: client(0),
+            report_client: Client::builder(TokioExecutor::new()).build(connector()),
         }
     }
 
     fn request(&self, attempt: &Attempt) -> Result<Request<Full<Bytes>>, SendError> {
         let method = Method::from_bytes(attempt.method.as_bytes());
         let method = method.map_err(|_| SendError::Invalid)?;
-        let target = format!("http://{}{}", self.address, attempt.path);
+        let uri = format!("http://{}{}", self.address, attempt.path);
         let mut request = Request::builder()
             .method(method)
-            .uri(target)
+            .uri(uri)
             .body(Full::new(attempt.body.clone()))
             .map_err(|_| SendError::Invalid)?;
         let headers = request.headers_mut();
@@ -123,9 +122,9 @@
     }
 
     async fn get_load(&self) -> Option<EndpointLoad> {
-        let target = format!("http://{}/load", self.address).parse().ok()?;
-        let response = self.reports.get(target).await.ok()?;
-        let body = Limited::new(response.into_body(), MAX_REPORT);
+        let uri = format!("http://{}/load", self.address).parse().ok()?;
+        let response = self.report_client.get(uri).await.ok()?;
+        let body = Limited::new(response.into_body(), MAX_REPORT_BYTES);
         let bytes = body.collect().await.ok()?.to_bytes();
         serde_json::from_slice(&bytes).ok()
     }
@@ -135,12 +134,12 @@
     fn send<'a>(
         &'a self,
         attempt: &'a Attempt,
-    ) -> Sending<'a, Result<Response<Incoming>, SendError>> {
+    ) -> EndpointFuture<'a, Result<Response<Incoming>, SendError>> {
         Box::pin(async move {
             let request = self.request(attempt)?;
             let client = match attempt.repeat {
-                Repeat::Allowed => &self.kept,
-                Repeat::Never => &self.single,
+                Repeat::Allowed => &self.pooled,
+                Repeat::Never => &self.unpooled,
             };
             client.request(request).await.map_err(|error| {
                 if error.is_connect() {
@@ -152,10 +151,10 @@
         })
     }
 
-    fn load(&self) -> Sending<'_, Option<EndpointLoad>> {
+    fn load(&self) -> EndpointFuture<'_, Option<EndpointLoad>> {
         Box::pin(async {
-            let got = tokio::time::timeout(LOAD_TIMEOUT, self.get_load()).await;
-            got.ok().flatten()
+            let report = tokio::time::timeout(LOAD_TIMEOUT, self.get_load()).await;
+            report.ok().flatten()
         })
     }
 }
@@ -167,11 +166,11 @@
     connector
 }
 
-fn client(idle: usize) -> Client<HttpConnector, Full<Bytes>> {
+fn client(max_idle: usize) -> Client<HttpConnector, Full<Bytes>> {
     Client::builder(TokioExecutor::new())
         .timer(TokioTimer::new())
         .pool_timer(TokioTimer::new())
-        .pool_max_idle_per_host(idle)
+        .pool_max_idle_per_host(max_idle)
         .pool_idle_timeout(IDLE_TIMEOUT)
         .retry_canceled_requests(false)
         .build(connector())
--- a/crates/agent/src/events.rs
+++ b/crates/agent/src/events.rs
@@ -1,9 +1,9 @@
-//! Server-sent events of a model engine's streamed answer.
+//! Parsing of the server-sent events of a model engine's streamed response.
 //!
-//! Events are passed on whole, never cut, and the end mark `[DONE]` is held
-//! back: the entry writes it once it knows that the answer is complete. An
-//! event that is no JSON object, that carries an error, or that belongs to
-//! another answer ends the relay.
+//! Only complete events are passed on. The end marker `[DONE]` is withheld: the entry
+//! writes it after it has verified that the answer is complete. An event that is not a
+//! JSON object, that reports an error or that carries the id of another answer ends the
+//! relay.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
@@ -11,34 +11,34 @@
 use serde::de::IgnoredAny;
 use std::borrow::Cow;
 
-/// Largest event.
-pub const MAX_EVENT: usize = 1024 * 1024;
-/// The end mark's data.
+/// Largest event, in bytes.
+pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// Data of the event that marks the end of a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Why a stream can't be passed on.
+/// Why the rest of a stream can't be passed on.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum EventFault {
-    /// An event is larger than [`MAX_EVENT`].
-    #[display("an event is larger than {MAX_EVENT} bytes")]
+pub enum EventError {
+    /// An event is larger than [`MAX_EVENT_BYTES`].
+    #[display("an event is larger than {MAX_EVENT_BYTES} bytes")]
     Oversized,
-    /// An event is not a JSON object.
+    /// The data of an event is not a JSON object.
     #[display("an event is malformed")]
     Malformed,
-    /// The engine reported an error.
+    /// An event carries an error of the engine.
     #[display("the engine reported an error")]
     Engine,
-    /// An event names another answer than those before it.
+    /// An event carries another id than those before it.
     #[display("an event belongs to another answer")]
-    Crossed,
-    /// Something followed the end mark.
+    ForeignEvent,
+    /// An event with data followed the end marker.
     #[display("data followed the end mark")]
     AfterEnd,
 }
 
-/// What the router reads of an event.
+/// The fields of an event's data that the agent reads.
 #[derive(Deserialize)]
-struct Known<'a> {
+struct EventData<'a> {
     #[serde(borrow, default)]
     id: Option<Cow<'a, str>>,
     #[serde(default)]
@@ -47,7 +47,7 @@
     choices: Vec<IgnoredAny>,
 }
 
-/// Splits a stream into whole events and checks them.
+/// Splits a byte stream into complete events and checks each of them.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: BytesMut,
@@ -57,64 +57,64 @@
 }
 
 impl EventReader {
-    /// Whether the end mark arrived with nothing after it.
+    /// Returns whether the end marker arrived with only whitespace after it.
     pub fn complete(&self) -> bool {
         self.done && self.buffer.iter().all(u8::is_ascii_whitespace)
     }
 
-    /// Events with tokens so far. Engines send one token in each.
+    /// Returns the number of events with choices so far. Engines send one token in each.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Takes bytes in and returns the whole events that may be passed on,
-    /// with the number of tokens they carry.
+    /// Appends `bytes` to the buffer and returns all events in it that are complete and
+    /// may be passed on.
     ///
     /// # Errors
     ///
-    /// [`EventFault`] where the stream can't be passed on further.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventFault> {
+    /// [`EventError`] if the rest of the stream can't be passed on.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventError> {
         self.buffer.extend_from_slice(bytes);
-        let mut passed = BytesMut::new();
+        let mut output = BytesMut::new();
         while let Some(end) = event_end(&self.buffer) {
             let event = self.buffer.split_to(end);
-            if self.check(&event)? {
-                passed.extend_from_slice(&event);
+            if self.check_event(&event)? {
+                output.extend_from_slice(&event);
             }
         }
-        if self.buffer.len() > MAX_EVENT {
-            return Err(EventFault::Oversized);
+        if self.buffer.len() > MAX_EVENT_BYTES {
+            return Err(EventError::Oversized);
         }
-        Ok(passed.freeze())
+        Ok(output.freeze())
     }
 
-    /// Checks one event; whether it is passed on.
-    fn check(&mut self, event: &[u8]) -> Result<bool, EventFault> {
+    /// Checks one event and returns whether to pass it on.
+    fn check_event(&mut self, event: &[u8]) -> Result<bool, EventError> {
         let Some(data) = data_of(event) else {
             return Ok(true);
         };
         if self.done {
-            return Err(EventFault::AfterEnd);
+            return Err(EventError::AfterEnd);
         }
         if data == DONE {
             self.done = true;
             return Ok(false);
         }
-        let known: Known<'_> =
-            serde_json::from_slice(data).map_err(|_| EventFault::Malformed)?;
-        if known.error.is_some() {
-            return Err(EventFault::Engine);
+        let parsed: EventData<'_> =
+            serde_json::from_slice(data).map_err(|_| EventError::Malformed)?;
+        if parsed.error.is_some() {
+            return Err(EventError::Engine);
         }
-        self.own(known.id.as_deref())?;
-        if !known.choices.is_empty() {
+        self.check_id(parsed.id.as_deref())?;
+        if !parsed.choices.is_empty() {
             self.tokens += 1;
         }
         Ok(true)
     }
 
-    fn own(&mut self, id: Option<&str>) -> Result<(), EventFault> {
+    fn check_id(&mut self, id: Option<&str>) -> Result<(), EventError> {
         match (&self.id, id) {
-            (Some(own), Some(id)) if own != id => Err(EventFault::Crossed),
+            (Some(expected), Some(id)) if expected != id => Err(EventError::ForeignEvent),
             (None, Some(id)) => {
                 self.id = Some(id.to_string());
                 Ok(())
@@ -124,7 +124,7 @@
     }
 }
 
-/// Where the first event of `buffer` ends, its empty line included.
+/// Returns the offset behind the first event of `buffer`, including its empty line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(at) = buffer[start..].iter().position(|b| *b == b'\n') {
@@ -138,7 +138,7 @@
     None
 }
 
-/// The data of an event of one data line; `None` for comments and the like.
+/// Returns the first data line of an event; `None` if it has none, such as a comment.
 fn data_of(event: &[u8]) -> Option<&[u8]> {
     event
         .split(|b| *b == b'\n')
--- a/crates/agent/src/lease.rs
+++ b/crates/agent/src/lease.rs
@@ -1,19 +1,17 @@
 //! The agent's lease of its endpoint.
 //!
-//! Two agents of one endpoint, an old one back from a long pause and its
-//! replacement, must not both start work. The lease decides between them:
+//! Two agents of one endpoint, for example an old one that resumes after a long pause and
+//! its replacement, must not both start requests. The lease decides which one may:
 //!
-//! * before it was held once, and after it went to another agent, nothing is
-//!   started;
-//! * when it ran out because no control instance answers, idempotent requests
-//!   are still started, so that losing control does not stop traffic, but no
-//!   non-idempotent one is, nor any order passed on;
-//! * its fencing number goes with what is sent to the endpoint, for endpoints
-//!   that check it.
+//! * Before the lease was first held, and after another agent has acquired it, nothing is
+//!   started.
+//! * When it expires because no control instance answers, idempotent requests are still
+//!   started, so that an outage of the control instances does not stop traffic.
+//!   Non-idempotent requests are not started.
+//! * Its fencing token is sent with each request, for endpoints that check it.
 //!
-//! The lease is counted from before the request for it was sent, on the
-//! monotonic clock, so this agent never believes in it longer than the
-//! control instances do.
+//! The lease runs from the time before its request was sent, on the monotonic clock, so
+//! it ends at the agent no later than at the control instances.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::control::{Acquire, LEASE_PATH, LeaseReply};
@@ -21,86 +19,88 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// Renewals in the length of a lease.
-const RENEWALS: u32 = 3;
-/// Pause before a lease is asked for again that no control instance answered
-/// for.
-const MIN_PAUSE: Duration = Duration::from_millis(100);
-/// Pause before a lease is asked for again that another agent holds. Short,
-/// because a drained agent gives its lease back long before it would end.
-const HELD_PAUSE: Duration = Duration::from_millis(500);
+/// Renewals within the duration of one lease.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Pause before the next request if no control instance answered.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause before the next request while another agent holds the lease. Short,
+/// because a drained agent releases its lease long before it expires.
+const MAX_HELD_PAUSE: Duration = Duration::from_millis(500);
 
-/// What the agent may start.
+/// Which requests the agent may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Right {
-    /// Anything, under this fencing number.
+pub enum Permission {
+    /// All requests, under this fencing token.
     All(Fence),
-    /// Idempotent requests only: the lease could not be renewed.
+    /// Only idempotent requests: the lease with this fencing token expired without
+    /// renewal.
     Idempotent(Fence),
-    /// Nothing: another agent holds the lease, or none was ever held here.
+    /// None: another agent holds the lease, or this agent has never held it.
     Nothing,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// No control instances: nobody else can be given the endpoint.
-    Alone,
-    Never,
+    /// No control instances are configured, so no other agent can hold the endpoint.
+    Unmanaged,
+    NeverHeld,
     Held {
         fence: Fence,
-        until: Instant,
+        expires: Instant,
     },
     Lost,
 }
 
-/// The lease as the agent knows it. Clones share it.
+/// The agent's view of its lease. Clones share the same state.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct EndpointLease {
     state: Arc<Mutex<State>>,
 }
 
-impl Holding {
-    /// An agent without control instances.
-    pub fn alone() -> Self {
+impl EndpointLease {
+    /// For an agent without control instances: everything is permitted, under fencing
+    /// token 0.
+    pub fn unmanaged() -> Self {
         Self {
-            state: Arc::new(Mutex::new(State::Alone)),
+            state: Arc::new(Mutex::new(State::Unmanaged)),
         }
     }
 
-    /// An agent that still has to get its lease.
-    pub fn wanted() -> Self {
+    /// For an agent that has not acquired its lease yet.
+    pub fn unacquired() -> Self {
         Self {
-            state: Arc::new(Mutex::new(State::Never)),
+            state: Arc::new(Mutex::new(State::NeverHeld)),
         }
     }
 
-    /// What may be started at `now`.
-    pub fn right(&self, now: Instant) -> Right {
+    /// Returns which requests may start at `now`.
+    pub fn permission(&self, now: Instant) -> Permission {
         match *self.lock() {
-            State::Alone => Right::All(0),
-            State::Held { fence, until } if now < until => Right::All(fence),
-            State::Held { fence, .. } => Right::Idempotent(fence),
-            State::Never | State::Lost => Right::Nothing,
+            State::Unmanaged => Permission::All(0),
+            State::Held { fence, expires } if now < expires => Permission::All(fence),
+            State::Held { fence, .. } => Permission::Idempotent(fence),
+            State::NeverHeld | State::Lost => Permission::Nothing,
         }
     }
 
-    /// Takes in an answer to a request that was sent at `sent`.
-    pub fn heed(&self, sent: Instant, lasting: Duration, lease: &LeaseReply) {
+    /// Applies the reply to a lease request that was sent at `sent`.
+    pub fn apply_reply(&self, sent: Instant, duration: Duration, reply: &LeaseReply) {
         let mut state = self.lock();
-        *state = match lease {
+        *state = match reply {
             LeaseReply::Held(fence) => State::Held {
                 fence: *fence,
-                until: sent + lasting,
+                expires: sent + duration,
             },
             LeaseReply::Other(_) => match *state {
-                State::Never => State::Never,
+                State::NeverHeld => State::NeverHeld,
                 _ => State::Lost,
             },
         };
     }
 
-    /// An entry knows a higher fencing number: another agent has the lease.
-    pub fn superseded(&self, fence: Fence) {
+    /// Applies a fencing token that an entry sent: a higher one than its own shows that
+    /// another agent has acquired the lease.
+    pub fn observe_fence(&self, fence: Fence) {
         let mut state = self.lock();
         if let State::Held { fence: own, .. } = *state
             && fence > own
@@ -110,39 +110,46 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // The state is a plain value, valid even if a holder panicked.
+        // The state is a plain value and stays valid if a thread panicked while holding
+        // the lock.
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// Keeps asking for the lease and renewing it.
-pub async fn keep(holding: Holding, set: ControlClient, acquire: Acquire) {
-    let lasting = acquire.duration;
+/// Acquires the lease and renews it until the task is aborted.
+pub async fn maintain(lease: EndpointLease, client: ControlClient, acquire: Acquire) {
+    let duration = acquire.duration;
     loop {
         let sent = Instant::now();
-        let asked = set.call(LEASE_PATH, &acquire, lasting / RENEWALS).await;
-        let pause = match &asked {
-            Ok(lease) => {
-                holding.heed(sent, lasting, lease);
-                match lease {
-                    LeaseReply::Held(_) => lasting / RENEWALS,
-                    LeaseReply::Other(left) => (*left).clamp(MIN_PAUSE, HELD_PAUSE),
+        let result = client
+            .call(LEASE_PATH, &acquire, duration / RENEWALS_PER_LEASE)
+            .await;
+        let pause = match &result {
+            Ok(reply) => {
+                lease.apply_reply(sent, duration, reply);
+                match reply {
+                    LeaseReply::Held(_) => duration / RENEWALS_PER_LEASE,
+                    LeaseReply::Other(remaining) => {
+                        (*remaining).clamp(RETRY_PAUSE, MAX_HELD_PAUSE)
+                    }
                 }
             }
-            Err(_) => MIN_PAUSE,
+            Err(_) => RETRY_PAUSE,
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Gives the lease back, so that a replacement need not wait it out.
-pub async fn give_back(set: &ControlClient, acquire: &Acquire) {
-    const WITHIN: Duration = Duration::from_secs(2);
-    let ended = Acquire {
+/// Releases the lease, so that a replacement need not wait for it to expire.
+pub async fn release(client: &ControlClient, acquire: &Acquire) {
+    const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+    let request = Acquire {
         duration: Duration::ZERO,
         ..acquire.clone()
     };
-    let _ = set.call::<_, LeaseReply>(LEASE_PATH, &ended, WITHIN).await;
+    let _ = client
+        .call::<_, LeaseReply>(LEASE_PATH, &request, RELEASE_TIMEOUT)
+        .await;
 }
--- a/crates/agent/src/leaving.rs
+++ b/crates/agent/src/leaving.rs
@@ -1,41 +1,41 @@
-//! The four sources that can say that an endpoint is leaving.
+//! The four sources that can mark an endpoint as leaving.
 //!
-//! Whichever speaks first closes the gate: the platform's list, the service
-//! document, the agent's own drain, or the endpoint itself. The gate opens
-//! again only when none of them says so any more.
+//! The platform's list, the service document, the agent's own drain and the endpoint
+//! itself each set a flag. The gate closes as soon as one flag is set and reopens only
+//! when all of them are clear.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Who said that the endpoint is leaving.
+/// One flag for each source that can mark the endpoint as leaving.
 #[derive(Debug, Default)]
-pub struct Sources {
+pub struct LeavingFlags {
     platform: AtomicBool,
     document: AtomicBool,
     agent: AtomicBool,
     endpoint: AtomicBool,
 }
 
-/// One of the sources.
+/// A source of the leaving state. The name of the variant is written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's list.
+    /// The platform's list of instances.
     Platform,
-    /// The service document.
+    /// The service document: the endpoint is not listed or is listed as leaving.
     Document,
-    /// The agent, because it is draining.
+    /// The agent itself, while it drains.
     Agent,
-    /// The endpoint's own answers or reports.
+    /// The endpoint, in its answers or load reports.
     Endpoint,
 }
 
-impl Sources {
-    /// Notes what a source says.
-    pub fn say(&self, source: Source, leaving: bool) {
+impl LeavingFlags {
+    /// Sets or clears the flag of `source`.
+    pub fn set(&self, source: Source, leaving: bool) {
         self.flag(source).store(leaving, Ordering::Release);
     }
 
-    /// Whether any source says that the endpoint is leaving.
-    pub fn leaving(&self) -> bool {
+    /// Returns whether any source marks the endpoint as leaving.
+    pub fn is_leaving(&self) -> bool {
         let all = [
             Source::Platform,
             Source::Document,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,14 +1,14 @@
-//! The daemon beside one endpoint.
+//! The agent: the daemon that runs beside one endpoint.
 //!
-//! An entry guesses how loaded an endpoint is; the agent knows, because every
-//! request to the endpoint passes through it. It starts a request or refuses
-//! it at once ([`dogwoodhill_policy::gate`]), relays the answer as frames
-//! that prove it whole ([`relay`]), and says `not-run` only where the
-//! endpoint's connection was never opened ([`endpoint`]). Load rides on the
-//! answers, so no polling by entries is needed.
+//! Entries only estimate the load of an endpoint; the agent measures it, because every
+//! request to the endpoint passes through it. The agent starts a request or refuses it
+//! immediately ([`dogwoodhill_policy::gate`]), relays the answer as frames from which the
+//! entry can verify completeness ([`relay`]), and reports `not-run` only if no connection
+//! to the endpoint was opened ([`endpoint`]). Load reports are carried in the answers, so
+//! entries need not poll.
 //!
-//! The slot that a request takes is a guard ([`slot`]): it is given back
-//! however the request ends, also when the entry disconnects.
+//! A started request holds a [`slot::Slot`] guard, which frees the slot however the
+//! request ends, including when the entry disconnects.
 
 pub mod agent;
 pub mod endpoint;
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -1,9 +1,9 @@
-//! From the endpoint's answer to frames.
+//! Conversion of an endpoint's response into frames for the entry.
 //!
-//! The relay is pulled by the entry's reading: it reads on from the endpoint
-//! only when the last frame was taken, so a slow reader slows its own stream
-//! and nothing is held for it beyond one read. Dropping the relay closes the
-//! endpoint's connection, which cancels the request there.
+//! The entry's reads drive the relay: it reads from the endpoint only after the previous
+//! frames have been taken. A slow reader slows down only its own stream, and no more than
+//! one read is buffered for it. Dropping the relay closes the connection to the endpoint,
+//! which cancels the request there.
 
 use crate::endpoint::ID_HEADER;
 use crate::events::EventReader;
@@ -20,38 +20,38 @@
 use std::collections::VecDeque;
 use tokio::time::{Instant, timeout_at};
 
-/// How the endpoint's body has to be read.
+/// How to interpret the endpoint's response body.
 #[derive(Debug)]
-enum Mode {
-    /// Server-sent events of a model.
+enum BodyFormat {
+    /// Server-sent events of a model engine.
     Events(EventReader),
-    /// One JSON object of a model, held until it is whole.
-    Whole(BytesMut),
-    /// Bytes of a plain service.
+    /// One JSON object of a model engine, buffered until it is complete.
+    Buffered(BytesMut),
+    /// Opaque bytes of a plain service.
     Plain,
 }
 
-/// One attempt's answer on its way to the entry.
+/// The response to one attempt while it is sent to the entry.
 #[derive(Debug)]
 pub struct Relay {
     attempt: AttemptId,
-    gap: Option<Duration>,
+    max_gap: Option<Duration>,
     gate: SharedGate,
     slot: Option<Slot>,
-    source: Option<Incoming>,
-    mode: Mode,
-    ready: VecDeque<Frame>,
+    endpoint_body: Option<Incoming>,
+    format: BodyFormat,
+    pending: VecDeque<Frame>,
     seq: u32,
     bytes: u64,
-    most: usize,
+    max_answer: usize,
     deadline: Instant,
     started: Instant,
     last: Option<Instant>,
 }
 
-/// What of a whole model answer the router reads.
+/// The fields of a complete model response that the agent reads.
 #[derive(Deserialize)]
-struct Whole {
+struct ModelResponse {
     #[serde(default)]
     usage: Usage,
     #[serde(default, rename = "error")]
@@ -64,54 +64,55 @@
     completion_tokens: u32,
 }
 
-/// One reading step's result.
-enum Step {
+/// The result of one read from the endpoint.
+enum ReadResult {
     Data(Bytes),
     End,
-    Late,
-    Lost,
+    DeadlinePassed,
+    ConnectionLost,
 }
 
 impl Relay {
-    /// Relays `response` as the answer to `attempt`.
+    /// Creates the relay of `response`, the response to `attempt`. A model response of
+    /// more than `max_answer` bytes that is not an event stream ends it.
     pub fn new(
         attempt: &Attempt,
         response: Response<Incoming>,
         gate: SharedGate,
         slot: Slot,
-        most: usize,
+        max_answer: usize,
         started: Instant,
     ) -> Self {
         let deadline = match attempt.repeat {
             Repeat::Allowed => started + attempt.remaining,
-            // A non-idempotent request is left to finish: cutting it off
-            // would only turn a known outcome into an unknown one.
-            Repeat::Never => started + attempt.remaining.max(UNREPEATED),
+            // A non-idempotent request is left to finish: a cut-off would turn a known
+            // outcome into an unknown one.
+            Repeat::Never => started + attempt.remaining.max(MIN_NON_IDEMPOTENT_TIMEOUT),
         };
         let (head, body) = response.into_parts();
         let events = head.status.is_success() && is_events(&head.headers);
-        let mode = match attempt.kind {
-            Kind::Model if events => Mode::Events(EventReader::default()),
-            Kind::Model => Mode::Whole(BytesMut::new()),
-            Kind::Plain => Mode::Plain,
+        let format = match attempt.kind {
+            Kind::Model if events => BodyFormat::Events(EventReader::default()),
+            Kind::Model => BodyFormat::Buffered(BytesMut::new()),
+            Kind::Plain => BodyFormat::Plain,
         };
         let mut relay = Self {
             attempt: attempt.attempt,
-            gap: attempt.gap,
+            max_gap: attempt.gap,
             gate,
             slot: Some(slot),
-            source: Some(body),
-            mode,
-            ready: VecDeque::new(),
+            endpoint_body: Some(body),
+            format,
+            pending: VecDeque::new(),
             seq: 0,
             bytes: 0,
-            most,
+            max_answer,
             deadline,
             started,
             last: None,
         };
-        if crossed(attempt, &head.headers) {
-            relay.broken("the answer belongs to another request");
+        if has_foreign_id(attempt, &head.headers) {
+            relay.fail("the answer belongs to another request");
         } else {
             let status = head.status.as_u16();
             let headers = end_to_end(&head.headers);
@@ -120,138 +121,144 @@
         relay
     }
 
-    /// The next frame, encoded; `None` after the last.
+    /// Returns the next frames, encoded; `None` after the last.
     pub async fn next(&mut self) -> Option<Bytes> {
-        while self.ready.is_empty() {
-            self.source.as_ref()?;
+        while self.pending.is_empty() {
+            self.endpoint_body.as_ref()?;
             match self.read().await {
-                Step::Data(data) => self.data(&data),
-                Step::End => self.end(),
-                Step::Late => self.stop("the deadline passed"),
-                Step::Lost => self.broken("the endpoint broke off"),
+                ReadResult::Data(data) => self.on_data(&data),
+                ReadResult::End => self.on_end(),
+                ReadResult::DeadlinePassed => self.terminate("the deadline passed"),
+                ReadResult::ConnectionLost => self.fail("the endpoint broke off"),
             }
         }
-        // Whatever is ready goes out in one piece: the first frames of a
-        // short answer share one write.
+        // All pending frames are returned together, so the first frames of a short
+        // response share one write.
         let mut out = BytesMut::new();
-        while let Some(frame) = self.ready.pop_front() {
+        while let Some(frame) = self.pending.pop_front() {
             out.extend_from_slice(&encode(&frame));
         }
         Some(out.freeze())
     }
 
-    async fn read(&mut self) -> Step {
-        let Some(source) = &mut self.source else {
-            return Step::End;
+    async fn read(&mut self) -> ReadResult {
+        let Some(endpoint_body) = &mut self.endpoint_body else {
+            return ReadResult::End;
         };
-        match timeout_at(self.deadline, source.frame()).await {
-            Err(_) => Step::Late,
-            Ok(None) => Step::End,
-            Ok(Some(Err(_))) => Step::Lost,
-            Ok(Some(Ok(frame))) => Step::Data(frame.into_data().unwrap_or_default()),
+        match timeout_at(self.deadline, endpoint_body.frame()).await {
+            Err(_) => ReadResult::DeadlinePassed,
+            Ok(None) => ReadResult::End,
+            Ok(Some(Err(_))) => ReadResult::ConnectionLost,
+            Ok(Some(Ok(frame))) => {
+                ReadResult::Data(frame.into_data().unwrap_or_default())
+            }
         }
     }
 
-    fn data(&mut self, data: &Bytes) {
-        match &mut self.mode {
-            Mode::Plain => {
+    fn on_data(&mut self, data: &Bytes) {
+        match &mut self.format {
+            BodyFormat::Plain => {
                 let data = data.clone();
-                self.timed(1);
-                self.chunk(data);
+                self.record_tokens(1);
+                self.push_chunk(data);
             }
-            Mode::Whole(held) => {
-                held.extend_from_slice(data);
-                if held.len() > self.most {
-                    let cause = format!("the answer is larger than {} bytes", self.most);
-                    self.broken(&cause);
+            BodyFormat::Buffered(buffer) => {
+                buffer.extend_from_slice(data);
+                if buffer.len() > self.max_answer {
+                    let reason =
+                        format!("the answer is larger than {} bytes", self.max_answer);
+                    self.fail(&reason);
                 }
             }
-            Mode::Events(events) => {
+            BodyFormat::Events(events) => {
                 let before = events.tokens();
                 match events.feed(data) {
-                    Ok(passed) => {
+                    Ok(checked) => {
                         let tokens = events.tokens() - before;
-                        self.timed(tokens);
-                        self.chunk(passed);
+                        self.record_tokens(tokens);
+                        self.push_chunk(checked);
                     }
-                    Err(fault) => self.broken(&fault.to_string()),
+                    Err(error) => self.fail(&error.to_string()),
                 }
             }
         }
     }
 
-    fn end(&mut self) {
-        match &mut self.mode {
-            Mode::Plain => self.whole(0),
-            Mode::Events(events) => {
+    fn on_end(&mut self) {
+        match &mut self.format {
+            BodyFormat::Plain => self.complete(0),
+            BodyFormat::Events(events) => {
                 let tokens = events.tokens();
                 if events.complete() {
-                    self.whole(tokens);
+                    self.complete(tokens);
                 } else {
-                    self.broken("the stream ended without its end mark");
+                    self.fail("the stream ended without its end mark");
                 }
             }
-            Mode::Whole(held) => {
-                let held = held.split().freeze();
-                match serde_json::from_slice::<Whole>(&held) {
+            BodyFormat::Buffered(buffer) => {
+                let buffer = buffer.split().freeze();
+                match serde_json::from_slice::<ModelResponse>(&buffer) {
                     Ok(answer) => {
-                        self.timed(1);
-                        self.chunk(held);
-                        self.whole(answer.usage.completion_tokens);
+                        self.record_tokens(1);
+                        self.push_chunk(buffer);
+                        self.complete(answer.usage.completion_tokens);
                     }
-                    Err(_) => self.broken("the answer is not a JSON object"),
+                    Err(_) => self.fail("the answer is not a JSON object"),
                 }
             }
         }
     }
 
-    /// Takes the time of `tokens` tokens that arrived together.
-    fn timed(&mut self, tokens: u32) {
+    /// Records the arrival of `tokens` tokens that were read together.
+    fn record_tokens(&mut self, tokens: u32) {
         if tokens == 0 {
             return;
         }
         let now = Instant::now();
         match self.last.replace(now) {
-            None => self.gate.saw_first(now - self.started),
-            Some(last) => self.gate.saw_gap((now - last) / tokens, self.gap),
+            None => self.gate.record_first_token(now - self.started),
+            Some(last) => self
+                .gate
+                .record_token_gap((now - last) / tokens, self.max_gap),
         }
     }
 
-    fn chunk(&mut self, data: Bytes) {
+    fn push_chunk(&mut self, data: Bytes) {
         if !data.is_empty() {
             self.bytes += data.len() as u64;
             self.push(Body::Chunk(data));
         }
     }
 
-    fn whole(&mut self, tokens: u32) {
+    fn complete(&mut self, tokens: u32) {
         let bytes = self.bytes;
-        self.gate.saw_end(true);
-        self.close();
+        self.gate.record_end(true);
+        self.release();
         self.push(Body::End { bytes, tokens });
     }
 
-    /// Ends an answer that the endpoint did not give whole.
-    fn broken(&mut self, cause: &str) {
-        self.gate.saw_end(false);
-        self.stop(cause);
+    /// Ends a response that the endpoint did not complete, and counts it as broken.
+    fn fail(&mut self, reason: &str) {
+        self.gate.record_end(false);
+        self.terminate(reason);
     }
 
-    fn stop(&mut self, cause: &str) {
-        self.close();
-        self.push(Body::Broken(cause.to_string()));
+    fn terminate(&mut self, reason: &str) {
+        self.release();
+        self.push(Body::Broken(reason.to_string()));
     }
 
-    /// Gives the slot back first, so that the last frame's load tells of the
-    /// free place.
-    fn close(&mut self) {
-        self.source = None;
+    /// Frees the slot before the last frame is built, so that the load report in that
+    /// frame already includes the free slot.
+    fn release(&mut self) {
+        self.endpoint_body = None;
         self.slot = None;
     }
 
     fn push(&mut self, body: Body) {
-        let ends = matches!(body, Body::Head { .. } | Body::End { .. } | Body::Broken(_));
-        let load = ends.then(|| self.gate.load());
+        let with_load =
+            matches!(body, Body::Head { .. } | Body::End { .. } | Body::Broken(_));
+        let load = with_load.then(|| self.gate.load());
         let frame = Frame {
             attempt: self.attempt,
             seq: self.seq,
@@ -259,13 +266,13 @@
             body,
         };
         self.seq += 1;
-        self.ready.push_back(frame);
+        self.pending.push_back(frame);
     }
 }
 
-/// Longest time a non-idempotent request is waited for, whatever time its
-/// caller had left.
-const UNREPEATED: Duration = Duration::from_secs(600);
+/// Shortest time that a non-idempotent request is given, however little time its caller
+/// had left.
+const MIN_NON_IDEMPOTENT_TIMEOUT: Duration = Duration::from_secs(600);
 
 fn is_events(headers: &http::HeaderMap) -> bool {
     let kind = headers.get(http::header::CONTENT_TYPE);
@@ -273,8 +280,8 @@
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// Whether the endpoint says that its answer is to another request.
-fn crossed(attempt: &Attempt, headers: &http::HeaderMap) -> bool {
+/// Returns whether the response carries the id of another request.
+fn has_foreign_id(attempt: &Attempt, headers: &http::HeaderMap) -> bool {
     let id = headers.get(ID_HEADER).and_then(|id| id.to_str().ok());
     id.is_some_and(|id| id != format!("{:032x}", attempt.attempt))
 }
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -1,5 +1,5 @@
-//! The gate of one endpoint, shared between requests, and the slot a started
-//! request holds.
+//! The admission gate of one endpoint, shared between requests, and the guard of a
+//! started request.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::Moment;
@@ -9,58 +9,58 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// A gate with the clock it is driven by. Clones share it.
+/// A gate and the monotonic clock that drives it. Clones share the same gate.
 #[derive(Clone, Debug)]
 pub struct SharedGate {
     gate: Arc<Mutex<Gate>>,
-    known: Arc<Known>,
+    control: Arc<ControlState>,
     start: Instant,
 }
 
-/// What the agent knows from the control instances.
+/// Values from the control instances that load reports repeat.
 #[derive(Debug, Default)]
-struct Known {
+struct ControlState {
     fence: AtomicU64,
     revision: AtomicU64,
 }
 
 impl SharedGate {
-    /// Shares `gate`, with a clock that starts now.
+    /// Wraps `gate`; its clock starts now.
     pub fn new(gate: Gate) -> Self {
         Self {
             gate: Arc::new(Mutex::new(gate)),
-            known: Arc::default(),
+            control: Arc::default(),
             start: Instant::now(),
         }
     }
 
-    /// Decides on a request.
+    /// Admits a request and returns the guard of its slot.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] where it does not start.
-    pub fn admit(&self, ask: &AdmissionRequest) -> Result<Slot, Refusal> {
+    /// [`Refusal`] if the request must not start.
+    pub fn admit(&self, request: &AdmissionRequest) -> Result<Slot, Refusal> {
         let now = self.start.elapsed();
-        self.lock().admit(now, ask)?;
+        self.lock().admit(now, request)?;
         Ok(Slot { gate: self.clone() })
     }
 
-    /// Sets the fencing number that load reports carry.
+    /// Sets the fencing token that load reports carry.
     pub fn set_fence(&self, fence: Fence) {
-        self.known.fence.store(fence, Ordering::Relaxed);
+        self.control.fence.store(fence, Ordering::Relaxed);
     }
 
-    /// Sets the revision that load reports carry.
+    /// Sets the document revision that load reports carry.
     pub fn set_revision(&self, revision: Revision) {
-        self.known.revision.store(revision, Ordering::Relaxed);
+        self.control.revision.store(revision, Ordering::Relaxed);
     }
 
-    /// Sets whether new work is refused.
-    pub fn leave(&self, leaving: bool) {
+    /// Sets whether the endpoint is leaving; a leaving endpoint refuses new requests.
+    pub fn set_leaving(&self, leaving: bool) {
         self.lock().set_leaving(leaving);
     }
 
-    /// The load as it is now.
+    /// Returns a snapshot of the load for a report.
     pub fn load(&self) -> Load {
         let now = self.start.elapsed();
         let gate = self.lock();
@@ -71,48 +71,48 @@
             gap_us: gate.token_gap().as_micros() as u32,
             first_us: gate.first().as_micros() as u32,
             leaving: gate.leaving(),
-            fence: self.known.fence.load(Ordering::Relaxed),
-            revision: self.known.revision.load(Ordering::Relaxed),
+            fence: self.control.fence.load(Ordering::Relaxed),
+            revision: self.control.revision.load(Ordering::Relaxed),
         }
     }
 
-    /// Notes the time to a first token.
-    pub fn saw_first(&self, first: Moment) {
+    /// Records the time from the start of a request to its first token.
+    pub fn record_first_token(&self, first: Moment) {
         self.lock().record_first_token(first);
     }
 
-    /// Notes how an answer ended at the endpoint's side.
-    pub fn saw_end(&self, whole: bool) {
+    /// Records whether an answer of the endpoint was complete or broke off.
+    pub fn record_end(&self, complete: bool) {
         let now = self.start.elapsed();
         let mut gate = self.lock();
-        match whole {
+        match complete {
             true => gate.record_complete(),
             false => gate.record_broken(now),
         }
     }
 
-    /// Notes the endpoint's own report.
-    pub fn saw_report(&self, running: u32, waiting: u32) {
+    /// Records the running and waiting counts that the endpoint itself reports.
+    pub fn record_report(&self, running: u32, waiting: u32) {
         let now = self.start.elapsed();
         self.lock().record_report(now, running, waiting);
     }
 
-    /// Notes a token gap, and the gap the class allows.
-    pub fn saw_gap(&self, gap: Moment, allowed: Option<Moment>) {
+    /// Records a gap between tokens and the largest gap that the request's class allows.
+    pub fn record_token_gap(&self, gap: Moment, allowed: Option<Moment>) {
         let now = self.start.elapsed();
         self.lock().record_token_gap(now, gap, allowed);
     }
 
     fn lock(&self) -> MutexGuard<'_, Gate> {
-        // A panic while the lock is held would be a bug in the gate; its
-        // state stays a valid count, so serving on is the better choice.
+        // A panic while the lock is held would be a bug in the gate. Its counts remain
+        // valid, so the agent keeps serving.
         self.gate
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// A started request's place at the endpoint; its drop gives it back.
+/// The concurrency slot of a started request; dropping it frees the slot.
 #[derive(Debug)]
 pub struct Slot {
     gate: SharedGate,
--- a/crates/agent/src/watch.rs
+++ b/crates/agent/src/watch.rs
@@ -1,8 +1,8 @@
-//! What an agent follows: its document and lease at the control instances,
-//! the platform's list, the endpoint's reports, and its own drain.
+//! Background tasks of the agent: document and lease at the control instances, the
+//! platform's list, the endpoint's load reports, and the agent's own drain.
 
 use crate::agent::Core;
-use crate::lease::{give_back, keep};
+use crate::lease::{maintain, release};
 use crate::leaving::Source;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::platform::PlatformList;
@@ -14,103 +14,113 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What the agent does with the control instances.
-pub(crate) struct Following {
-    set: ControlClient,
+/// The tasks that talk to the control instances: one renews the lease, the other watches
+/// the service document.
+pub(crate) struct ControlTasks {
+    client: ControlClient,
     acquire: Acquire,
     tasks: [tokio::task::JoinHandle<()>; 2],
 }
 
-impl Following {
-    /// Starts where control instances are named.
+impl ControlTasks {
+    /// Starts the tasks; `None` if no control instances are configured.
     pub(crate) fn start(core: &Arc<Core>) -> Option<Self> {
         let settings = &core.settings;
         if settings.control.is_empty() {
             return None;
         }
-        let client = PeerClient::new(settings.secret.clone());
+        let peer_client = PeerClient::new(settings.secret.clone());
         let jitter_seed: u64 = rand::rng().random();
         let addresses = settings.control.clone();
-        let set =
-            ControlClient::new(client.clone(), addresses.clone(), jitter_seed as usize);
+        let client = ControlClient::new(
+            peer_client.clone(),
+            addresses.clone(),
+            jitter_seed as usize,
+        );
         let acquire = Acquire {
             service: settings.service.clone(),
             endpoint: settings.endpoint.clone(),
             holder: rand::rng().random(),
-            duration: settings.lease,
+            duration: settings.lease_duration,
         };
-        let follower = DocumentWatcher {
+        let watcher = DocumentWatcher {
             daemon: settings.endpoint.clone(),
             entry: false,
             service: Some(settings.service.clone()),
             control: addresses,
-            client,
+            client: peer_client,
             jitter_seed,
             newest: watch::Sender::new(0).subscribe(),
         };
-        let heeding = Arc::clone(core);
+        let applied_core = Arc::clone(core);
         let tasks = [
-            tokio::spawn(keep(core.holding.clone(), set.clone(), acquire.clone())),
+            tokio::spawn(maintain(
+                core.lease.clone(),
+                client.clone(),
+                acquire.clone(),
+            )),
             tokio::spawn(async move {
-                let heed = |changes: AppliedChanges| heed_changes(&heeding, &changes);
-                follower.run(heed, || {}).await;
+                let apply =
+                    |changes: AppliedChanges| apply_documents(&applied_core, &changes);
+                watcher.run(apply, || {}).await;
             }),
         ];
         Some(Self {
-            set,
+            client,
             acquire,
             tasks,
         })
     }
 
-    /// Stops, and gives the lease back.
+    /// Stops the tasks and releases the lease.
     pub(crate) async fn stop(self) {
         for task in &self.tasks {
             task.abort();
         }
-        give_back(&self.set, &self.acquire).await;
+        release(&self.client, &self.acquire).await;
     }
 }
 
-/// Heeds the document: an endpoint that is not listed, or listed as leaving,
-/// gets no new work.
-fn heed_changes(core: &Core, changes: &AppliedChanges) {
+/// Applies changes of the service document: an endpoint that it does not list, or lists
+/// as leaving, gets no new requests.
+fn apply_documents(core: &Core, changes: &AppliedChanges) {
     for accepted in &changes.documents {
         let listed = accepted.document.endpoint(&core.settings.endpoint);
         let leaving = listed.is_none_or(|endpoint| endpoint.leaving);
-        core.close_gate(Source::Document, leaving);
+        core.set_leaving(Source::Document, leaving);
         core.gate.set_revision(accepted.revision);
     }
 }
 
-/// Follows the platform's list, the endpoint's reports and the own drain.
-pub(crate) async fn look(core: Arc<Core>) {
-    let mut ticks = tokio::time::interval(core.settings.poll);
+/// Polls the endpoint's load report and the platform's list, and closes the gate when the
+/// agent drains.
+pub(crate) async fn poll_sources(core: Arc<Core>) {
+    let mut ticks = tokio::time::interval(core.settings.poll_interval);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = core.drain.wait(), if !core.sources.leaving() => {
-                core.close_gate(Source::Agent, true);
+            () = core.drain.wait(), if !core.leaving_flags.is_leaving() => {
+                core.set_leaving(Source::Agent, true);
             }
         }
         if core.drain.begun() {
-            core.close_gate(Source::Agent, true);
+            core.set_leaving(Source::Agent, true);
         }
         if let Some(report) = core.endpoint.load().await {
-            core.close_gate(Source::Endpoint, report.leaving);
-            core.gate.saw_report(report.running, report.waiting);
+            core.set_leaving(Source::Endpoint, report.leaving);
+            core.gate.record_report(report.running, report.waiting);
         }
         if let Some(platform) = &core.platform {
-            heed_platform(&core, platform.as_ref()).await;
+            apply_platform_list(&core, platform.as_ref()).await;
         }
     }
 }
 
-async fn heed_platform(core: &Core, platform: &dyn PlatformList) {
+async fn apply_platform_list(core: &Core, platform: &dyn PlatformList) {
     match platform.fetch().await {
         Ok(list) => {
             let leaving = list.leaving(core.settings.address.ip());
-            core.close_gate(Source::Platform, leaving);
+            core.set_leaving(Source::Platform, leaving);
         }
         Err(error) => {
             Event::new("platform-list-unread")
--- a/crates/load/src/bench.rs
+++ b/crates/load/src/bench.rs
@@ -127,7 +127,7 @@
             engine.address(),
         );
         settings.secret = CLUSTER_KEY.to_string();
-        settings.first_limit = self.suite.limit;
+        settings.initial_limit = self.suite.limit;
         settings.linger = Duration::ZERO;
         let agent = Agent::bind(settings, self.behind.clone()).await;
         let agent = agent.expect("a free port");
--- a/src/local.rs
+++ b/src/local.rs
@@ -220,7 +220,7 @@
         address,
     );
     settings.control = vec![control];
-    settings.lease = LEASE;
+    settings.lease_duration = LEASE;
     settings.secret = CLUSTER_KEY.to_string();
     settings.linger = Duration::ZERO;
     Agent::bind(settings, drain.clone())
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -38,7 +38,7 @@
         let faults = engine.faults();
         let name = "chat-1".to_string();
         let mut settings = Settings::new("chat".to_string(), name, engine.address());
-        settings.poll = Duration::from_millis(50);
+        settings.poll_interval = Duration::from_millis(50);
         settings.linger = Duration::from_secs(30);
         adjust(&mut settings);
         let drain = Drain::default();
--- a/tests/all/lease.rs
+++ b/tests/all/lease.rs
@@ -13,7 +13,7 @@
     let mut settings = Settings::new("svc".to_string(), "e".to_string(), endpoint);
     settings.secret = "secret".to_string();
     settings.control = vec![control];
-    settings.lease = Duration::from_secs(300);
+    settings.lease_duration = Duration::from_secs(300);
     settings.linger = Duration::ZERO;
     let drain = Drain::default();
     let agent = Agent::bind(settings, drain.clone()).await.unwrap();
