--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -287,9 +287,12 @@
 }
 
 fn is_authorized(core: &Core, headers: &HeaderMap) -> bool {
-    let given = headers.get(http::header::AUTHORIZATION);
-    let given = given.and_then(|given| given.as_bytes().strip_prefix(b"Bearer "));
-    given.is_some_and(|given| given.ct_eq(core.settings.secret.as_bytes()).into())
+    let credentials = headers.get(http::header::AUTHORIZATION);
+    let credentials = credentials
+        .and_then(|credentials| credentials.as_bytes().strip_prefix(b"Bearer "));
+    credentials.is_some_and(|credentials| {
+        credentials.ct_eq(core.settings.secret.as_bytes()).into()
+    })
 }
 
 async fn load(State(core): State<Arc<Core>>) -> Response {
--- a/crates/agent/src/lease.rs
+++ b/crates/agent/src/lease.rs
@@ -102,8 +102,8 @@
     /// another agent has acquired the lease.
     pub fn observe_fence(&self, fence: Fence) {
         let mut state = self.lock();
-        if let State::Held { fence: own, .. } = *state
-            && fence > own
+        if let State::Held { fence: current, .. } = *state
+            && fence > current
         {
             *state = State::Lost;
         }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One try at running a request, and its answer.
+//! One attempt at running a request, and the answer to it.
 
-use crate::pool::Place;
+use crate::pool::Placement;
 use crate::request::Call;
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -13,11 +13,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::time::{Instant, timeout_at};
 
-/// Path of attempts at the agent.
+/// Path to which attempts are posted at an agent.
 const ATTEMPT_PATH: &str = "/v1/attempt";
 
-/// Makes attempt ids that no other entry, and no earlier run of this one,
-/// makes: a random upper half names the run.
+/// Generates attempt ids that are unique among entries and among runs of one entry: the
+/// upper half is a random number of the run.
 #[derive(Debug)]
 pub struct AttemptIds {
     run: u64,
@@ -25,7 +25,7 @@
 }
 
 impl AttemptIds {
-    /// Starts counting for the run named by `run`, which must be random.
+    /// Starts the sequence of a run; `run` must be random.
     pub fn new(run: u64) -> Self {
         Self {
             run,
@@ -33,120 +33,127 @@
         }
     }
 
-    /// A new id.
-    pub fn make(&self) -> AttemptId {
-        let low = self.next.fetch_add(1, Ordering::Relaxed);
-        (AttemptId::from(self.run) << 64) | AttemptId::from(low)
+    /// Returns a new id.
+    pub fn next_id(&self) -> AttemptId {
+        let sequence = self.next.fetch_add(1, Ordering::Relaxed);
+        (AttemptId::from(self.run) << 64) | AttemptId::from(sequence)
     }
 }
 
-/// Why an answer is not whole. The request may have run.
+/// Why an attempt gave no complete answer. The request may have run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum Broken {
-    /// The agent's connection broke.
+pub enum AttemptFailure {
+    /// The connection to the agent broke.
     #[display("the connection to the agent broke")]
     Connection,
-    /// Frames prove that the answer is not whole or not one's own.
-    #[display("{flaw}")]
-    Flawed {
-        /// What is wrong.
-        flaw: AnswerError,
+    /// The frames show that the answer is incomplete or belongs to another attempt.
+    #[display("{error}")]
+    InvalidAnswer {
+        /// The defect of the answer.
+        error: AnswerError,
     },
-    /// The bytes are no frames.
+    /// The agent's response can't be decoded as frames.
     #[display("the agent's answer is unreadable")]
     Unreadable,
-    /// The engine answered with a status that says nothing about the request itself.
+    /// The engine answered with a status that does not depend on the request itself.
     #[display("the engine answered with status {status}")]
     Engine {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
     /// The deadline passed.
     #[display("the deadline passed")]
-    Late,
+    DeadlinePassed,
 }
 
-/// What one try came to.
+/// The result of one attempt.
 #[derive(Debug)]
-pub enum Tried {
-    /// Nothing reached the endpoint.
+pub enum AttemptResult {
+    /// The request did not reach the endpoint.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         reason: RefusalReason,
-        /// The agent's load, where it answered.
+        /// The load report of the agent, if it answered.
         load: Option<Load>,
     },
-    /// It may have run, and there is no answer.
-    Lost(Broken),
-    /// The endpoint answers.
+    /// The request may have run, and there is no answer.
+    Lost(AttemptFailure),
+    /// The head of the endpoint's answer arrived.
     Open {
         /// HTTP status.
         status: u16,
-        /// End-to-end headers.
+        /// End-to-end headers of the answer.
         headers: Vec<Header>,
-        /// The rest.
-        answer: Reading,
+        /// Reader of the remaining answer.
+        answer: AnswerReader,
     },
 }
 
-/// An answer being read.
+/// Reads and verifies the answer to one attempt.
 #[derive(Debug)]
-pub struct Reading {
-    source: Incoming,
+pub struct AnswerReader {
+    body: Incoming,
     frames: FrameReader,
-    check: Answer,
+    verifier: Answer,
     load: Option<Load>,
     deadline: Instant,
 }
 
-impl Reading {
-    /// The last load report the agent sent with the answer.
+impl AnswerReader {
+    /// Returns the last load report that the agent sent with the answer.
     pub fn load(&self) -> Option<&Load> {
         self.load.as_ref()
     }
 
-    /// The next piece.
+    /// Returns the next part of the answer.
     ///
     /// # Errors
     ///
-    /// [`Broken`] where the answer can't become whole.
-    pub async fn next(&mut self) -> Result<AnswerPart, Broken> {
+    /// [`AttemptFailure`] if the answer can't become complete.
+    pub async fn next(&mut self) -> Result<AnswerPart, AttemptFailure> {
         loop {
             if let Some(frame) = self.frames.pop() {
                 self.load = frame.load.or(self.load);
-                let piece = self.check.accept(frame);
-                return piece.map_err(|flaw| Broken::Flawed { flaw });
+                let part = self.verifier.accept(frame);
+                return part.map_err(|error| AttemptFailure::InvalidAnswer { error });
             }
             let bytes = self.read().await?;
-            self.frames.feed(&bytes).map_err(|_| Broken::Unreadable)?;
+            self.frames
+                .feed(&bytes)
+                .map_err(|_| AttemptFailure::Unreadable)?;
         }
     }
 
-    async fn read(&mut self) -> Result<Bytes, Broken> {
-        match timeout_at(self.deadline, self.source.frame()).await {
-            Err(_) => Err(Broken::Late),
+    async fn read(&mut self) -> Result<Bytes, AttemptFailure> {
+        match timeout_at(self.deadline, self.body.frame()).await {
+            Err(_) => Err(AttemptFailure::DeadlinePassed),
             Ok(Some(Ok(frame))) => Ok(frame.into_data().unwrap_or_default()),
-            Ok(None | Some(Err(_))) => Err(Broken::Connection),
+            Ok(None | Some(Err(_))) => Err(AttemptFailure::Connection),
         }
     }
 }
 
-/// Builds the message for one try of `call` at `place`.
-pub fn message(call: &Call, place: &Place, id: AttemptId, deadline: Instant) -> Attempt {
+/// Builds the message for one attempt of `call` at `placement`.
+pub fn build_attempt(
+    call: &Call,
+    placement: &Placement,
+    id: AttemptId,
+    deadline: Instant,
+) -> Attempt {
     Attempt {
         attempt: id,
         request: call.id.clone(),
         service: call.service.document.service.clone(),
-        endpoint: place.endpoint().clone(),
+        endpoint: placement.endpoint().clone(),
         class: call.class.name.clone(),
-        tier: place.item().tier,
-        due: place.due(),
+        tier: placement.item().tier,
+        due: placement.due(),
         repeat: call.class.repeat,
         kind: call.service.document.kind,
         remaining: deadline.saturating_duration_since(Instant::now()),
         gap: call.class.target.token_gap,
         revision: call.service.revision,
-        fence: place.fence(),
+        fence: placement.fence(),
         stream: call.stream,
         method: call.method.clone(),
         path: call.path.clone(),
@@ -155,53 +162,54 @@
     }
 }
 
-/// Sends one try to the agent at `address` and reads up to the answer's head.
+/// Sends one attempt to the agent at `address` and reads until the head of the answer.
 pub async fn send(
-    caller: &PeerClient,
+    client: &PeerClient,
     address: SocketAddr,
     attempt: &Attempt,
     deadline: Instant,
-) -> Tried {
-    let opening = caller.open(address, ATTEMPT_PATH, attempt);
-    let response = match timeout_at(deadline, opening).await {
-        Err(_) => return Tried::Lost(Broken::Late),
-        Ok(Err(CallError::Connect { .. })) => return unsent(),
-        Ok(Err(_)) => return Tried::Lost(Broken::Connection),
+) -> AttemptResult {
+    let request = client.open(address, ATTEMPT_PATH, attempt);
+    let response = match timeout_at(deadline, request).await {
+        Err(_) => return AttemptResult::Lost(AttemptFailure::DeadlinePassed),
+        Ok(Err(CallError::Connect { .. })) => return not_sent(),
+        Ok(Err(_)) => return AttemptResult::Lost(AttemptFailure::Connection),
         Ok(Ok(response)) => response,
     };
     if !response.status().is_success() {
-        // The agent checks key and form before anything else.
-        return unsent();
+        // The agent checks the cluster key and the encoding before anything else, so
+        // nothing has reached the endpoint.
+        return not_sent();
     }
-    let mut answer = Reading {
-        source: response.into_body(),
+    let mut answer = AnswerReader {
+        body: response.into_body(),
         frames: FrameReader::default(),
-        check: Answer::new(attempt.attempt),
+        verifier: Answer::new(attempt.attempt),
         load: None,
         deadline,
     };
     match answer.next().await {
-        Ok(AnswerPart::Head { status, headers }) => Tried::Open {
+        Ok(AnswerPart::Head { status, headers }) => AttemptResult::Open {
             status,
             headers,
             answer,
         },
         Ok(AnswerPart::Refused(RefusalReason::Repeated)) => {
-            Tried::Lost(Broken::Connection)
+            AttemptResult::Lost(AttemptFailure::Connection)
         }
-        Ok(AnswerPart::Refused(reason)) => Tried::Refused {
+        Ok(AnswerPart::Refused(reason)) => AttemptResult::Refused {
             reason,
             load: answer.load,
         },
-        Ok(_) => Tried::Lost(Broken::Flawed {
-            flaw: AnswerError::Order,
+        Ok(_) => AttemptResult::Lost(AttemptFailure::InvalidAnswer {
+            error: AnswerError::Order,
         }),
-        Err(broken) => Tried::Lost(broken),
+        Err(failure) => AttemptResult::Lost(failure),
     }
 }
 
-fn unsent() -> Tried {
-    Tried::Refused {
+fn not_sent() -> AttemptResult {
+    AttemptResult::Refused {
         reason: RefusalReason::Unreachable,
         load: None,
     }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,12 +1,14 @@
-//! Running a call: the loop over tries.
+//! Running a call: the loop over its attempts.
 //!
-//! A try that was refused costs nothing and is repeated elsewhere. A try that
-//! may have run is repeated only where the class allows it, nothing was
-//! delivered yet, and the service's retry budget has a unit left.
+//! An attempt that was refused has no side effects and is repeated at another endpoint.
+//! An attempt that may have run is repeated only if the class allows it, nothing was
+//! delivered yet, and the retry budget of the service has a unit left.
 
-use crate::attempt::{AttemptIds, Broken, Reading, Tried, message, send};
-use crate::deliver::Opened;
-use crate::pool::{Denied, Place, Pool};
+use crate::attempt::{
+    AnswerReader, AttemptFailure, AttemptIds, AttemptResult, build_attempt, send,
+};
+use crate::deliver::OutgoingAnswer;
+use crate::pool::{Placement, QueueError, ServicePool};
 use crate::refusal::{Cause, Refusal};
 use crate::request::Call;
 use bytes::Bytes;
@@ -20,215 +22,228 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Memory of a waiting request beside its body and headers.
-const WAITING_OVERHEAD: usize = 1024;
-/// Most that jitter adds to the advice when to come back, as a part of it.
-const JITTER: f64 = 0.5;
-/// Endpoints that may be lost under one call: it may be the request that ends them.
-const MOST_LOST: u32 = 2;
-/// Statuses of a model engine that say nothing about the request itself.
-const ENGINE_FAULTS: [u16; 4] = [429, 500, 502, 503];
+/// Memory of a queued request besides its body and headers, in bytes.
+const QUEUED_OVERHEAD_BYTES: usize = 1024;
+/// Largest jitter added to `Retry-After`, as a fraction of it.
+const RETRY_JITTER: f64 = 0.5;
+/// Largest number of endpoints that may be lost while they run one call. More are not
+/// risked, because the request itself may be the cause of the crashes.
+const MAX_LOST_ENDPOINTS: u32 = 2;
+/// Statuses that report the state of a model engine rather than an error of the request.
+const ENGINE_ERROR_STATUSES: [u16; 4] = [429, 500, 502, 503];
 
-/// What running calls needs.
+/// Shared state for running calls.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Client to agents.
-    pub caller: PeerClient,
-    /// Maker of attempt ids.
+    /// Client for agents.
+    pub client: PeerClient,
+    /// Generator of attempt ids.
     pub ids: Arc<AttemptIds>,
-    /// Newest revision that an agent's answer showed.
-    pub heard: watch::Sender<Revision>,
+    /// Newest document revision that an agent has reported.
+    pub newest_revision: watch::Sender<Revision>,
 }
 
-/// What one service's calls share.
+/// State shared by the calls of one service.
 #[derive(Clone, Debug)]
-pub struct Lane {
-    /// Waiting and placement.
-    pub pool: Pool,
+pub struct ServiceDispatch {
+    /// Queue and placement.
+    pub pool: ServicePool,
     /// Retry budget.
     pub budget: Arc<Mutex<Budget>>,
 }
 
-impl Lane {
+impl ServiceDispatch {
     fn earn(&self) {
         self.budget
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
             .earn();
     }
 
     fn spend(&self) -> bool {
         self.budget
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
             .spend()
     }
 }
 
-/// Counts of what a call cost beside its answer.
+/// Attempts of a call besides the one that was answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Effort {
-    /// Tries that were refused.
+pub struct AttemptCounts {
+    /// Attempts that were refused.
     pub refused: u32,
-    /// Tries that may have run and whose answer was not used.
+    /// Attempts that may have run and whose answer was not used.
     pub wasted: u32,
 }
 
-/// A call that has come to its first answer bytes.
+/// A call whose answer has begun to arrive.
 #[derive(Debug)]
-pub struct Ran {
-    /// The answer.
-    pub opened: Opened,
-    /// What it cost.
-    pub effort: Effort,
+pub struct Answered {
+    /// The answer to send.
+    pub answer: OutgoingAnswer,
+    /// The other attempts of the call.
+    pub attempts: AttemptCounts,
 }
 
 impl Runner {
-    /// Runs a call up to the first bytes of its answer, or to the whole
-    /// answer where that is held.
+    /// Runs a call until the first bytes of its answer arrive, or until the complete
+    /// answer arrived if that is buffered.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] with the true outcome.
+    /// [`Refusal`] with the actual outcome of the request.
     pub async fn run(
         &self,
         call: &Call,
-        lane: &Lane,
+        dispatch: &ServiceDispatch,
         deadline: Instant,
-        held: usize,
-    ) -> Result<Ran, Refusal> {
-        lane.earn();
-        let mut effort = Effort::default();
-        let mut lost = None;
-        let mut lost_with = 0;
+        max_buffered: usize,
+    ) -> Result<Answered, Refusal> {
+        dispatch.earn();
+        let mut attempts = AttemptCounts::default();
+        let mut last_failure = None;
+        let mut lost_endpoints = 0;
         loop {
-            let place = lane.pool.enter(item(call, &lane.pool, deadline)).await;
-            let place = place.map_err(|denied| explain(denied, lost.as_ref()))?;
-            let tried = self.place(call, place, deadline, &mut effort).await;
-            let opened = match tried {
-                Ok(open) => open.deliver(call, held).await,
-                Err(Stopped::Denied(denied)) => {
-                    return Err(explain(denied, lost.as_ref()));
+            let placement = dispatch
+                .pool
+                .acquire(queue_item(call, &dispatch.pool, deadline))
+                .await;
+            let placement =
+                placement.map_err(|error| queue_refusal(error, last_failure.as_ref()))?;
+            let result = self
+                .try_endpoints(call, placement, deadline, &mut attempts)
+                .await;
+            let answer = match result {
+                Ok(head) => head.deliver(call, max_buffered).await,
+                Err(PlacementError::Queue(error)) => {
+                    return Err(queue_refusal(error, last_failure.as_ref()));
                 }
-                Err(Stopped::Lost(broken)) => Err(broken),
+                Err(PlacementError::Failed(failure)) => Err(failure),
             };
-            match opened {
-                Ok(opened) => return Ok(Ran { opened, effort }),
-                Err(broken) => {
-                    effort.wasted += 1;
-                    // An engine that answers has outlived the request.
-                    lost_with += u32::from(!matches!(broken, Broken::Engine { .. }));
-                    let again = call.class.repeat == Repeat::Allowed
-                        && broken != Broken::Late
-                        && lost_with < MOST_LOST
-                        && lane.spend();
-                    if !again {
-                        return Err(lost_refusal(&broken));
+            match answer {
+                Ok(answer) => return Ok(Answered { answer, attempts }),
+                Err(failure) => {
+                    attempts.wasted += 1;
+                    // An engine that answers has survived the request.
+                    lost_endpoints +=
+                        u32::from(!matches!(failure, AttemptFailure::Engine { .. }));
+                    let may_retry = call.class.repeat == Repeat::Allowed
+                        && failure != AttemptFailure::DeadlinePassed
+                        && lost_endpoints < MAX_LOST_ENDPOINTS
+                        && dispatch.spend();
+                    if !may_retry {
+                        return Err(failure_refusal(&failure));
                     }
-                    lost = Some(broken);
+                    last_failure = Some(failure);
                 }
             }
         }
     }
 
-    /// Tries endpoints until one takes the request.
-    async fn place(
+    /// Attempts the call at one endpoint after another until one accepts it.
+    async fn try_endpoints(
         &self,
         call: &Call,
-        mut place: Place,
+        mut placement: Placement,
         deadline: Instant,
-        effort: &mut Effort,
-    ) -> Result<Open, Stopped> {
+        attempts: &mut AttemptCounts,
+    ) -> Result<AnswerHead, PlacementError> {
         let mut tried = Vec::new();
         loop {
-            let load = match self.attempt(call, &place, deadline).await {
-                Tried::Open {
+            let load = match self.attempt(call, &placement, deadline).await {
+                AttemptResult::Open {
                     status,
                     headers,
                     answer,
                 } => {
                     if let Some(load) = answer.load() {
-                        self.hear(load);
-                        place.report(load);
+                        self.record_revision(load);
+                        placement.record_load(load);
                     }
-                    return Open::new(call, place, status, headers, answer);
+                    return AnswerHead::new(call, placement, status, headers, answer);
                 }
-                Tried::Lost(broken) => {
-                    if broken == Broken::Connection {
-                        place.unreachable();
+                AttemptResult::Lost(failure) => {
+                    if failure == AttemptFailure::Connection {
+                        placement.unreachable();
                     }
-                    return Err(Stopped::Lost(broken));
+                    return Err(PlacementError::Failed(failure));
                 }
-                Tried::Refused { reason, load } => {
-                    load.iter().for_each(|load| self.hear(load));
+                AttemptResult::Refused { reason, load } => {
+                    load.iter().for_each(|load| self.record_revision(load));
                     if matches!(
                         reason,
                         RefusalReason::Unreachable | RefusalReason::Misdirected
                     ) {
-                        place.unreachable();
+                        placement.unreachable();
                     }
                     load
                 }
             };
-            effort.refused += 1;
-            tried.push(place.view());
-            let next = place.refused(load.as_ref(), &tried).await;
-            place = next.map_err(Stopped::Denied)?;
+            attempts.refused += 1;
+            tried.push(placement.view());
+            let next = placement.reassign(load.as_ref(), &tried).await;
+            placement = next.map_err(PlacementError::Queue)?;
         }
     }
 
-    /// Notes the revision an agent knows.
-    fn hear(&self, load: &Load) {
-        self.heard.send_if_modified(|newest| {
+    /// Records the document revision of a load report.
+    fn record_revision(&self, load: &Load) {
+        self.newest_revision.send_if_modified(|newest| {
             let newer = load.revision > *newest;
             *newest = load.revision.max(*newest);
             newer
         });
     }
 
-    async fn attempt(&self, call: &Call, place: &Place, deadline: Instant) -> Tried {
+    async fn attempt(
+        &self,
+        call: &Call,
+        placement: &Placement,
+        deadline: Instant,
+    ) -> AttemptResult {
         let document = &call.service.document;
-        let Some(endpoint) = document.endpoint(place.endpoint()) else {
-            // The endpoint joined with a later document than the call's own.
-            return Tried::Refused {
+        let Some(endpoint) = document.endpoint(placement.endpoint()) else {
+            // The endpoint was added in a later document than that of the call.
+            return AttemptResult::Refused {
                 reason: RefusalReason::Misdirected,
                 load: None,
             };
         };
-        let attempt = message(call, place, self.ids.make(), deadline);
-        send(&self.caller, endpoint.agent, &attempt, deadline).await
+        let attempt = build_attempt(call, placement, self.ids.next_id(), deadline);
+        send(&self.client, endpoint.agent, &attempt, deadline).await
     }
 }
 
-/// Why the loop over endpoints ended without an answer.
-enum Stopped {
-    Denied(Denied),
-    Lost(Broken),
+/// Why no endpoint accepted a call.
+enum PlacementError {
+    Queue(QueueError),
+    Failed(AttemptFailure),
 }
 
-/// An answer whose head arrived.
-pub(crate) struct Open {
-    pub(crate) place: Place,
+/// An answer whose head has arrived.
+pub(crate) struct AnswerHead {
+    pub(crate) placement: Placement,
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
-    pub(crate) answer: Reading,
+    pub(crate) answer: AnswerReader,
 }
 
-impl Open {
+impl AnswerHead {
     fn new(
         call: &Call,
-        place: Place,
+        placement: Placement,
         status: u16,
         headers: Vec<Header>,
-        answer: Reading,
-    ) -> Result<Self, Stopped> {
+        answer: AnswerReader,
+    ) -> Result<Self, PlacementError> {
         let model = call.service.document.kind == Kind::Model;
-        let repeat = call.class.repeat == Repeat::Allowed;
-        if model && repeat && ENGINE_FAULTS.contains(&status) {
-            return Err(Stopped::Lost(Broken::Engine { status }));
+        let repeatable = call.class.repeat == Repeat::Allowed;
+        if model && repeatable && ENGINE_ERROR_STATUSES.contains(&status) {
+            return Err(PlacementError::Failed(AttemptFailure::Engine { status }));
         }
         Ok(Self {
-            place,
+            placement,
             status,
             headers,
             answer,
@@ -236,18 +251,18 @@
     }
 }
 
-fn item(call: &Call, pool: &Pool, deadline: Instant) -> Item {
+fn queue_item(call: &Call, pool: &ServicePool, deadline: Instant) -> Item {
     let target = &call.class.target;
-    let aim = target.first_token.or(target.finish);
+    let latency_target = target.first_token.or(target.finish);
     let headers: usize = call.headers.iter().map(header_bytes).sum();
     Item {
         class: call.class.name.clone(),
         tier: call.class.priority,
         workspace: call.workspace.name.clone(),
         weight: call.workspace.weight,
-        target: aim.unwrap_or(call.timeout),
+        target: latency_target.unwrap_or(call.timeout),
         deadline: pool.now() + deadline.saturating_duration_since(Instant::now()),
-        bytes: call.body.len() + headers + WAITING_OVERHEAD,
+        bytes: call.body.len() + headers + QUEUED_OVERHEAD_BYTES,
     }
 }
 
@@ -255,26 +270,26 @@
     header.name.len() + header.value.len() + size_of::<Header>() + size_of::<Bytes>()
 }
 
-/// What a caller is told when it got no place. After a lost try the outcome
-/// is unknown, however the wait ended.
-fn explain(denied: Denied, lost: Option<&Broken>) -> Refusal {
-    let refusal = match denied {
-        Denied::Shed(after) => {
-            let spread = rand::rng().random_range(0.0..JITTER);
+/// Returns the refusal of a call that was not placed. After a failed attempt the outcome
+/// is unknown, whatever the reason that the wait ended.
+fn queue_refusal(error: QueueError, last_failure: Option<&AttemptFailure>) -> Refusal {
+    let refusal = match error {
+        QueueError::Shed(after) => {
+            let jitter = rand::rng().random_range(0.0..RETRY_JITTER);
             Refusal::not_run(
                 Cause::Shed,
                 "more requests wait than fit, and this one is the least urgent",
                 "come back after the time in Retry-After",
             )
-            .come_back(after.mul_f64(1.0 + spread))
+            .with_retry_after(after.mul_f64(1.0 + jitter))
         }
-        Denied::Expired => Refusal::not_run(
+        QueueError::Expired => Refusal::not_run(
             Cause::DeadlinePassed,
             "the deadline passed while the request waited",
             "allow more time, or send the request again later",
         ),
     };
-    match lost {
+    match last_failure {
         None => refusal,
         Some(_) => Refusal {
             outcome: Outcome::Unknown,
@@ -283,8 +298,8 @@
     }
 }
 
-fn lost_refusal(broken: &Broken) -> Refusal {
-    if *broken == Broken::Late {
+fn failure_refusal(failure: &AttemptFailure) -> Refusal {
+    if *failure == AttemptFailure::DeadlinePassed {
         return Refusal::unknown(
             Cause::DeadlinePassed,
             "the deadline passed while the request ran",
@@ -293,7 +308,7 @@
     }
     Refusal::unknown(
         Cause::BrokenAnswer,
-        &broken.to_string(),
+        &failure.to_string(),
         "the request may have run; send it again only if that does no harm",
     )
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,9 +1,8 @@
-//! Claims of non-idempotent requests, behind a trait.
+//! Claims of non-idempotent requests, behind the trait [`ClaimStore`].
 //!
-//! A request of a class that may not be repeated and that carries an
-//! idempotency key is claimed before it is sent anywhere. Without a
-//! confirmation it is not sent: "not sure whether it was claimed" means
-//! `not-run`, because nothing went to an endpoint.
+//! A request of a class that must not be repeated, and that carries an idempotency key,
+//! is claimed before it is sent to an endpoint. Without a confirmed claim it is not sent.
+//! An unconfirmed claim therefore has the outcome `not-run`.
 
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
@@ -14,87 +13,88 @@
 use std::fmt::Debug;
 use std::pin::Pin;
 
-/// Longest wait for a claim: a caller is told within it.
-const TAKE_WITHIN: Duration = Duration::from_secs(2);
-/// Longest time the end of a claim is reported for. What is not reported then
-/// counts as unknown.
-const FINISH_WITHIN: Duration = Duration::from_secs(60);
+/// Limit on taking a claim, after which the caller gets an error.
+const TAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on reporting the end of a claim. A claim whose end is not reported has an
+/// unknown outcome.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// No claim could be confirmed.
+/// The claim was not confirmed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("no majority of the control instances confirmed the claim")]
 pub struct Unconfirmed;
 
-/// A claim call in progress.
-pub type Claiming<'a, T> =
+/// The future of a call to the claim store.
+pub type ClaimFuture<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, Unconfirmed>> + Send + 'a>>;
 
-/// Keeper of claims.
-pub trait Claims: Send + Sync + Debug {
-    /// Claims a request.
-    fn take<'a>(&'a self, take: &'a TakeClaim) -> Claiming<'a, ClaimReply>;
+/// A store of claims.
+pub trait ClaimStore: Send + Sync + Debug {
+    /// Takes the claim of a request.
+    fn take<'a>(&'a self, take: &'a TakeClaim) -> ClaimFuture<'a, ClaimReply>;
 
-    /// Reports how it ended.
-    fn finish<'a>(&'a self, finish: &'a FinishClaim) -> Claiming<'a, ()>;
+    /// Reports the end of a claimed request.
+    fn finish<'a>(&'a self, finish: &'a FinishClaim) -> ClaimFuture<'a, ()>;
 }
 
-/// A deployment without control instances: nothing can be claimed.
+/// The store of a deployment without control instances: it confirms no claim.
 #[derive(Debug)]
-pub struct NoClaims;
+pub struct NoClaimStore;
 
-impl Claims for NoClaims {
-    fn take<'a>(&'a self, _take: &'a TakeClaim) -> Claiming<'a, ClaimReply> {
+impl ClaimStore for NoClaimStore {
+    fn take<'a>(&'a self, _take: &'a TakeClaim) -> ClaimFuture<'a, ClaimReply> {
         Box::pin(async { Err(Unconfirmed) })
     }
 
-    fn finish<'a>(&'a self, _finish: &'a FinishClaim) -> Claiming<'a, ()> {
+    fn finish<'a>(&'a self, _finish: &'a FinishClaim) -> ClaimFuture<'a, ()> {
         Box::pin(async { Err(Unconfirmed) })
     }
 }
 
-/// Claims kept by the control instances.
+/// Claims stored by the control instances.
 #[derive(Debug)]
-pub struct ControlClaims {
-    set: ControlClient,
+pub struct ControlClaimStore {
+    client: ControlClient,
 }
 
-impl ControlClaims {
-    /// Claims at the instances of `set`.
-    pub fn new(set: ControlClient) -> Self {
-        Self { set }
+impl ControlClaimStore {
+    /// Creates a store that uses `client`.
+    pub fn new(client: ControlClient) -> Self {
+        Self { client }
     }
 
-    /// Gives back a claim that may have been granted without this entry
-    /// hearing of it, so that the caller's next try is not told that the
-    /// request is in progress.
-    fn give_back(&self, take: &TakeClaim) {
-        let set = self.set.clone();
+    /// Releases a claim that may have been granted although no confirmation arrived, so
+    /// that a retry by the caller is not rejected as in progress.
+    fn release(&self, take: &TakeClaim) {
+        let client = self.client.clone();
         let finish = FinishClaim {
             claim: take.claim.clone(),
             holder: take.holder,
             ended: ClaimEnd::NotRun,
         };
         tokio::spawn(async move {
-            let _ = set.call::<_, ()>(FINISH_PATH, &finish, FINISH_WITHIN).await;
+            let _ = client
+                .call::<_, ()>(FINISH_PATH, &finish, FINISH_TIMEOUT)
+                .await;
         });
     }
 }
 
-impl Claims for ControlClaims {
-    fn take<'a>(&'a self, take: &'a TakeClaim) -> Claiming<'a, ClaimReply> {
+impl ClaimStore for ControlClaimStore {
+    fn take<'a>(&'a self, take: &'a TakeClaim) -> ClaimFuture<'a, ClaimReply> {
         Box::pin(async move {
-            let asked = self.set.call(TAKE_PATH, take, TAKE_WITHIN).await;
-            asked.map_err(|_| {
-                self.give_back(take);
+            let reply = self.client.call(TAKE_PATH, take, TAKE_TIMEOUT).await;
+            reply.map_err(|_| {
+                self.release(take);
                 Unconfirmed
             })
         })
     }
 
-    fn finish<'a>(&'a self, finish: &'a FinishClaim) -> Claiming<'a, ()> {
+    fn finish<'a>(&'a self, finish: &'a FinishClaim) -> ClaimFuture<'a, ()> {
         Box::pin(async move {
-            let asked = self.set.call(FINISH_PATH, finish, FINISH_WITHIN).await;
-            asked.map_err(|_| Unconfirmed)
+            let reply = self.client.call(FINISH_PATH, finish, FINISH_TIMEOUT).await;
+            reply.map_err(|_| Unconfirmed)
         })
     }
 }
--- a/crates/entry/src/deliver.rs
+++ b/crates/entry/src/deliver.rs
@@ -1,14 +1,13 @@
-//! Passing an answer on to the caller.
+//! Delivery of an answer to the caller.
 //!
-//! A whole answer is held until its end mark arrived, so that its status and
-//! outcome are true when they are sent. A stream starts with its first piece;
-//! when it breaks later it ends in an error event and without `[DONE]`, or,
-//! for a plain service, with a broken connection, which every HTTP client
-//! reports.
+//! A buffered answer is sent only after its end marker has arrived, so its status and
+//! outcome are final when they are sent. A stream starts with its first part. If it fails
+//! later, it ends with an error event and without `[DONE]`; the stream of a plain service
+//! ends with a broken connection, which every HTTP client reports.
 
-use crate::attempt::{Broken, Reading};
-use crate::call::Open;
-use crate::pool::Place;
+use crate::attempt::{AnswerReader, AttemptFailure};
+use crate::call::AnswerHead;
+use crate::pool::Placement;
 use crate::refusal::{Cause, Refusal};
 use crate::request::Call;
 use axum::body::Body;
@@ -21,62 +20,64 @@
 use std::io;
 use tokio::time::Instant;
 
-/// The end mark of a stream.
+/// The event that marks the end of a stream.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// An answer that may be sent.
+/// An answer that is ready to be sent.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OutgoingAnswer {
     /// HTTP status.
     pub status: u16,
     /// End-to-end headers.
     pub headers: Vec<Header>,
-    /// When the first piece of the body arrived.
+    /// When the first part of the body arrived.
     pub first: Instant,
-    /// Body.
-    pub content: Content,
+    /// Body of the answer.
+    pub body: AnswerBody,
 }
 
 /// The body of an answer.
 #[derive(Debug)]
-pub enum Content {
-    /// All of it.
-    Whole {
-        /// Body.
+pub enum AnswerBody {
+    /// A complete body.
+    Complete {
+        /// The bytes of the body.
         body: Bytes,
-        /// Tokens in it; 0 for plain services.
+        /// Number of tokens in it; 0 for plain services.
         tokens: u32,
     },
-    /// Its beginning, with the rest to follow.
-    Stream(Box<Flow>),
+    /// The beginning of a body, with the rest still to arrive.
+    Stream(Box<BodyStream>),
 }
 
 /// A body that is passed on as it arrives.
 #[derive(Debug)]
-pub struct Flow {
+pub struct BodyStream {
     first: Option<Bytes>,
-    answer: Reading,
-    place: Option<Place>,
+    answer: AnswerReader,
+    placement: Option<Placement>,
     events: bool,
     tokens: u32,
     chunks: u32,
 }
 
-impl Open {
-    /// Reads up to what has to be known before the caller's status is sent.
+impl AnswerHead {
+    /// Reads the answer as far as needed before the status can be sent: to its end if it
+    /// is buffered, else until its first event or more than `max_buffered` bytes have
+    /// arrived.
     pub(crate) async fn deliver(
         self,
         call: &Call,
-        held: usize,
-    ) -> Result<Opened, Broken> {
+        max_buffered: usize,
+    ) -> Result<OutgoingAnswer, AttemptFailure> {
         let Self {
-            place,
+            placement,
             status,
             headers,
             mut answer,
         } = self;
         let events = is_events(&headers);
-        let whole = call.class.repeat == Repeat::Never
+        let buffered = call.class.repeat == Repeat::Never
             || (call.service.document.kind == Kind::Model && !events);
         let mut body = BytesMut::new();
         let mut first = None;
@@ -90,38 +91,38 @@
                     if events {
                         body.extend_from_slice(DONE);
                     }
-                    place.finish(answer.load());
+                    placement.complete(answer.load());
                     let body = body.freeze();
-                    return Ok(Opened {
+                    return Ok(OutgoingAnswer {
                         status,
                         headers,
                         first: first.unwrap_or_else(Instant::now),
-                        content: Content::Whole { body, tokens },
+                        body: AnswerBody::Complete { body, tokens },
                     });
                 }
                 AnswerPart::Refused(_) | AnswerPart::Head { .. } => {
-                    return Err(Broken::Flawed {
-                        flaw: AnswerError::Order,
+                    return Err(AttemptFailure::InvalidAnswer {
+                        error: AnswerError::Order,
                     });
                 }
             }
-            if !whole && (events || body.len() > held) {
+            if !buffered && (events || body.len() > max_buffered) {
                 break;
             }
         }
-        let flow = Flow {
+        let body_stream = BodyStream {
             first: Some(body.freeze()),
             answer,
-            place: Some(place),
+            placement: Some(placement),
             events,
             tokens: 0,
             chunks: 1,
         };
-        Ok(Opened {
+        Ok(OutgoingAnswer {
             status,
             headers,
             first: first.unwrap_or_else(Instant::now),
-            content: Content::Stream(Box::new(flow)),
+            body: AnswerBody::Stream(Box::new(body_stream)),
         })
     }
 }
@@ -133,114 +134,121 @@
     })
 }
 
-/// What became of a stream, for those who count.
+/// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
-    /// Whether it ended whole.
-    pub whole: bool,
-    /// Tokens delivered.
+pub struct StreamEnd {
+    /// Whether the answer was complete.
+    pub complete: bool,
+    /// Number of tokens delivered; of an incomplete stream the number of its parts.
     pub tokens: u32,
 }
 
-/// Told once when a stream ends, also when the caller goes away.
-pub trait OnEnd: Send + 'static {
-    /// The stream ended.
-    fn ended(&mut self, ending: Ending);
+/// An observer that is notified once when an answer ends, including when the caller
+/// disconnects.
+pub trait EndObserver: Send + 'static {
+    /// Called at the end of the answer.
+    fn on_end(&mut self, end: StreamEnd);
 }
 
-/// A flow with the one who is told of its end.
-struct Watched<E: OnEnd> {
-    flow: Flow,
-    done: bool,
-    end: E,
+/// A stream with its observer.
+struct ObservedStream<E: EndObserver> {
+    body_stream: BodyStream,
+    ended: bool,
+    observer: E,
 }
 
-impl<E: OnEnd> Watched<E> {
+impl<E: EndObserver> ObservedStream<E> {
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if self.done {
+        if self.ended {
             return None;
         }
-        if let Some(first) = self.flow.first.take() {
+        if let Some(first) = self.body_stream.first.take() {
             return Some(Ok(first));
         }
-        match self.flow.answer.next().await {
+        match self.body_stream.answer.next().await {
             Ok(AnswerPart::Chunk(bytes)) => {
-                self.flow.chunks += 1;
+                self.body_stream.chunks += 1;
                 Some(Ok(bytes))
             }
             Ok(AnswerPart::End { tokens }) => {
-                self.flow.tokens = tokens;
-                if let Some(place) = self.flow.place.take() {
-                    place.finish(self.flow.answer.load());
+                self.body_stream.tokens = tokens;
+                if let Some(placement) = self.body_stream.placement.take() {
+                    placement.complete(self.body_stream.answer.load());
                 }
                 self.finish(true);
-                self.flow.events.then(|| Ok(Bytes::from_static(DONE)))
+                self.body_stream
+                    .events
+                    .then(|| Ok(Bytes::from_static(DONE)))
             }
-            Ok(_) => self.broken(&Broken::Flawed {
-                flaw: AnswerError::Order,
+            Ok(_) => self.fail(&AttemptFailure::InvalidAnswer {
+                error: AnswerError::Order,
             }),
-            Err(broken) => self.broken(&broken),
+            Err(failure) => self.fail(&failure),
         }
     }
 
-    fn broken(&mut self, broken: &Broken) -> Option<Result<Bytes, io::Error>> {
-        self.flow.place = None;
+    fn fail(&mut self, failure: &AttemptFailure) -> Option<Result<Bytes, io::Error>> {
+        self.body_stream.placement = None;
         self.finish(false);
-        if !self.flow.events {
-            return Some(Err(io::Error::other(broken.to_string())));
+        if !self.body_stream.events {
+            return Some(Err(io::Error::other(failure.to_string())));
         }
-        let cause = match broken {
-            Broken::Late => Cause::DeadlinePassed,
+        let cause = match failure {
+            AttemptFailure::DeadlinePassed => Cause::DeadlinePassed,
             _ => Cause::BrokenAnswer,
         };
         let remedy = "drop what arrived; send the request again if that does no harm";
-        let refusal = Refusal::unknown(cause, &broken.to_string(), remedy);
+        let refusal = Refusal::unknown(cause, &failure.to_string(), remedy);
         Some(Ok(Bytes::from(format!("data: {}\n\n", refusal.json()))))
     }
 
-    fn finish(&mut self, whole: bool) {
-        if !self.done {
-            self.done = true;
-            let tokens = self
-                .flow
-                .tokens
-                .max(if whole { 0 } else { self.flow.chunks });
-            self.end.ended(Ending { whole, tokens });
+    fn finish(&mut self, complete: bool) {
+        if !self.ended {
+            self.ended = true;
+            let tokens = self.body_stream.tokens.max(if complete {
+                0
+            } else {
+                self.body_stream.chunks
+            });
+            self.observer.on_end(StreamEnd { complete, tokens });
         }
     }
 }
 
-impl<E: OnEnd> Drop for Watched<E> {
+impl<E: EndObserver> Drop for ObservedStream<E> {
     fn drop(&mut self) {
         self.finish(false);
     }
 }
 
-/// The HTTP response for an answer. `end` is told when its body ends.
-pub fn respond<E: OnEnd>(opened: Opened, mut end: E) -> Response<Body> {
-    let body = match opened.content {
-        Content::Whole { body, tokens } => {
-            end.ended(Ending {
-                whole: true,
+/// Builds the HTTP response for an answer. `observer` is notified when its body ends.
+pub fn respond<E: EndObserver>(
+    answer: OutgoingAnswer,
+    mut observer: E,
+) -> Response<Body> {
+    let body = match answer.body {
+        AnswerBody::Complete { body, tokens } => {
+            observer.on_end(StreamEnd {
+                complete: true,
                 tokens,
             });
             Body::from(body)
         }
-        Content::Stream(flow) => {
-            let watched = Watched {
-                flow: *flow,
-                done: false,
-                end,
+        AnswerBody::Stream(body_stream) => {
+            let observed = ObservedStream {
+                body_stream: *body_stream,
+                ended: false,
+                observer,
             };
-            Body::from_stream(stream::unfold(watched, |mut watched| async move {
-                let next = watched.next().await?;
-                Some((next, watched))
+            Body::from_stream(stream::unfold(observed, |mut observed| async move {
+                let next = observed.next().await?;
+                Some((next, observed))
             }))
         }
     };
     let mut response = Response::new(body);
     *response.status_mut() =
-        StatusCode::from_u16(opened.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    add_headers(response.headers_mut(), &opened.headers);
+        StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    add_headers(response.headers_mut(), &answer.headers);
     response
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,9 +1,9 @@
-//! The entry's life from start to drain, and what its requests share.
+//! The entry from start to the end of its drain, and the state shared by its requests.
 
 use crate::attempt::AttemptIds;
-use crate::call::{Lane, Runner};
-use crate::claims::{Claims, ControlClaims, NoClaims};
-use crate::pool::{Pool, TICK};
+use crate::call::{Runner, ServiceDispatch};
+use crate::claims::{ClaimStore, ControlClaimStore, NoClaimStore};
+use crate::pool::{ServicePool, TICK_INTERVAL};
 use crate::quotas::Quotas;
 use crate::routes::router;
 use crate::settings::Settings;
@@ -25,31 +25,31 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// An entry that is listening.
+/// An entry that is bound to its address.
 #[derive(Debug)]
 pub struct Entry {
     listener: Listener,
     core: Arc<Core>,
 }
 
-/// Waiting and placement of one service, under its name.
+/// The dispatch state of one service, with the service's name.
 #[derive(Clone, Debug)]
-pub(crate) struct Named {
+pub(crate) struct NamedDispatch {
     service: ServiceId,
-    lane: Lane,
+    dispatch: ServiceDispatch,
 }
 
-/// What requests share.
+/// State shared by all requests of an entry.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) settings: Settings,
     pub(crate) table: ArcSwap<Table>,
-    pub(crate) lanes: ArcSwap<Vec<Named>>,
-    pub(crate) change: Mutex<()>,
+    pub(crate) dispatches: ArcSwap<Vec<NamedDispatch>>,
+    pub(crate) update_lock: Mutex<()>,
     pub(crate) quotas: Quotas,
-    pub(crate) entries: AtomicU32,
+    pub(crate) entry_count: AtomicU32,
     pub(crate) runner: Runner,
-    pub(crate) claims: Arc<dyn Claims>,
+    pub(crate) claims: Arc<dyn ClaimStore>,
     pub(crate) stats: Stats,
     pub(crate) metrics: Metrics,
     pub(crate) drain: Drain,
@@ -59,36 +59,37 @@
 }
 
 impl Entry {
-    /// Binds the entry's address. Claims are kept by the control instances
-    /// that the settings name.
+    /// Binds the entry's address. Claims are stored by the control instances in the
+    /// settings; without any, no claim is granted.
     ///
     /// # Errors
     ///
-    /// [`ListenError`] where the address can't be bound.
+    /// [`ListenError`] if the address can't be bound.
     pub async fn bind(
         settings: Settings,
         drain: Drain,
     ) -> Result<Self, Report<ListenError>> {
-        let claims: Arc<dyn Claims> = match settings.control.is_empty() {
-            true => Arc::new(NoClaims),
+        let claims: Arc<dyn ClaimStore> = match settings.control.is_empty() {
+            true => Arc::new(NoClaimStore),
             false => {
-                let caller = PeerClient::new(settings.secret.clone());
-                let spread = rand::rng().random_range(0..settings.control.len());
-                let set = ControlClient::new(caller, settings.control.clone(), spread);
-                Arc::new(ControlClaims::new(set))
+                let client = PeerClient::new(settings.secret.clone());
+                let first_control = rand::rng().random_range(0..settings.control.len());
+                let control_client =
+                    ControlClient::new(client, settings.control.clone(), first_control);
+                Arc::new(ControlClaimStore::new(control_client))
             }
         };
-        Self::with_claims(settings, claims, drain).await
+        Self::bind_with_claims(settings, claims, drain).await
     }
 
-    /// Binds the entry's address, with claims kept elsewhere.
+    /// Binds the entry's address and uses the given claim store.
     ///
     /// # Errors
     ///
-    /// [`ListenError`] where the address can't be bound.
-    pub async fn with_claims(
+    /// [`ListenError`] if the address can't be bound.
+    pub async fn bind_with_claims(
         settings: Settings,
-        claims: Arc<dyn Claims>,
+        claims: Arc<dyn ClaimStore>,
         drain: Drain,
     ) -> Result<Self, Report<ListenError>> {
         let listener = Listener::bind(settings.listen).await?;
@@ -96,12 +97,12 @@
         Ok(Self { listener, core })
     }
 
-    /// Address the entry listens on.
+    /// Returns the address on which the entry listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// What requests share, to install documents.
+    /// Returns the shared state, through which documents can be installed.
     pub fn core(&self) -> Arc<Core> {
         Arc::clone(&self.core)
     }
@@ -113,34 +114,34 @@
             .field("name", &core.settings.name)
             .field("listen", self.listener.address())
             .info();
-        let ticking = tokio::spawn(tick(Arc::clone(&core)));
-        let following = tokio::spawn(follow(Arc::clone(&core)));
+        let ticker = tokio::spawn(tick(Arc::clone(&core)));
+        let watching = tokio::spawn(watch_documents(Arc::clone(&core)));
         let linger = core.settings.linger;
         let drain = core.drain.clone();
         self.listener
             .serve(router(&core), drain.clone(), linger)
             .await;
         drain.idle().await;
-        ticking.abort();
-        following.abort();
+        ticker.abort();
+        watching.abort();
         Event::new("entry-stopped").info();
     }
 }
 
 impl Core {
-    fn new(settings: Settings, claims: Arc<dyn Claims>, drain: Drain) -> Self {
+    fn new(settings: Settings, claims: Arc<dyn ClaimStore>, drain: Drain) -> Self {
         let metrics = Metrics::default();
         let run = rand::rng().random();
         Self {
             table: ArcSwap::from_pointee(Table::new(0, Vec::new())),
-            lanes: ArcSwap::default(),
-            change: Mutex::new(()),
+            dispatches: ArcSwap::default(),
+            update_lock: Mutex::new(()),
             quotas: Quotas::default(),
-            entries: AtomicU32::new(settings.entries),
+            entry_count: AtomicU32::new(settings.entries),
             runner: Runner {
-                caller: PeerClient::new(settings.secret.clone()),
+                client: PeerClient::new(settings.secret.clone()),
                 ids: Arc::new(AttemptIds::new(run)),
-                heard: watch::Sender::new(0),
+                newest_revision: watch::Sender::new(0),
             },
             claims,
             stats: Stats::new(&metrics),
@@ -159,38 +160,38 @@
         }
     }
 
-    /// Revision of the documents in force here.
+    /// Returns the highest revision of the documents in force.
     pub fn revision(&self) -> Revision {
         self.table.load().revision
     }
 
-    /// Sets the number of entries, which share workspaces' limits and the
-    /// endpoints.
-    pub fn share(&self, entries: u32) {
-        let entries = entries.max(1);
-        let before = self.entries.swap(entries, Ordering::Relaxed);
-        if before != entries {
-            let _one = self.changing();
-            self.lanes(self.table.load().services());
+    /// Sets the number of entries, by which the limits of workspaces and the endpoints
+    /// are divided.
+    pub fn set_entry_count(&self, entry_count: u32) {
+        let entry_count = entry_count.max(1);
+        let previous = self.entry_count.swap(entry_count, Ordering::Relaxed);
+        if previous != entry_count {
+            let _update = self.lock_updates();
+            self.update_dispatches(self.table.load().services());
         }
     }
 
-    /// Lets one change at a time happen.
-    fn changing(&self) -> MutexGuard<'_, ()> {
-        self.change
+    /// Locks out other updates of the documents and the dispatch states.
+    fn lock_updates(&self) -> MutexGuard<'_, ()> {
+        self.update_lock
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Puts documents in force. Those of services not named stay; an older
-    /// revision of a service never replaces a newer one.
+    /// Puts documents in force. Services that are not in `changed` keep theirs, and an
+    /// older revision of a service never replaces a newer one.
     pub fn install(&self, revision: Revision, changed: Vec<Service>) {
-        let _one = self
-            .change
+        let _update = self
+            .update_lock
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner());
-        let now = self.table.load_full();
-        let mut services = now.services().to_vec();
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        let table = self.table.load_full();
+        let mut services = table.services().to_vec();
         for service in changed {
             let name = &service.document.service;
             match services.iter_mut().find(|s| s.document.service == *name) {
@@ -199,81 +200,90 @@
                 None => services.push(service),
             }
         }
-        let revision = revision.max(now.revision);
-        self.lanes(&services);
+        let revision = revision.max(table.revision);
+        self.update_dispatches(&services);
         self.table.store(Arc::new(Table::new(revision, services)));
         self.revision.set(revision as i64);
     }
 
-    /// Gives each service its lane and lists its endpoints there.
-    fn lanes(&self, services: &[Service]) {
-        let mut lanes: Vec<Named> = self.lanes.load().as_ref().clone();
+    /// Creates the missing dispatch states of `services` and updates their endpoints.
+    fn update_dispatches(&self, services: &[Service]) {
+        let mut dispatches: Vec<NamedDispatch> = self.dispatches.load().as_ref().clone();
         for service in services {
             let name = &service.document.service;
-            let found = lanes.binary_search_by(|lane| lane.service.cmp(name));
+            let found = dispatches.binary_search_by(|named| named.service.cmp(name));
             let at = found.unwrap_or_else(|at| {
-                lanes.insert(at, self.lane(name));
+                dispatches.insert(at, self.new_dispatch(name));
                 at
             });
-            lanes[at].lane.pool.list(&self.used(&service.document));
+            dispatches[at]
+                .dispatch
+                .pool
+                .set_endpoints(&self.used_endpoints(&service.document));
         }
-        self.lanes.store(Arc::new(lanes));
+        self.dispatches.store(Arc::new(dispatches));
     }
 
-    /// The endpoints this entry uses.
-    fn used(&self, document: &ServiceDocument) -> Vec<ListedEndpoint> {
-        let entries = self.entries.load(Ordering::Relaxed) as usize;
+    /// Returns the endpoints of a service that this entry uses.
+    fn used_endpoints(&self, document: &ServiceDocument) -> Vec<ListedEndpoint> {
+        let entry_count = self.entry_count.load(Ordering::Relaxed) as usize;
         let settings = &self.settings;
-        let open = listed(document);
-        subset::choose(&settings.name, &settings.domain, &open, entries)
+        let available = listed_endpoints(document);
+        subset::choose(&settings.name, &settings.domain, &available, entry_count)
     }
 
-    fn lane(&self, service: &ServiceId) -> Named {
+    fn new_dispatch(&self, service: &ServiceId) -> NamedDispatch {
         let seed = rand::rng().random();
         let settings = &self.settings;
         let domain = settings.domain.clone();
-        Named {
+        NamedDispatch {
             service: service.clone(),
-            lane: Lane {
-                pool: Pool::new(settings.waiting, settings.placement, domain, seed),
+            dispatch: ServiceDispatch {
+                pool: ServicePool::new(
+                    settings.queue_bounds,
+                    settings.placement,
+                    domain,
+                    seed,
+                ),
                 budget: Arc::default(),
             },
         }
     }
 
-    /// Waiting and placement of one service.
-    pub(crate) fn find_lane(&self, service: &str) -> Option<Lane> {
-        let lanes = self.lanes.load();
-        let at = lanes.binary_search_by(|lane| lane.service.as_str().cmp(service));
-        at.ok().map(|at| lanes[at].lane.clone())
+    /// Returns the dispatch state of a service.
+    pub(crate) fn find_dispatch(&self, service: &str) -> Option<ServiceDispatch> {
+        let dispatches = self.dispatches.load();
+        let at = dispatches.binary_search_by(|named| named.service.as_str().cmp(service));
+        at.ok().map(|at| dispatches[at].dispatch.clone())
     }
 }
 
-fn listed(document: &ServiceDocument) -> Vec<ListedEndpoint> {
-    let open = document.endpoints.iter().filter(|e| !e.leaving);
-    open.map(|endpoint| ListedEndpoint {
-        name: endpoint.name.clone(),
-        domain: endpoint.domain.clone(),
-    })
-    .collect()
+fn listed_endpoints(document: &ServiceDocument) -> Vec<ListedEndpoint> {
+    let available = document.endpoints.iter().filter(|e| !e.leaving);
+    available
+        .map(|endpoint| ListedEndpoint {
+            name: endpoint.name.clone(),
+            domain: endpoint.domain.clone(),
+        })
+        .collect()
 }
 
-/// Follows the documents, where control instances are named.
-async fn follow(core: Arc<Core>) {
+/// Watches the documents at the control instances, if any are configured.
+async fn watch_documents(core: Arc<Core>) {
     if core.settings.control.is_empty() {
         return;
     }
-    let follower = DocumentWatcher {
+    let watcher = DocumentWatcher {
         daemon: core.settings.name.clone(),
         entry: true,
         service: None,
         control: core.settings.control.clone(),
-        client: core.runner.caller.clone(),
+        client: core.runner.client.clone(),
         jitter_seed: rand::rng().random(),
-        newest: core.runner.heard.subscribe(),
+        newest: core.runner.newest_revision.subscribe(),
     };
-    let heed = |changes: AppliedChanges| {
-        core.share(changes.entries);
+    let apply = |changes: AppliedChanges| {
+        core.set_entry_count(changes.entries);
         core.cut_off.set(0);
         let documents = changes.documents.into_iter();
         let services = documents.map(|accepted| Service {
@@ -282,20 +292,20 @@
         });
         core.install(changes.revision, services.collect());
     };
-    let failed = || core.cut_off.set(1);
-    follower.run(heed, failed).await;
+    let on_failure = || core.cut_off.set(1);
+    watcher.run(apply, on_failure).await;
 }
 
-/// Tries waiting requests again at fixed times.
+/// Retries queued requests at a fixed interval.
 async fn tick(core: Arc<Core>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     loop {
         ticks.tick().await;
-        let lanes = core.lanes.load_full();
+        let dispatches = core.dispatches.load_full();
         let mut waiting = 0;
-        for named in lanes.iter() {
-            named.lane.pool.tick();
-            waiting += named.lane.pool.waiting();
+        for named in dispatches.iter() {
+            named.dispatch.pool.tick();
+            waiting += named.dispatch.pool.waiting();
         }
         core.waiting.set(waiting as i64);
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,21 +1,21 @@
-//! The caller-facing daemon.
+//! The entry: the daemon that serves callers.
 //!
-//! A request passes through the modules in this order: `routes` takes it in,
-//! [`request`] reads who sent it and what it asks for, against the documents in force ([`table`]);
-//! [`quotas`] applies the workspace's limits; [`pool`] holds it until an
-//! endpoint is believed to have room; [`attempt`] asks that endpoint's agent
-//! to run it, again elsewhere where that is safe ([`call`]); and [`deliver`]
-//! passes the answer on, never as complete unless it is.
+//! A request passes through the modules in this order: `routes` receives it; [`request`]
+//! authenticates the caller and resolves service and class against the documents in force
+//! ([`table`]); [`quotas`] applies the limits of the workspace; [`pool`] queues it until
+//! an endpoint is estimated to have room; [`attempt`] sends it to the agent of that
+//! endpoint, and again to another one where that is safe ([`call`]); and [`deliver`]
+//! passes the answer on, marking it as complete only if it is.
 //!
-//! What the caller is told of the outcome follows one rule: `not-run` is said
-//! only where every try ended with a definite refusal or was never sent.
+//! The outcome `not-run` is reported to a caller only if every attempt was definitely
+//! refused or never sent.
 
 pub mod attempt;
 pub mod call;
 pub mod claims;
 pub mod deliver;
 pub mod entry;
-mod once;
+mod non_idempotent;
 pub mod pool;
 pub mod quotas;
 pub mod refusal;
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/non_idempotent.rs
@@ -1,12 +1,12 @@
-//! Non-idempotent calls: claimed before they run, answered from the record
-//! afterwards.
+//! Non-idempotent calls: claimed before they run, and answered from the recorded response
+//! if they are repeated.
 
-use crate::call::Ran;
-use crate::deliver::Content;
+use crate::call::Answered;
+use crate::deliver::AnswerBody;
 use crate::entry::Core;
-use crate::refusal::{Cause, Refusal, mark};
+use crate::refusal::{Cause, Refusal, set_outcome};
 use crate::request::Call;
-use crate::serve::{Done, attempt, counts_of, finish, run};
+use crate::serve::{CompletedCall, build_response, execute, refusal_counts, run};
 use axum::body::Body;
 use axum::response::Response;
 use dogwoodhill_core::prelude::*;
@@ -18,30 +18,30 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Largest answer that is recorded with a claim.
-const MAX_RECORDED: usize = 64 * 1024;
-/// Time beyond the deadline until a claim without a reported end counts as
-/// unknown: the agent reads a non-idempotent answer on after its entry died.
+/// Largest answer that is recorded with a claim, in bytes.
+const MAX_RECORDED_BYTES: usize = 64 * 1024;
+/// Time after the deadline until a claim without a reported end counts as unknown. The
+/// agent reads a non-idempotent answer to its end even after its entry has crashed.
 const CLAIM_GRACE: Duration = Duration::from_secs(30);
-/// Advice where control does not answer.
+/// `Retry-After` while a claim is unconfirmed or in progress.
 const CONTROL_RETRY: Duration = Duration::from_secs(2);
 
-/// Runs a non-idempotent call: claimed first where it carries a key.
-pub(crate) async fn once(
+/// Runs a non-idempotent call, after taking a claim if it carries an idempotency key.
+pub(crate) async fn run_non_idempotent(
     core: &Arc<Core>,
     call: Call,
     arrived: Instant,
-    busy: Busy,
+    drain_guard: Busy,
 ) -> Result<Response, Refusal> {
-    let Some(take) = take_of(core, &call) else {
-        return run(core, call, arrived, busy).await;
+    let Some(take) = claim_request(core, &call) else {
+        return run(core, call, arrived, drain_guard).await;
     };
-    if let Some(response) = claim(core, &take).await? {
+    if let Some(response) = take_claim(core, &take).await? {
         return Ok(response);
     }
-    let done = attempt(core, &call, arrived).await;
-    let ended = match &done {
-        Ok(done) => ClaimEnd::Ran(recorded(&done.ran)),
+    let result = execute(core, &call, arrived).await;
+    let ended = match &result {
+        Ok(completed) => ClaimEnd::Ran(record(&completed.answered)),
         Err(refusal) if refusal.outcome == Outcome::NotRun => ClaimEnd::NotRun,
         Err(_) => ClaimEnd::Unknown,
     };
@@ -51,18 +51,28 @@
         ended,
     };
     tokio::spawn(report_end(Arc::clone(core), report, call.id.clone()));
-    let Done { ran, held } = done.inspect_err(|refusal| {
-        core.stats
-            .add(&call, counts_of(refusal), &refusal.outcome.to_string());
+    let CompletedCall { answered, quota } = result.inspect_err(|refusal| {
+        core.stats.record_request(
+            &call,
+            refusal_counts(refusal),
+            &refusal.outcome.to_string(),
+        );
     })?;
-    Ok(finish(core, call, ran, held, arrived, busy))
+    Ok(build_response(
+        core,
+        call,
+        answered,
+        quota,
+        arrived,
+        drain_guard,
+    ))
 }
 
-/// Reports how a claimed request ended, while its caller is answered already.
-/// Should this entry stop before, the claim becomes unknown, which is safe:
-/// the key is never granted again.
+/// Reports the end of a claimed request while the caller is already answered. If this
+/// entry stops before, the claim becomes unknown, which is safe: the key is never granted
+/// again.
 async fn report_end(core: Arc<Core>, report: FinishClaim, request: RequestId) {
-    let _busy = core.drain.enter();
+    let _drain_guard = core.drain.enter();
     if core.claims.finish(&report).await.is_err() {
         Event::new("claim-end-unreported")
             .field("request", request)
@@ -70,7 +80,7 @@
     }
 }
 
-fn take_of(core: &Arc<Core>, call: &Call) -> Option<TakeClaim> {
+fn claim_request(core: &Arc<Core>, call: &Call) -> Option<TakeClaim> {
     let key = call.key.clone()?;
     let mut digest = Sha256::new();
     for part in [call.method.as_bytes(), call.path.as_bytes(), &call.body] {
@@ -84,36 +94,39 @@
             key,
         },
         digest: digest.finalize().into(),
-        holder: core.runner.ids.make(),
+        holder: core.runner.ids.next_id(),
         duration: call.timeout + CLAIM_GRACE,
         retention: call.service.document.retention,
     })
 }
 
-/// Claims a request; a response where it ended before.
-async fn claim(core: &Arc<Core>, take: &TakeClaim) -> Result<Option<Response>, Refusal> {
-    let taken = core.claims.take(take).await.map_err(|unconfirmed| {
+/// Takes the claim of a request; returns a response if the request has already ended.
+async fn take_claim(
+    core: &Arc<Core>,
+    take: &TakeClaim,
+) -> Result<Option<Response>, Refusal> {
+    let reply = core.claims.take(take).await.map_err(|error| {
         Refusal::not_run(
             Cause::Unavailable,
-            &unconfirmed.to_string(),
+            &error.to_string(),
             "send the request again with the same Idempotency-Key",
         )
-        .come_back(CONTROL_RETRY)
+        .with_retry_after(CONTROL_RETRY)
     })?;
-    match taken {
+    match reply {
         ClaimReply::Granted => Ok(None),
         ClaimReply::InProgress => Err(Refusal::unknown(
             Cause::KeyInProgress,
             "a request with this Idempotency-Key is in progress",
             "ask again later with the same key and body",
         )
-        .come_back(CONTROL_RETRY)),
+        .with_retry_after(CONTROL_RETRY)),
         ClaimReply::Reused => Err(Refusal::not_run(
             Cause::KeyReused,
             "the Idempotency-Key was used with another request",
             "use a new key for a new request",
         )),
-        ClaimReply::Ended(ClaimEnd::Ran(recorded)) => replay(recorded).map(Some),
+        ClaimReply::Ended(ClaimEnd::Ran(record)) => replay(record).map(Some),
         ClaimReply::Ended(_) => Err(Refusal::unknown(
             Cause::BrokenAnswer,
             "the request with this Idempotency-Key may have run; its answer was lost",
@@ -122,21 +135,23 @@
     }
 }
 
-fn recorded(ran: &Ran) -> RecordedResponse {
-    let body = match &ran.opened.content {
-        Content::Whole { body, .. } if body.len() <= MAX_RECORDED => Some(body.clone()),
+fn record(answered: &Answered) -> RecordedResponse {
+    let body = match &answered.answer.body {
+        AnswerBody::Complete { body, .. } if body.len() <= MAX_RECORDED_BYTES => {
+            Some(body.clone())
+        }
         _ => None,
     };
     RecordedResponse {
-        status: ran.opened.status,
-        headers: ran.opened.headers.clone(),
+        status: answered.answer.status,
+        headers: answered.answer.headers.clone(),
         body,
     }
 }
 
-/// The recorded answer, as it was.
-fn replay(recorded: RecordedResponse) -> Result<Response, Refusal> {
-    let Some(body) = recorded.body else {
+/// Builds the response from the recorded answer.
+fn replay(record: RecordedResponse) -> Result<Response, Refusal> {
+    let Some(body) = record.body else {
         return Err(Refusal {
             outcome: Outcome::Ran,
             ..Refusal::not_run(
@@ -147,9 +162,9 @@
         });
     };
     let mut response = Response::new(Body::from(body));
-    *response.status_mut() = http::StatusCode::from_u16(recorded.status)
+    *response.status_mut() = http::StatusCode::from_u16(record.status)
         .unwrap_or(http::StatusCode::BAD_GATEWAY);
-    dogwoodhill_wire::attempt::add_headers(response.headers_mut(), &recorded.headers);
-    mark(&mut response, Outcome::Ran);
+    dogwoodhill_wire::attempt::add_headers(response.headers_mut(), &record.headers);
+    set_outcome(&mut response, Outcome::Ran);
     Ok(response)
 }
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -1,9 +1,9 @@
-//! Waiting and placement of one service: the shell around
+//! Queue and placement of one service: the thread-safe, asynchronous wrapper of
 //! [`dogwoodhill_policy::dispatch`].
 //!
-//! A request waits on a channel whose other end is its payload in the
-//! machine. Its place at an endpoint is a guard ([`Place`]): dropping it
-//! counts the request out and lets the next one start.
+//! A request waits on a oneshot channel whose sender is its payload in the dispatcher.
+//! Its [`Placement`] at an endpoint is a guard: dropping it ends the request at that
+//! endpoint and may start the next one.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::Moment;
@@ -17,32 +17,32 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// How often waiting requests are tried again without any event. Slots that
-/// other entries' requests free are noticed by this alone.
-pub const TICK: Duration = Duration::from_millis(20);
+/// Interval at which queued requests are retried without any event. Only this retry
+/// notices slots that requests of other entries have freed.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What became of a waiting request.
+/// How the wait of a queued request ended.
 #[derive(Debug)]
-enum Turn {
+enum WaitOutcome {
     Started(Started<()>),
     Shed(Moment),
     Expired,
 }
 
-type Reply = oneshot::Sender<Turn>;
+type Reply = oneshot::Sender<WaitOutcome>;
 
-/// Why a request got no place.
+/// Why a queued request was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// It gave way; advice when to come back.
+pub enum QueueError {
+    /// It was shed in favor of other requests; the caller should retry after this time.
     Shed(Duration),
     /// Its deadline passed.
     Expired,
 }
 
-/// Waiting and placement of one service. Clones share it.
+/// Queue and placement of one service. Clones share the same state.
 #[derive(Clone, Debug)]
-pub struct Pool {
+pub struct ServicePool {
     inner: Arc<Inner>,
 }
 
@@ -54,16 +54,16 @@
 
 #[derive(Debug)]
 struct State {
-    machine: Dispatcher<Reply>,
-    random: SmallRng,
+    dispatcher: Dispatcher<Reply>,
+    rng: SmallRng,
 }
 
-impl Pool {
-    /// Makes a pool without endpoints; `seed` starts its random source.
+impl ServicePool {
+    /// Creates a pool without endpoints; `seed` initializes its random number generator.
     pub fn new(bounds: Bounds, policy: Policy, domain: DomainId, seed: u64) -> Self {
         let state = State {
-            machine: Dispatcher::new(bounds, policy.build(domain)),
-            random: SmallRng::seed_from_u64(seed),
+            dispatcher: Dispatcher::new(bounds, policy.build(domain)),
+            rng: SmallRng::seed_from_u64(seed),
         };
         Self {
             inner: Arc::new(Inner {
@@ -73,68 +73,71 @@
         }
     }
 
-    /// The pool's clock.
+    /// Returns the time on the pool's clock.
     pub fn now(&self) -> Moment {
         self.inner.start.elapsed()
     }
 
-    /// Follows the document's endpoints.
-    pub fn list(&self, listed: &[ListedEndpoint]) {
-        self.lock().machine.set_endpoints(listed);
+    /// Replaces the list of endpoints.
+    pub fn set_endpoints(&self, listed: &[ListedEndpoint]) {
+        self.lock().dispatcher.set_endpoints(listed);
         self.tick();
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.lock().machine.queue().len()
+        self.lock().dispatcher.queue().len()
     }
 
-    /// Waits for a place.
+    /// Queues a request until it is placed at an endpoint.
     ///
     /// # Errors
     ///
-    /// [`Denied`]; nothing was sent.
-    pub async fn enter(&self, item: Item) -> Result<Place, Denied> {
-        let (reply, turn) = oneshot::channel();
+    /// [`QueueError`]; the request was not sent.
+    pub async fn acquire(&self, item: Item) -> Result<Placement, QueueError> {
+        let (reply, outcome) = oneshot::channel();
         let now = self.now();
         let actions = {
             let mut state = self.lock();
-            let State { machine, random } = &mut *state;
-            machine.arrive(now, item, reply, random)
+            let State { dispatcher, rng } = &mut *state;
+            dispatcher.arrive(now, item, reply, rng)
         };
-        self.act(actions);
-        self.wait(turn).await
+        self.apply(actions);
+        self.wait(outcome).await
     }
 
-    /// Tries waiting requests again and drops those whose caller is gone.
+    /// Retries queued requests and drops those whose caller has disconnected.
     pub fn tick(&self) {
         let now = self.now();
         let actions = {
             let mut state = self.lock();
-            let State { machine, random } = &mut *state;
-            if machine.queue().is_empty() {
+            let State { dispatcher, rng } = &mut *state;
+            if dispatcher.queue().is_empty() {
                 return;
             }
-            machine.tick(now, oneshot::Sender::is_closed, random)
+            dispatcher.tick(now, oneshot::Sender::is_closed, rng)
         };
-        self.act(actions);
+        self.apply(actions);
     }
 
-    async fn wait(&self, turn: oneshot::Receiver<Turn>) -> Result<Place, Denied> {
-        match turn.await {
-            Ok(Turn::Started(started)) => Ok(Place {
+    async fn wait(
+        &self,
+        outcome: oneshot::Receiver<WaitOutcome>,
+    ) -> Result<Placement, QueueError> {
+        match outcome.await {
+            Ok(WaitOutcome::Started(started)) => Ok(Placement {
                 pool: self.clone(),
                 started: Some(started),
             }),
-            Ok(Turn::Shed(after)) => Err(Denied::Shed(after)),
-            // The machine only drops a payload whose receiver is gone.
-            Ok(Turn::Expired) | Err(_) => Err(Denied::Expired),
+            Ok(WaitOutcome::Shed(after)) => Err(QueueError::Shed(after)),
+            // The dispatcher only drops a payload whose receiver is gone.
+            Ok(WaitOutcome::Expired) | Err(_) => Err(QueueError::Expired),
         }
     }
 
-    /// Tells each request what became of it. A started one whose caller went
-    /// away meanwhile ends at once, which may start others.
-    fn act(&self, actions: Vec<Action<Reply>>) {
+    /// Applies the actions of the dispatcher. A request that starts after its caller has
+    /// disconnected ends immediately, which may start others.
+    fn apply(&self, actions: Vec<Action<Reply>>) {
         let mut pending = actions;
         while let Some(action) = pending.pop() {
             if let Some(view) = notify(action) {
@@ -143,136 +146,144 @@
         }
     }
 
-    fn end(&self, view: usize, load: Option<&Load>, whole: bool) -> Vec<Action<Reply>> {
+    fn end(
+        &self,
+        view: usize,
+        load: Option<&Load>,
+        complete: bool,
+    ) -> Vec<Action<Reply>> {
         let now = self.now();
         let mut state = self.lock();
-        let State { machine, random } = &mut *state;
-        machine.ended(now, view, load, whole, random)
+        let State { dispatcher, rng } = &mut *state;
+        dispatcher.ended(now, view, load, complete, rng)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // The machine's counts stay valid even if a holder panicked.
+        // The dispatcher's counts remain valid if a thread panicked while holding the
+        // lock.
         self.inner
             .state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// Sends an action to its request; the view of one that started in vain.
+/// Sends the outcome to the waiting request; returns the view of a started request whose
+/// receiver is gone.
 fn notify(action: Action<Reply>) -> Option<usize> {
     match action {
         Action::Start(started) => {
             let view = started.view;
-            let swapped = started.waiting.swap(());
-            let turn = Turn::Started(Started {
+            let parts = started.waiting.swap(());
+            let outcome = WaitOutcome::Started(Started {
                 view,
                 endpoint: started.endpoint,
                 due: started.due,
                 fence: started.fence,
-                waiting: swapped.waiting,
+                waiting: parts.waiting,
             });
-            swapped.payload.send(turn).is_err().then_some(view)
+            parts.payload.send(outcome).is_err().then_some(view)
         }
         Action::Shed { waiting, after } => {
-            let _ = waiting.payload.send(Turn::Shed(after));
+            let _ = waiting.payload.send(WaitOutcome::Shed(after));
             None
         }
         Action::Expired(waiting) => {
-            let _ = waiting.payload.send(Turn::Expired);
+            let _ = waiting.payload.send(WaitOutcome::Expired);
             None
         }
     }
 }
 
-/// A request's place at an endpoint; its drop counts the request out.
+/// The placement of a request at an endpoint; dropping it ends the request there.
 #[derive(Debug)]
-pub struct Place {
-    pool: Pool,
+pub struct Placement {
+    pool: ServicePool,
     started: Option<Started<()>>,
 }
 
-impl Place {
+impl Placement {
     fn started(&self) -> &Started<()> {
         self.started.as_ref().expect("held until consumed")
     }
 
-    /// Position of the endpoint among the pool's views.
+    /// Returns the index of the endpoint among the views of the pool.
     pub fn view(&self) -> usize {
         self.started().view
     }
 
-    /// Name of the endpoint.
+    /// Returns the name of the endpoint.
     pub fn endpoint(&self) -> &EndpointId {
         &self.started().endpoint
     }
 
-    /// Whether the class was owed this start.
+    /// Returns whether the start was due to the starvation limit of the class.
     pub fn due(&self) -> bool {
         self.started().due
     }
 
-    /// Highest fencing number the endpoint's agent has shown.
+    /// Returns the highest fencing token that the endpoint's agent has reported.
     pub fn fence(&self) -> Fence {
         self.started().fence
     }
 
-    /// What the order depended on.
+    /// Returns the queue item, with the values that determine its order.
     pub fn item(&self) -> &Item {
         &self.started().waiting.item
     }
 
-    /// Takes in a load report that arrived with an answer.
-    pub fn report(&self, load: &Load) {
+    /// Records a load report that arrived with an answer.
+    pub fn record_load(&self, load: &Load) {
         let now = self.pool.now();
-        self.pool.lock().machine.report(now, self.view(), load);
+        self.pool.lock().dispatcher.report(now, self.view(), load);
     }
 
-    /// Notes that the endpoint or its agent could not be reached.
+    /// Records that the endpoint or its agent could not be reached.
     pub fn unreachable(&self) {
         let now = self.pool.now();
-        self.pool.lock().machine.unreachable(now, self.view());
+        self.pool.lock().dispatcher.unreachable(now, self.view());
     }
 
-    /// The answer arrived whole.
-    pub fn finish(mut self, load: Option<&Load>) {
+    /// Ends the request after a complete answer.
+    pub fn complete(mut self, load: Option<&Load>) {
         if let Some(started) = self.started.take() {
             let actions = self.pool.end(started.view, load, true);
-            self.pool.act(actions);
+            self.pool.apply(actions);
         }
     }
 
-    /// The agent refused: moves on to another endpoint, or waits again.
+    /// After a refusal by the agent, places the request at another endpoint or queues it
+    /// again.
     ///
     /// # Errors
     ///
-    /// [`Denied`]; nothing was sent.
-    pub async fn refused(
+    /// [`QueueError`]; the request was not sent.
+    pub async fn reassign(
         mut self,
         load: Option<&Load>,
         tried: &[usize],
-    ) -> Result<Self, Denied> {
+    ) -> Result<Self, QueueError> {
         let pool = self.pool.clone();
         let started = self.started.take().expect("held until consumed");
-        let (reply, turn) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         let waiting: Waiting<Reply> = started.waiting.swap(reply).waiting;
         let now = pool.now();
         let actions = {
             let mut state = pool.lock();
-            let State { machine, random } = &mut *state;
+            let State { dispatcher, rng } = &mut *state;
             let view = started.view;
-            machine.refused(now, view, load, waiting, tried, random)
+            dispatcher.refused(now, view, load, waiting, tried, rng)
         };
-        pool.act(actions);
-        pool.wait(turn).await
+        pool.apply(actions);
+        pool.wait(outcome).await
     }
 }
 
-impl Drop for Place {
+impl Drop for Placement {
     fn drop(&mut self) {
         if let Some(started) = self.started.take() {
             let actions = self.pool.end(started.view, None, false);
-            self.pool.act(actions);
+            self.pool.apply(actions);
         }
     }
 }
--- a/crates/entry/src/quotas.rs
+++ b/crates/entry/src/quotas.rs
@@ -1,102 +1,105 @@
-//! Workspace limits in one entry; a request's count is a guard.
+//! The limits of workspaces, applied by one entry.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::quota::{Excess, Limits, Quota};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// Counts of one workspace in one service.
+/// The quota of one workspace in one service.
 #[derive(Debug)]
-struct Count {
+struct WorkspaceQuota {
     service: ServiceId,
     workspace: WorkspaceId,
     quota: Quota,
 }
 
-/// Counts of all workspaces, sorted by service and workspace. Clones share
-/// them.
+/// Quotas of all workspaces, sorted by service and workspace. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Quotas {
-    counts: Arc<Mutex<Vec<Count>>>,
+    quotas: Arc<Mutex<Vec<WorkspaceQuota>>>,
     start: Instant,
 }
 
 impl Default for Quotas {
     fn default() -> Self {
         Self {
-            counts: Arc::default(),
+            quotas: Arc::default(),
             start: Instant::now(),
         }
     }
 }
 
 impl Quotas {
-    /// Counts one request in.
+    /// Counts a request against the quota until the guard is dropped.
     ///
     /// # Errors
     ///
-    /// [`Excess`] where the workspace is at its limits.
+    /// [`Excess`] if the workspace is at a limit.
     pub fn take(
         &self,
         service: &ServiceId,
         workspace: &WorkspaceId,
         limits: &Limits,
-    ) -> Result<Held, Excess> {
+    ) -> Result<QuotaGuard, Excess> {
         let now = self.start.elapsed();
-        let mut counts = self.lock();
-        let at = match find(&counts, service, workspace) {
+        let mut quotas = self.lock();
+        let at = match position(&quotas, service, workspace) {
             Ok(at) => at,
             Err(at) => {
-                let count = Count {
+                let quota = WorkspaceQuota {
                     service: service.clone(),
                     workspace: workspace.clone(),
                     quota: Quota::new(now),
                 };
-                counts.insert(at, count);
+                quotas.insert(at, quota);
                 at
             }
         };
-        counts[at].quota.take(now, limits)?;
-        Ok(Held {
+        quotas[at].quota.take(now, limits)?;
+        Ok(QuotaGuard {
             quotas: self.clone(),
             service: service.clone(),
             workspace: workspace.clone(),
         })
     }
 
-    /// Requests of a workspace in flight.
+    /// Returns the number of requests that a workspace has in flight.
     pub fn in_flight(&self, service: &str, workspace: &str) -> u32 {
-        let counts = self.lock();
-        let found = find(&counts, service, workspace);
-        found.map_or(0, |at| counts[at].quota.in_flight())
+        let quotas = self.lock();
+        let found = position(&quotas, service, workspace);
+        found.map_or(0, |at| quotas[at].quota.in_flight())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Count>> {
-        // Counts stay valid numbers even if a holder panicked.
-        self.counts
+    fn lock(&self) -> MutexGuard<'_, Vec<WorkspaceQuota>> {
+        // The counts remain valid numbers if a thread panicked while holding the lock.
+        self.quotas
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-fn find(counts: &[Count], service: &str, workspace: &str) -> Result<usize, usize> {
+fn position(
+    quotas: &[WorkspaceQuota],
+    service: &str,
+    workspace: &str,
+) -> Result<usize, usize> {
     let key = (service, workspace);
-    counts.binary_search_by(|c| (c.service.as_str(), c.workspace.as_str()).cmp(&key))
+    quotas.binary_search_by(|c| (c.service.as_str(), c.workspace.as_str()).cmp(&key))
 }
 
-/// One request in flight; its drop counts it out.
+/// A request in flight, counted against a quota; dropping it releases the count.
 #[derive(Debug)]
-pub struct Held {
+pub struct QuotaGuard {
     quotas: Quotas,
     service: ServiceId,
     workspace: WorkspaceId,
 }
 
-impl Drop for Held {
+impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        let mut counts = self.quotas.lock();
-        if let Ok(at) = find(&counts, &self.service, &self.workspace) {
-            counts[at].quota.release();
+        let mut quotas = self.quotas.lock();
+        if let Ok(at) = position(&quotas, &self.service, &self.workspace) {
+            quotas[at].quota.release();
         }
     }
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it gets no answer.
+//! Error responses to callers.
 
 use axum::response::{IntoResponse, Response};
 use derive_more::{Display, Error};
@@ -6,58 +6,58 @@
 use http::{HeaderValue, StatusCode, header};
 use serde::Serialize;
 
-/// Header that tells the outcome.
+/// Response header with the outcome of the request.
 pub const OUTCOME_HEADER: &str = "x-outcome";
-/// Header that names the request.
+/// Header with the request id.
 pub const REQUEST_HEADER: &str = "x-request-id";
 
-/// Why a request got no answer.
+/// Why a request got no answer. The names are part of the error object.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The request can't be understood.
+    /// The request is invalid.
     #[display("bad_request")]
     BadRequest,
     /// The key is missing or unknown.
     #[display("unknown_key")]
     UnknownKey,
-    /// The service is unknown to this workspace.
+    /// The key grants access to no such service.
     #[display("unknown_service")]
     UnknownService,
-    /// The service has no such class.
+    /// The service does not define the requested class.
     #[display("unknown_class")]
     UnknownClass,
-    /// The same idempotency key is in progress.
+    /// A request with the same idempotency key is in progress.
     #[display("key_in_progress")]
     KeyInProgress,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was used with a different request.
     #[display("key_reused")]
     KeyReused,
-    /// The service takes no new work any more.
+    /// The service is retiring and accepts no new requests.
     #[display("retired_service")]
     RetiredService,
-    /// The body is too large.
+    /// The body exceeds the size limit.
     #[display("too_large")]
     TooLarge,
-    /// The workspace is over its limits.
+    /// The workspace exceeds its limits.
     #[display("over_limit")]
     OverLimit,
-    /// The request gave way to others.
+    /// The request was dropped from a full queue in favor of more urgent ones.
     #[display("shed")]
     Shed,
-    /// Nothing can take the request now.
+    /// No endpoint or no control instance is available.
     #[display("unavailable")]
     Unavailable,
-    /// The endpoint's answer broke off.
+    /// The endpoint's answer was incomplete.
     #[display("broken_answer")]
     BrokenAnswer,
-    /// The deadline passed.
+    /// The deadline passed before the answer was complete.
     #[display("deadline_passed")]
     DeadlinePassed,
 }
 
 impl Cause {
-    /// HTTP status of the cause.
+    /// Returns the HTTP status of the cause.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadRequest => StatusCode::BAD_REQUEST,
@@ -75,20 +75,20 @@
     }
 }
 
-/// A request that got no answer.
+/// An error response to a request without an answer.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{cause}: {message}; {remedy}")]
 pub struct Refusal {
-    /// Why.
+    /// The machine-readable cause.
     pub cause: Cause,
-    /// What is known of the request's fate.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// What happened, for a person.
+    /// Human-readable description of the error.
     pub message: String,
-    /// What the caller can do.
+    /// Human-readable advice to the caller.
     pub remedy: String,
-    /// When to come back, where that makes sense.
-    pub after: Option<Duration>,
+    /// Value of the `Retry-After` header, if a later retry makes sense.
+    pub retry_after: Option<Duration>,
 }
 
 #[derive(Serialize)]
@@ -106,18 +106,18 @@
 }
 
 impl Refusal {
-    /// A request of which nothing was sent to an endpoint.
+    /// Creates a refusal of a request that was not sent to any endpoint.
     pub fn not_run(cause: Cause, message: &str, remedy: &str) -> Self {
         Self {
             cause,
             outcome: Outcome::NotRun,
             message: message.to_string(),
             remedy: remedy.to_string(),
-            after: None,
+            retry_after: None,
         }
     }
 
-    /// A request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(cause: Cause, message: &str, remedy: &str) -> Self {
         Self {
             outcome: Outcome::Unknown,
@@ -125,14 +125,14 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
-    pub fn come_back(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
-    /// The JSON error object.
+    /// Returns the JSON error object that is sent to the caller.
     pub fn json(&self) -> String {
         let body = ErrorBody {
             error: ErrorObject {
@@ -153,17 +153,17 @@
         let headers = response.headers_mut();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
-        if let Some(after) = self.after {
-            let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
+        if let Some(retry_after) = self.retry_after {
+            let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        mark(&mut response, self.outcome);
+        set_outcome(&mut response, self.outcome);
         response
     }
 }
 
 /// Sets the outcome header of a response.
-pub fn mark(response: &mut Response, outcome: Outcome) {
+pub fn set_outcome(response: &mut Response, outcome: Outcome) {
     let value = match outcome {
         Outcome::Ran => "ran",
         Outcome::NotRun => "not-run",
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request against the documents in force.
+//! Validation of a caller's request against the documents in force.
 
 use crate::refusal::{Cause, REQUEST_HEADER, Refusal};
 use crate::table::{Service, Table};
@@ -12,45 +12,45 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// Header that names the class.
+/// Request header that selects the class.
 pub const CLASS_HEADER: &str = "x-service-class";
-/// Header that shortens the deadline.
+/// Request header with a shorter timeout than that of the class.
 pub const TIMEOUT_HEADER: &str = "x-request-timeout";
-/// Header that names a non-idempotent request.
+/// Request header that identifies a non-idempotent request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Longest request id and idempotency key.
-const MAX_ID: usize = 128;
-/// Prefix of paths to plain services.
+/// Maximum length of a request id and of an idempotency key.
+const MAX_ID_LEN: usize = 128;
+/// Path prefix of plain services.
 pub const SERVICES_PREFIX: &str = "/services/";
 
-/// A request that was understood.
+/// A validated request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Id, as given by the caller or made.
+    /// Request id, from the caller or generated.
     pub id: RequestId,
-    /// Service, under the revision in force when the request arrived.
+    /// Service, at the revision in force when the request arrived.
     pub service: Service,
-    /// Class.
+    /// Class of the request.
     pub class: Class,
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: Workspace,
-    /// Time until the caller's deadline, from arrival.
+    /// Time from the arrival to the deadline.
     pub timeout: Duration,
-    /// Whether a stream was asked for.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Idempotency key, if one was given.
+    /// Idempotency key, if present.
     pub key: Option<String>,
     /// HTTP method.
     pub method: String,
-    /// Path and query at the endpoint.
+    /// Path and query for the endpoint.
     pub path: String,
-    /// End-to-end headers.
+    /// End-to-end headers of the request.
     pub headers: Vec<Header>,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// What the router reads of a model request's body.
+/// The fields of a model request's body that the router reads.
 #[derive(Deserialize)]
 struct ModelBody {
     model: String,
@@ -58,20 +58,21 @@
     stream: bool,
 }
 
-/// The id a caller gave, if it is usable.
-pub fn given_id(headers: &HeaderMap) -> Option<RequestId> {
+/// Returns the request id from the caller, if it is valid.
+pub fn caller_request_id(headers: &HeaderMap) -> Option<RequestId> {
     let id = headers.get(REQUEST_HEADER)?.to_str().ok()?;
-    let usable =
-        !id.is_empty() && id.len() <= MAX_ID && id.chars().all(|c| c.is_ascii_graphic());
-    usable.then(|| id.to_string())
+    let valid = !id.is_empty()
+        && id.len() <= MAX_ID_LEN
+        && id.chars().all(|c| c.is_ascii_graphic());
+    valid.then(|| id.to_string())
 }
 
-/// The workspace key of a request.
+/// Returns the hash of the workspace key of a request.
 ///
 /// # Errors
 ///
-/// 401 where there is none.
-pub fn bearer(headers: &HeaderMap) -> Result<KeyHash, Refusal> {
+/// [`Cause::UnknownKey`] if the request carries no key.
+pub fn bearer_key(headers: &HeaderMap) -> Result<KeyHash, Refusal> {
     let value = headers.get(http::header::AUTHORIZATION);
     let text = value.and_then(|value| value.to_str().ok());
     let key = text.and_then(|text| text.strip_prefix("Bearer "));
@@ -84,20 +85,20 @@
     })
 }
 
-/// Reads a request for a model service.
+/// Validates a request for a model service.
 ///
 /// # Errors
 ///
-/// [`Refusal`] that names what is wrong.
+/// [`Refusal`] with the error and its remedy.
 pub fn model_call(
     table: &Arc<Table>,
     id: RequestId,
     parts: &Parts,
     body: Bytes,
 ) -> Result<Call, Refusal> {
-    let key = bearer(&parts.headers)?;
-    known(table, &key)?;
-    let read: ModelBody = serde_json::from_slice(&body).map_err(|error| {
+    let key = bearer_key(&parts.headers)?;
+    check_key(table, &key)?;
+    let parsed: ModelBody = serde_json::from_slice(&body).map_err(|error| {
         Refusal::not_run(
             Cause::BadRequest,
             &format!("the body is not a valid request: {error}"),
@@ -105,34 +106,34 @@
         )
     })?;
     let path = parts.uri.path().to_string();
-    let service = find(table, &key, &read.model, Kind::Model)?;
+    let service = find_service(table, &key, &parsed.model, Kind::Model)?;
     let mut call = call(service, &key, table, id, parts, path, body)?;
-    call.stream = read.stream;
+    call.stream = parsed.stream;
     Ok(call)
 }
 
-/// Reads a request for a plain service, `/services/{service}/{path}`.
+/// Validates a request for a plain service, `/services/{service}/{path}`.
 ///
 /// # Errors
 ///
-/// [`Refusal`] that names what is wrong.
+/// [`Refusal`] with the error and its remedy.
 pub fn plain_call(
     table: &Arc<Table>,
     id: RequestId,
     parts: &Parts,
     body: Bytes,
 ) -> Result<Call, Refusal> {
-    let key = bearer(&parts.headers)?;
-    known(table, &key)?;
+    let key = bearer_key(&parts.headers)?;
+    check_key(table, &key)?;
     let rest = parts.uri.path().strip_prefix(SERVICES_PREFIX).unwrap_or("");
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-    let service = find(table, &key, name, Kind::Plain)?;
+    let service = find_service(table, &key, name, Kind::Plain)?;
     let query = parts.uri.query();
     let path = query.map_or_else(|| format!("/{path}"), |q| format!("/{path}?{q}"));
     call(service, &key, table, id, parts, path, body)
 }
 
-fn known(table: &Table, key: &KeyHash) -> Result<(), Refusal> {
+fn check_key(table: &Table, key: &KeyHash) -> Result<(), Refusal> {
     if table.grants(key).next().is_some() {
         return Ok(());
     }
@@ -143,7 +144,7 @@
     ))
 }
 
-fn find<'t>(
+fn find_service<'t>(
     table: &'t Table,
     key: &KeyHash,
     name: &str,
@@ -171,7 +172,7 @@
     body: Bytes,
 ) -> Result<Call, Refusal> {
     let document = &service.document;
-    active(document)?;
+    check_active(document)?;
     let workspace = workspace(table, document, key)?;
     let class = class(document, parts, &path)?;
     Ok(Call {
@@ -189,7 +190,7 @@
     })
 }
 
-fn active(document: &ServiceDocument) -> Result<(), Refusal> {
+fn check_active(document: &ServiceDocument) -> Result<(), Refusal> {
     if document.state == State::Active {
         return Ok(());
     }
@@ -224,30 +225,35 @@
     parts: &Parts,
     path: &str,
 ) -> Result<&'d Class, Refusal> {
-    let named = match parts.headers.get(CLASS_HEADER) {
+    let name = match parts.headers.get(CLASS_HEADER) {
         Some(value) => value.to_str().unwrap_or(""),
-        None => matched(document, parts, path),
+        None => matching_class(document, parts, path),
     };
-    document.class(named).ok_or_else(|| {
+    document.class(name).ok_or_else(|| {
         let names: Vec<&str> = document.classes.iter().map(|c| c.name.as_str()).collect();
         Refusal::not_run(
             Cause::UnknownClass,
-            &format!("the service has no class {named:?}"),
+            &format!("the service has no class {name:?}"),
             &format!("use one of {}", names.join(", ")),
         )
     })
 }
 
-/// The most urgent class one of whose rules matches, else the default.
-fn matched<'d>(document: &'d ServiceDocument, parts: &Parts, path: &str) -> &'d str {
+/// Returns the most urgent class that has a matching rule, or the default class.
+fn matching_class<'d>(
+    document: &'d ServiceDocument,
+    parts: &Parts,
+    path: &str,
+) -> &'d str {
     let mut classes: Vec<&Class> = document.classes.iter().collect();
     classes.sort_by_key(|class| class.priority);
-    let fits = |class: &&&Class| class.rules.iter().any(|r| applies(r, parts, path));
-    let found = classes.iter().find(fits);
+    let matches =
+        |class: &&&Class| class.rules.iter().any(|r| rule_matches(r, parts, path));
+    let found = classes.iter().find(matches);
     found.map_or(&document.default_class, |class| &class.name)
 }
 
-fn applies(rule: &Rule, parts: &Parts, path: &str) -> bool {
+fn rule_matches(rule: &Rule, parts: &Parts, path: &str) -> bool {
     let method = rule.method.as_ref();
     let prefix = rule.path.as_ref();
     let header = rule.header.as_ref().map(|name| {
@@ -284,11 +290,11 @@
         return Ok(None);
     };
     let text = value.to_str().unwrap_or("");
-    if text.is_empty() || text.len() > MAX_ID {
+    if text.is_empty() || text.len() > MAX_ID_LEN {
         return Err(Refusal::not_run(
             Cause::BadRequest,
             "the Idempotency-Key is empty, too long or not plain text",
-            &format!("send 1 to {MAX_ID} printable ASCII characters"),
+            &format!("send 1 to {MAX_ID_LEN} printable ASCII characters"),
         ));
     }
     Ok(Some(text.to_string()))
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,8 +1,8 @@
-//! The entry's HTTP routes: from a caller's request to the call it asks for.
+//! The entry's HTTP routes: from a request to the [`Call`] that it makes.
 
 use crate::entry::Core;
 use crate::refusal::{Cause, REQUEST_HEADER, Refusal};
-use crate::request::{Call, bearer, given_id, model_call, plain_call};
+use crate::request::{Call, bearer_key, caller_request_id, model_call, plain_call};
 use crate::serve::serve;
 use crate::table::{Service, Table};
 use axum::body::Body;
@@ -21,10 +21,10 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// All routes.
+/// Returns all routes of the entry.
 pub(crate) fn router(core: &Arc<Core>) -> Router {
     let ready_core = Arc::clone(core);
-    let ready = Arc::new(move || !ready_core.lanes.load().is_empty());
+    let ready = Arc::new(move || !ready_core.dispatches.load().is_empty());
     Router::new()
         .route("/v1/chat/completions", post(model))
         .route("/v1/completions", post(model))
@@ -36,14 +36,14 @@
         .merge(health::routes(&core.drain, &core.metrics, ready))
 }
 
-type Reader = fn(&Arc<Table>, RequestId, &Parts, Bytes) -> Result<Call, Refusal>;
+type ParseRequest = fn(&Arc<Table>, RequestId, &Parts, Bytes) -> Result<Call, Refusal>;
 
 async fn model(State(core): State<Arc<Core>>, request: Request) -> Response {
-    answer(core, request, model_call).await
+    handle(core, request, model_call).await
 }
 
 async fn plain(State(core): State<Arc<Core>>, request: Request) -> Response {
-    answer(core, request, plain_call).await
+    handle(core, request, plain_call).await
 }
 
 async fn unknown_path(request: Request) -> Response {
@@ -61,7 +61,8 @@
 }
 
 fn request_id(headers: &http::HeaderMap) -> RequestId {
-    given_id(headers).unwrap_or_else(|| format!("{:032x}", rand::rng().random::<u128>()))
+    caller_request_id(headers)
+        .unwrap_or_else(|| format!("{:032x}", rand::rng().random::<u128>()))
 }
 
 fn with_id(mut response: Response, id: &str) -> Response {
@@ -71,22 +72,22 @@
     response
 }
 
-async fn answer(core: Arc<Core>, request: Request, read: Reader) -> Response {
+async fn handle(core: Arc<Core>, request: Request, parse: ParseRequest) -> Response {
     let arrived = Instant::now();
-    let busy = core.drain.enter();
+    let drain_guard = core.drain.enter();
     let (parts, body) = request.into_parts();
     let id = request_id(&parts.headers);
-    let served = match read_body(body, core.settings.max_body).await {
+    let result = match read_body(body, core.settings.max_body).await {
         Ok(body) => {
             let table = core.table.load_full();
-            match read(&table, id.clone(), &parts, body) {
-                Ok(call) => serve(core, call, arrived, busy).await,
+            match parse(&table, id.clone(), &parts, body) {
+                Ok(call) => serve(core, call, arrived, drain_guard).await,
                 Err(refusal) => Err(refusal),
             }
         }
         Err(refusal) => Err(refusal),
     };
-    let response = served.unwrap_or_else(|refusal| {
+    let response = result.unwrap_or_else(|refusal| {
         Event::new("request-refused")
             .field("request", &id)
             .field("cause", refusal.cause)
@@ -97,12 +98,12 @@
     with_id(response, &id)
 }
 
-async fn read_body(body: Body, most: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most).collect().await {
+async fn read_body(body: Body, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::not_run(
             Cause::TooLarge,
-            &format!("the body is larger than {most} bytes"),
+            &format!("the body is larger than {max_bytes} bytes"),
             "send a smaller body",
         )),
         Err(_) => Err(Refusal::not_run(
@@ -137,7 +138,7 @@
 }
 
 fn list_models(core: &Core, headers: &http::HeaderMap) -> Result<ModelList, Refusal> {
-    let key = bearer(headers)?;
+    let key = bearer_key(headers)?;
     let table = core.table.load();
     let services: Vec<&Service> = table
         .grants(&key)
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,13 +1,13 @@
-//! Running a call that was understood: limits, tries, counting.
+//! Running a validated call: quotas, attempts and statistics.
 
-use crate::call::Ran;
+use crate::call::Answered;
 use crate::deliver::respond;
 use crate::entry::Core;
-use crate::once::once;
-use crate::quotas::Held;
-use crate::refusal::{Cause, Refusal, mark};
+use crate::non_idempotent::run_non_idempotent;
+use crate::quotas::QuotaGuard;
+use crate::refusal::{Cause, Refusal, set_outcome};
 use crate::request::Call;
-use crate::stats::Counting;
+use crate::stats::ResponseObserver;
 use axum::response::Response;
 use bytes::Bytes;
 use dogwoodhill_core::burn::Counts;
@@ -19,22 +19,23 @@
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
 
-/// Advice to a caller over its limit of requests in flight.
+/// `Retry-After` for a workspace at its limit of requests in flight.
 const IN_FLIGHT_RETRY: Duration = Duration::from_secs(1);
 
-/// Runs a call, a non-idempotent one in a task of its own so that a caller
-/// who goes away does not cut it off.
+/// Runs a call. A non-idempotent call runs in its own task, so that it is not cancelled
+/// when the caller disconnects.
 pub(crate) async fn serve(
     core: Arc<Core>,
     call: Call,
     arrived: Instant,
-    busy: Busy,
+    drain_guard: Busy,
 ) -> Result<Response, Refusal> {
     match call.class.repeat {
-        Repeat::Allowed => run(&core, call, arrived, busy).await,
+        Repeat::Allowed => run(&core, call, arrived, drain_guard).await,
         Repeat::Never => {
-            let task =
-                tokio::spawn(async move { once(&core, call, arrived, busy).await });
+            let task = tokio::spawn(async move {
+                run_non_idempotent(&core, call, arrived, drain_guard).await
+            });
             task.await.unwrap_or_else(|_| {
                 Err(Refusal::unknown(
                     Cause::BrokenAnswer,
@@ -50,38 +51,52 @@
     core: &Arc<Core>,
     call: Call,
     arrived: Instant,
-    busy: Busy,
+    drain_guard: Busy,
 ) -> Result<Response, Refusal> {
-    let done = attempt(core, &call, arrived).await;
-    let Done { ran, held } = done.inspect_err(|refusal| {
-        core.stats
-            .add(&call, counts_of(refusal), &refusal.outcome.to_string());
+    let result = execute(core, &call, arrived).await;
+    let CompletedCall { answered, quota } = result.inspect_err(|refusal| {
+        core.stats.record_request(
+            &call,
+            refusal_counts(refusal),
+            &refusal.outcome.to_string(),
+        );
     })?;
-    Ok(finish(core, call, ran, held, arrived, busy))
+    Ok(build_response(
+        core,
+        call,
+        answered,
+        quota,
+        arrived,
+        drain_guard,
+    ))
 }
 
-/// A call with an answer, and its workspace's count.
-pub(crate) struct Done {
-    pub(crate) ran: Ran,
-    pub(crate) held: Held,
+/// A call with an answer, and the guard of its workspace's quota.
+pub(crate) struct CompletedCall {
+    pub(crate) answered: Answered,
+    pub(crate) quota: QuotaGuard,
 }
 
-pub(crate) async fn attempt(
+pub(crate) async fn execute(
     core: &Arc<Core>,
     call: &Call,
     arrived: Instant,
-) -> Result<Done, Refusal> {
+) -> Result<CompletedCall, Refusal> {
     let document = &call.service.document;
-    let held = admit(core, call)?;
-    let lane = core
-        .find_lane(&document.service)
+    let quota = admit(core, call)?;
+    let dispatch = core
+        .find_dispatch(&document.service)
         .filter(|_| !document.endpoints.is_empty())
         .ok_or_else(no_endpoint)?;
     let deadline = arrived + call.timeout;
-    let most = core.settings.max_held;
-    let ran = core.runner.run(call, &lane, deadline, most).await?;
-    core.stats.refused(&document.service, ran.effort.refused);
-    Ok(Done { ran, held })
+    let max_buffered = core.settings.max_buffered;
+    let answered = core
+        .runner
+        .run(call, &dispatch, deadline, max_buffered)
+        .await?;
+    core.stats
+        .record_refused(&document.service, answered.attempts.refused);
+    Ok(CompletedCall { answered, quota })
 }
 
 fn no_endpoint() -> Refusal {
@@ -92,30 +107,30 @@
     )
 }
 
-fn admit(core: &Arc<Core>, call: &Call) -> Result<Held, Refusal> {
+fn admit(core: &Arc<Core>, call: &Call) -> Result<QuotaGuard, Refusal> {
     let limits = Limits {
         in_flight: call.workspace.in_flight,
         rate: call.workspace.rate,
-        entries: core.entries.load(Ordering::Relaxed),
+        entries: core.entry_count.load(Ordering::Relaxed),
     };
     let service = &call.service.document.service;
-    let taken = core.quotas.take(service, &call.workspace.name, &limits);
-    taken.map_err(|excess| {
-        let after = match excess {
+    let result = core.quotas.take(service, &call.workspace.name, &limits);
+    result.map_err(|excess| {
+        let wait = match excess {
             Excess::InFlight => IN_FLIGHT_RETRY,
             Excess::Rate(wait) => wait,
         };
-        let spread = rand::rng().random_range(1.0..1.5);
+        let jitter = rand::rng().random_range(1.0..1.5);
         Refusal::not_run(
             Cause::OverLimit,
             &format!("the workspace {} is over its limits", call.workspace.name),
             "come back after the time in Retry-After, or ask for a higher limit",
         )
-        .come_back(after.mul_f64(spread))
+        .with_retry_after(wait.mul_f64(jitter))
     })
 }
 
-pub(crate) fn counts_of(refusal: &Refusal) -> Counts {
+pub(crate) fn refusal_counts(refusal: &Refusal) -> Counts {
     let mut counts = Counts::default();
     match (refusal.outcome, refusal.cause) {
         (Outcome::Unknown | Outcome::Ran, _) => counts.unknown = 1,
@@ -125,28 +140,29 @@
     counts
 }
 
-pub(crate) fn finish(
+pub(crate) fn build_response(
     core: &Arc<Core>,
     mut call: Call,
-    ran: Ran,
-    held: Held,
+    answered: Answered,
+    quota: QuotaGuard,
     arrived: Instant,
-    busy: Busy,
+    drain_guard: Busy,
 ) -> Response {
-    // A long stream need not hold what was sent.
+    // The request is not needed any more and need not stay in memory during a long
+    // stream.
     call.body = Bytes::new();
     call.headers = Vec::new();
-    let counting = Counting {
+    let observer = ResponseObserver {
         stats: core.stats.clone(),
         call,
         arrived,
-        first: ran.opened.first,
-        status: ran.opened.status,
-        wasted: ran.effort.wasted,
-        busy,
-        held,
+        first: answered.answer.first,
+        status: answered.answer.status,
+        wasted: answered.attempts.wasted,
+        drain_guard,
+        quota,
     };
-    let mut response = respond(ran.opened, counting);
-    mark(&mut response, Outcome::Ran);
+    let mut response = respond(answered.answer, observer);
+    set_outcome(&mut response, Outcome::Ran);
     response
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,53 +8,52 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const MIB: u64 = 1024 * 1024;
-/// How long connections are still accepted after a drain began; longer than
-/// a balancer's usual interval between health checks.
+/// Time for which connections are still accepted after a drain begins; longer than the
+/// usual health check interval of a load balancer.
 const DEFAULT_LINGER: Duration = Duration::from_secs(5);
-/// Largest body of a request.
-const DEFAULT_BODY: u64 = 4 * MIB;
-/// Largest answer of a plain service that is held until it is whole.
-const DEFAULT_HELD: u64 = MIB;
-/// Most requests that wait for one service.
-const DEFAULT_WAITING: u64 = 20_000;
-/// Most memory of requests that wait for one service.
-const DEFAULT_WAITING_BYTES: u64 = 256 * MIB;
+/// Largest request body, in bytes.
+const DEFAULT_MAX_BODY: u64 = 4 * MIB;
+/// Largest answer of a plain service that is buffered until it is complete, in bytes.
+const DEFAULT_MAX_BUFFERED: u64 = MIB;
+/// Largest number of requests that wait for one service.
+const DEFAULT_MAX_WAITING: u64 = 20_000;
+/// Largest memory of the requests that wait for one service, in bytes.
+const DEFAULT_MAX_WAITING_BYTES: u64 = 256 * MIB;
 
-/// Settings of an entry. Made by [`Settings::parse`] or [`Settings::new`] and
-/// the fields that follow, each with the default stated.
+/// Settings of an entry, from [`Settings::parse`] or from [`Settings::new`] and
+/// assignments to the fields. Each field states its default.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this entry, unique in the deployment.
     pub name: String,
-    /// Failure domain of this instance.
+    /// Failure domain in which this entry runs.
     pub domain: DomainId,
-    /// Address to listen on for callers.
+    /// Address on which the entry listens for callers.
     pub listen: SocketAddr,
-    /// Control instances. Default none: documents are installed by the
-    /// program itself.
+    /// Addresses of the control instances. Default none: documents are installed with
+    /// [`crate::entry::Core::install`].
     pub control: Vec<SocketAddr>,
-    /// Key shared by the router's processes.
+    /// Cluster key, shared by all processes of the router.
     pub secret: String,
-    /// Largest body of a request. Default 4 MiB.
+    /// Largest request body, in bytes. Default 4 MiB.
     pub max_body: usize,
-    /// Largest answer that is held until it is whole; a larger one of a plain
-    /// service is passed on as it arrives. Default 1 MiB.
-    pub max_held: usize,
-    /// Bounds of what waits for one service; the lowest tier gives way beyond
-    /// them. Default 20,000 requests and 256 MiB.
-    pub waiting: Bounds,
-    /// Placement policy. Default `predicted`; the others are baselines.
+    /// Largest answer that is buffered until it is complete, in bytes; a larger one of a
+    /// plain service is streamed. Default 1 MiB.
+    pub max_buffered: usize,
+    /// Bounds of the queue of one service, beyond which requests of the lowest tier are
+    /// shed. Default 20,000 requests and 256 MiB.
+    pub queue_bounds: Bounds,
+    /// Placement policy. Default `predicted`; the others are baselines for comparison.
     pub placement: Policy,
-    /// Entries that share the workspaces' limits where control does not tell.
-    /// Default 1.
+    /// Number of entries that share the workspace limits, used until control sends the
+    /// actual number. Default 1.
     pub entries: u32,
-    /// How long connections are still accepted after a drain began. Default
-    /// 5 s.
+    /// Time for which connections are still accepted after a drain begins. Default 5 s.
     pub linger: Duration,
 }
 
 impl Settings {
-    /// Settings with defaults.
+    /// Returns the default settings.
     pub fn new(name: String, domain: DomainId) -> Self {
         Self {
             name,
@@ -62,11 +61,11 @@
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             control: Vec::new(),
             secret: String::new(),
-            max_body: DEFAULT_BODY as usize,
-            max_held: DEFAULT_HELD as usize,
-            waiting: Bounds {
-                count: DEFAULT_WAITING as usize,
-                bytes: DEFAULT_WAITING_BYTES as usize,
+            max_body: DEFAULT_MAX_BODY as usize,
+            max_buffered: DEFAULT_MAX_BUFFERED as usize,
+            queue_bounds: Bounds {
+                count: DEFAULT_MAX_WAITING as usize,
+                bytes: DEFAULT_MAX_WAITING_BYTES as usize,
             },
             placement: Policy::default(),
             entries: 1,
@@ -74,11 +73,11 @@
         }
     }
 
-    /// Reads settings from JSON with comments.
+    /// Parses settings from JSON with comments; `file` names the text in diagnostics.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// [`Diagnostics`] with every error in the text.
     pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
@@ -91,14 +90,16 @@
         listen: s.address("listen"),
         control: s.addresses("control"),
         secret: s.text("cluster_key"),
-        max_body: s.count("max_body", 1024..=1024 * MIB, Some(DEFAULT_BODY)) as usize,
-        max_held: s.count("max_held", 1024..=1024 * MIB, Some(DEFAULT_HELD)) as usize,
-        waiting: Bounds {
-            count: s.count("max_waiting", 1..=10_000_000, Some(DEFAULT_WAITING)) as usize,
+        max_body: s.count("max_body", 1024..=1024 * MIB, Some(DEFAULT_MAX_BODY)) as usize,
+        max_buffered: s.count("max_held", 1024..=1024 * MIB, Some(DEFAULT_MAX_BUFFERED))
+            as usize,
+        queue_bounds: Bounds {
+            count: s.count("max_waiting", 1..=10_000_000, Some(DEFAULT_MAX_WAITING))
+                as usize,
             bytes: s.count(
                 "max_waiting_bytes",
                 MIB..=65_536 * MIB,
-                Some(DEFAULT_WAITING_BYTES),
+                Some(DEFAULT_MAX_WAITING_BYTES),
             ) as usize,
         },
         placement: Policy::ALL[s.word("placement", &Policy::NAMES, Some(0))],
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -1,7 +1,8 @@
-//! What the entry counts: service-level burn and metrics.
+//! Metrics of the entry, and the counts of requests against their service-level
+//! objectives.
 
-use crate::deliver::{Ending, OnEnd};
-use crate::quotas::Held;
+use crate::deliver::{EndObserver, StreamEnd};
+use crate::quotas::QuotaGuard;
 use crate::request::Call;
 use dogwoodhill_core::burn::{Counts, Ring};
 use dogwoodhill_core::document::Target;
@@ -14,7 +15,7 @@
 
 const SECONDS_PER_MINUTE: u64 = 60;
 
-/// Counters of one entry. Clones share them.
+/// Metrics and counts of one entry. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Stats {
     rings: Arc<Mutex<Vec<Ring>>>,
@@ -26,7 +27,7 @@
 }
 
 impl Stats {
-    /// Registers the entry's metrics.
+    /// Registers the entry's metrics and starts without counts.
     pub fn new(metrics: &Metrics) -> Self {
         let labels = &["service", "class", "outcome"];
         Self {
@@ -57,22 +58,22 @@
         }
     }
 
-    /// A copy of all rings.
+    /// Returns a copy of the counts of all classes, sorted by service and class.
     pub fn rings(&self) -> Vec<Ring> {
         self.lock().clone()
     }
 
-    /// Counts tries that were refused.
-    pub fn refused(&self, service: &str, tries: u32) {
-        if tries > 0 {
+    /// Counts attempts of a service that were refused.
+    pub fn record_refused(&self, service: &str, attempts: u32) {
+        if attempts > 0 {
             self.refused
                 .with_label_values(&[service])
-                .inc_by(tries.into());
+                .inc_by(attempts.into());
         }
     }
 
-    /// Counts one request in its class.
-    pub fn add(&self, call: &Call, counts: Counts, outcome: &str) {
+    /// Counts one request of a class.
+    pub fn record_request(&self, call: &Call, counts: Counts, outcome: &str) {
         let service = &call.service.document.service;
         let class = &call.class;
         self.requests
@@ -98,61 +99,61 @@
             at
         });
         rings[at].objective = class.objective;
-        rings[at].target = describe(&class.target);
-        rings[at].add(minute(), counts);
+        rings[at].target = describe_target(&class.target);
+        rings[at].add(current_minute(), counts);
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Ring>> {
-        // Counts stay valid numbers even if a holder panicked.
+        // The counts remain valid numbers if a thread panicked while holding the lock.
         self.rings
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-fn minute() -> u64 {
+fn current_minute() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_secs() / SECONDS_PER_MINUTE
 }
 
-fn describe(target: &Target) -> String {
+fn describe_target(target: &Target) -> String {
     let parts = [
         ("first_token", target.first_token),
         ("token_gap", target.token_gap),
         ("finish", target.finish),
     ];
-    let set: Vec<String> = parts
+    let limits: Vec<String> = parts
         .iter()
         .filter_map(|(name, value)| {
             value.map(|value| format!("{name} {}", humantime::format_duration(value)))
         })
         .collect();
-    set.join(", ")
+    limits.join(", ")
 }
 
-/// Counts a request whose answer has begun, when the answer ends.
+/// Counts a request when its answer ends.
 #[derive(Debug)]
-pub struct Counting {
-    /// Counters.
+pub struct ResponseObserver {
+    /// Where the request is counted.
     pub stats: Stats,
-    /// The request.
+    /// The request, without body and headers.
     pub call: Call,
-    /// Arrival.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// First byte of the answer.
+    /// When the first byte of the answer arrived.
     pub first: Instant,
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Tries that may have run beside this one.
+    /// Other attempts of the request that may have run.
     pub wasted: u32,
-    /// Keeps the drain waiting until the answer's end.
-    pub busy: Busy,
-    /// The workspace's count.
-    pub held: Held,
+    /// Keeps the drain from completing before the answer ends.
+    pub drain_guard: Busy,
+    /// Guard of the workspace's quota, held until the answer ends.
+    pub quota: QuotaGuard,
 }
 
-impl Counting {
-    fn met(&self, tokens: u32) -> bool {
+impl ResponseObserver {
+    fn meets_target(&self, tokens: u32) -> bool {
         let target = &self.call.class.target;
         let first = self.first - self.arrived;
         let total = self.arrived.elapsed();
@@ -169,15 +170,15 @@
     }
 }
 
-impl OnEnd for Counting {
-    fn ended(&mut self, ending: Ending) {
+impl EndObserver for ResponseObserver {
+    fn on_end(&mut self, end: StreamEnd) {
         let mut counts = Counts {
             duplicated: self.wasted.into(),
             ..Counts::default()
         };
-        let tokens = u64::from(ending.tokens);
-        if ending.whole {
-            let met = self.met(ending.tokens);
+        let tokens = u64::from(end.tokens);
+        if end.complete {
+            let met = self.meets_target(end.tokens);
             counts.attained = u64::from(met);
             counts.missed = u64::from(!met);
             counts.tokens = tokens;
@@ -185,8 +186,8 @@
             counts.unknown = 1;
             counts.discarded = tokens;
         }
-        let outcome = if ending.whole { "ran" } else { "broken" };
-        self.stats.add(&self.call, counts, outcome);
+        let outcome = if end.complete { "ran" } else { "broken" };
+        self.stats.record_request(&self.call, counts, outcome);
         let first = self.first - self.arrived;
         let total = self.arrived.elapsed();
         self.stats.first.observe(first.as_secs_f64());
@@ -198,7 +199,7 @@
             .field("class", &self.call.class.name)
             .field("status", self.status)
             .field("outcome", outcome)
-            .field("tokens", ending.tokens)
+            .field("tokens", end.tokens)
             .field("first_ms", first.as_millis())
             .field("total_ms", total.as_millis())
             .info();
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -1,14 +1,13 @@
-//! The documents in force, as the request path reads them.
+//! The service documents in force, indexed for the request path.
 //!
-//! A table is never changed: a new one replaces it as a whole, so a request
-//! sees one consistent revision from start to end and finishes under it, also
-//! when the service retires meanwhile.
+//! A table is immutable and is replaced as a whole. A request therefore uses one
+//! consistent revision from start to end, even if its service is retired meanwhile.
 
 use dogwoodhill_core::keys::{KeyHash, KeyRing};
 use dogwoodhill_core::prelude::*;
 use std::sync::Arc;
 
-/// One service with the revision of its document.
+/// A service document with its revision.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Position in the control log at which the document was accepted.
@@ -17,26 +16,26 @@
     pub document: Arc<ServiceDocument>,
 }
 
-/// A key's meaning in one service.
+/// The access that a key grants to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Service.
+    /// The service.
     pub service: ServiceId,
-    /// Workspace the key names there.
+    /// The workspace of that service to which the key belongs.
     pub workspace: WorkspaceId,
 }
 
-/// All documents in force.
+/// All documents in force, with an index of the keys.
 #[derive(Debug)]
 pub struct Table {
-    /// Highest revision the table contains.
+    /// Highest revision among the documents.
     pub revision: Revision,
     services: Vec<Service>,
     keys: KeyRing<Grant>,
 }
 
 impl Table {
-    /// Builds a table out of documents.
+    /// Builds the table of `services`.
     pub fn new(revision: Revision, mut services: Vec<Service>) -> Self {
         services.sort_by(|a, b| a.document.service.cmp(&b.document.service));
         let keys = KeyRing::new(grants(&services));
@@ -47,19 +46,19 @@
         }
     }
 
-    /// All services, sorted by name.
+    /// Returns all services, sorted by name.
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// The service named `name`.
+    /// Returns the service named `name`.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let by_name = |service: &Service| service.document.service.as_str().cmp(name);
         let at = self.services.binary_search_by(by_name);
         at.ok().map(|i| &self.services[i])
     }
 
-    /// What the key with this hash gives access to.
+    /// Returns the grants of the key with this hash.
     pub fn grants<'a>(&'a self, key: &'a KeyHash) -> impl Iterator<Item = &'a Grant> {
         self.keys.find(key)
     }
--- a/crates/load/src/bench.rs
+++ b/crates/load/src/bench.rs
@@ -150,7 +150,7 @@
         settings.secret = CLUSTER_KEY.to_string();
         settings.placement = self.policy;
         settings.entries = self.suite.entries;
-        settings.waiting.count = self.suite.waiting as usize;
+        settings.queue_bounds.count = self.suite.waiting as usize;
         settings.linger = Duration::from_secs(1);
         let drain = Drain::default();
         let entry = Entry::bind(settings, drain.clone())
