--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -208,8 +208,8 @@
     }
 
     /// Runs an attempt until the head of the endpoint's response arrives.
-    async fn start(&self, attempt: &mut Attempt) -> Result<Relay, Body> {
-        let slot = self.admit(attempt).map_err(Body::Refused)?;
+    async fn start(&self, attempt: &mut Attempt) -> Result<Relay, FrameBody> {
+        let slot = self.admit(attempt).map_err(FrameBody::Refused)?;
         // The endpoint gets the fencing token of this agent, not the one that the entry
         // sent.
         attempt.fence = self.gate.load().fence;
@@ -230,13 +230,13 @@
                 ))
             }
             Ok(Err(SendError::Unreachable | SendError::Invalid)) => {
-                Err(Body::Refused(RefusalReason::Unreachable))
+                Err(FrameBody::Refused(RefusalReason::Unreachable))
             }
             Ok(Err(error @ SendError::Lost)) => {
                 self.gate.record_end(false);
-                Err(Body::Broken(error.to_string()))
+                Err(FrameBody::Broken(error.to_string()))
             }
-            Err(_) => Err(Body::Broken("the deadline passed".to_string())),
+            Err(_) => Err(FrameBody::Broken("the deadline passed".to_string())),
         }
     }
 
@@ -248,7 +248,7 @@
         }
     }
 
-    fn single_frame(&self, attempt: AttemptId, body: Body) -> Bytes {
+    fn single_frame(&self, attempt: AttemptId, body: FrameBody) -> Bytes {
         encode(&Frame {
             attempt,
             seq: 0,
@@ -383,9 +383,9 @@
     }
 }
 
-fn result_label(body: &Body) -> String {
+fn result_label(body: &FrameBody) -> String {
     match body {
-        Body::Refused(reason) => reason.to_string(),
+        FrameBody::Refused(reason) => reason.to_string(),
         _ => "broken".to_string(),
     }
 }
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -98,7 +98,7 @@
         };
         let mut relay = Self {
             attempt: attempt.attempt,
-            max_gap: attempt.gap,
+            max_gap: attempt.token_gap,
             gate,
             slot: Some(slot),
             endpoint_body: Some(body),
@@ -116,7 +116,7 @@
         } else {
             let status = head.status.as_u16();
             let headers = end_to_end(&head.headers);
-            relay.push(Body::Head { status, headers });
+            relay.push(FrameBody::Head { status, headers });
         }
         relay
     }
@@ -226,7 +226,7 @@
     fn push_chunk(&mut self, data: Bytes) {
         if !data.is_empty() {
             self.bytes += data.len() as u64;
-            self.push(Body::Chunk(data));
+            self.push(FrameBody::Chunk(data));
         }
     }
 
@@ -234,7 +234,7 @@
         let bytes = self.bytes;
         self.gate.record_end(true);
         self.release();
-        self.push(Body::End { bytes, tokens });
+        self.push(FrameBody::End { bytes, tokens });
     }
 
     /// Ends a response that the endpoint did not complete, and counts it as broken.
@@ -245,7 +245,7 @@
 
     fn terminate(&mut self, reason: &str) {
         self.release();
-        self.push(Body::Broken(reason.to_string()));
+        self.push(FrameBody::Broken(reason.to_string()));
     }
 
     /// Frees the slot before the last frame is built, so that the load report in that
@@ -255,9 +255,11 @@
         self.slot = None;
     }
 
-    fn push(&mut self, body: Body) {
-        let with_load =
-            matches!(body, Body::Head { .. } | Body::End { .. } | Body::Broken(_));
+    fn push(&mut self, body: FrameBody) {
+        let with_load = matches!(
+            body,
+            FrameBody::Head { .. } | FrameBody::End { .. } | FrameBody::Broken(_)
+        );
         let load = with_load.then(|| self.gate.load());
         let frame = Frame {
             attempt: self.attempt,
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -94,7 +94,7 @@
 pub struct AnswerReader {
     body: Incoming,
     frames: FrameReader,
-    verifier: Answer,
+    verifier: AnswerValidator,
     load: Option<Load>,
     deadline: Instant,
 }
@@ -151,7 +151,7 @@
         repeat: call.class.repeat,
         kind: call.service.document.kind,
         remaining: deadline.saturating_duration_since(Instant::now()),
-        gap: call.class.target.token_gap,
+        token_gap: call.class.target.token_gap,
         revision: call.service.revision,
         fence: placement.fence(),
         stream: call.stream,
@@ -184,7 +184,7 @@
     let mut answer = AnswerReader {
         body: response.into_body(),
         frames: FrameReader::default(),
-        verifier: Answer::new(attempt.attempt),
+        verifier: AnswerValidator::new(attempt.attempt),
         load: None,
         deadline,
     };
