--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask a control instance.
+//! HTTP API for operators.
 
 use crate::command::{Acceptance, Action, Put, PutError, Reply};
 use crate::presence::Presence;
@@ -18,21 +18,21 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Largest document.
+/// Largest document, in bytes.
 const MAX_DOCUMENT: usize = 16 * 1024 * 1024;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone, Debug)]
-pub struct Outside {
-    /// The cluster.
+pub struct OperatorApi {
+    /// Access to the cluster.
     pub service: Service,
-    /// Entries.
+    /// Entries that poll the cluster.
     pub presence: Presence,
     teams: Arc<KeyRing<TeamId>>,
 }
 
-impl Outside {
-    /// Offers the cluster to `teams`.
+impl OperatorApi {
+    /// Handler state that authenticates requests with the keys of `teams`.
     pub fn new(service: Service, presence: Presence, teams: &[Team]) -> Self {
         let keys = teams
             .iter()
@@ -45,104 +45,104 @@
     }
 }
 
-/// Answer to `PUT`.
+/// Response to `PUT /v1/services/{service}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// What was accepted.
+    /// Also returned for a resend of the same document.
     pub accepted: Acceptance,
 }
 
-/// An error, as operators get it.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ErrorText {
-    /// What happened, and the remedy.
+pub struct ErrorBody {
+    /// What happened and how to resolve it.
     pub error: String,
-    /// Faults of a document, one by one.
+    /// Faults of a rejected document.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<String>,
-    /// The acceptance that won, where another one did.
+    /// The acceptance that the request conflicts with.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub won: Option<Acceptance>,
 }
 
-/// Answer to `PUT /v1/routes`.
+/// Response to `PUT /v1/routes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesAccepted {
-    /// Version in force now: the one sent, or a higher one.
+    /// Current version: the one sent, or a higher one.
     pub version: Version,
 }
 
 /// One version in a service's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
-    /// The acceptance.
+pub struct HistoryItem {
+    /// Who put the version in force, and when.
     pub accepted: Acceptance,
-    /// Text, where it is still kept.
+    /// Document text; only the newest versions retain it.
     pub text: Option<String>,
 }
 
-/// Answer to `GET /v1/status`.
+/// Response to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Name of the service documents' newest revision.
+    /// Revision of the newest service document.
     pub revision: Revision,
-    /// This instance.
+    /// Id of this instance, as 16 hexadecimal digits.
     pub node: String,
-    /// Its term.
+    /// Raft term of this instance.
     pub term: u64,
-    /// Whether it leads.
+    /// Whether this instance is the leader.
     pub leads: bool,
-    /// Whether it is in contact with a majority.
+    /// Whether this instance is in contact with a majority.
     pub contact: bool,
-    /// Entries that follow.
+    /// Number of entries that poll the cluster.
     pub entries: u32,
-    /// Claims kept.
+    /// Number of retained claims.
     pub claims: usize,
-    /// Bytes in the log.
+    /// Bytes in the log on disk.
     pub log_bytes: usize,
     /// Control instances.
     pub members: Vec<MemberStatus>,
-    /// Services.
+    /// Services, sorted by name.
     pub services: Vec<ServiceStatus>,
-    /// Duties of one holder.
+    /// Duties and their holders.
     #[serde(default)]
     pub duties: Vec<DutyStatus>,
-    /// Usage reports, where any window was ever fixed.
+    /// Usage reporting; `None` before the first window is committed.
     #[serde(default)]
     pub usage: Option<UsageStatus>,
 }
 
-/// A duty and who holds it, or held it last.
+/// A duty and its current or last holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// What it is.
+    /// Kind of duty.
     pub duty: String,
-    /// What it is about.
+    /// What the duty applies to; empty where there is only one.
     pub subject: String,
     /// Internal address of the holder.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing token of the holder.
     pub fence: Fence,
 }
 
-/// Usage reports.
+/// Progress of usage reporting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageStatus {
-    /// The first window whose counts are not fixed.
+    /// The first window whose counts are not committed.
     pub next: Window,
-    /// Windows that are fixed and not known to be reported. The newest one stays here until
-    /// the next is fixed.
+    /// Committed windows that are not known to be reported. The newest window stays here
+    /// until the next one is committed.
     pub owed: usize,
-    /// Windows that were owed for so long that they were given up.
+    /// Windows that were discarded unreported to bound the backlog.
     pub dropped: u64,
 }
 
-/// One control instance.
+/// A control instance that is a member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Id.
+    /// Instance id, as 16 hexadecimal digits.
     pub node: String,
-    /// Name.
+    /// Configured name.
     pub name: String,
     /// Internal address.
     pub address: String,
@@ -150,41 +150,41 @@
     pub voter: bool,
 }
 
-/// One service.
+/// The current document of one service, in brief.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Name.
+    /// Service name.
     pub service: ServiceId,
-    /// Version in force.
+    /// Version of the document.
     pub version: Version,
-    /// Its revision.
+    /// Revision at which that version was accepted.
     pub revision: Revision,
-    /// Owner.
+    /// Team that may change the document.
     pub owner: TeamId,
-    /// State.
+    /// Life-cycle state that the document declares.
     pub state: String,
 }
 
 /// Why an operator's request was refused.
 #[derive(Debug)]
-enum Refused {
-    Key,
-    Unknown(ServiceId),
+enum OperatorError {
+    UnknownKey,
+    UnknownService(ServiceId),
     NoMajority,
-    Faults(Diagnostics),
-    Name { path: ServiceId, text: ServiceId },
+    InvalidDocument(Diagnostics),
+    NameMismatch { path: ServiceId, text: ServiceId },
     Put(PutError),
     Routes(RoutesError),
 }
 
-impl IntoResponse for Refused {
+impl IntoResponse for OperatorError {
     fn into_response(self) -> Response {
         let (status, error) = match &self {
-            Self::Key => (
+            Self::UnknownKey => (
                 StatusCode::UNAUTHORIZED,
                 "unknown key; send Authorization: Bearer and a key of your team".to_string(),
             ),
-            Self::Unknown(service) => (
+            Self::UnknownService(service) => (
                 StatusCode::NOT_FOUND,
                 format!("there is no service {service}; GET /v1/status lists them"),
             ),
@@ -194,10 +194,10 @@
                  send the same document again"
                     .to_string(),
             ),
-            Self::Faults(faults) => {
+            Self::InvalidDocument(faults) => {
                 (StatusCode::BAD_REQUEST, format!("the document has faults:\n{faults}"))
             }
-            Self::Name { path, text } => (
+            Self::NameMismatch { path, text } => (
                 StatusCode::BAD_REQUEST,
                 format!("the path names {path} and the document {text}; make them agree"),
             ),
@@ -208,63 +208,68 @@
             Self::Routes(error) => (error.status(), error.to_string()),
         };
         let faults = match &self {
-            Self::Faults(faults) => faults.0.iter().map(Diagnostic::to_string).collect(),
+            Self::InvalidDocument(faults) => {
+                faults.0.iter().map(Diagnostic::to_string).collect()
+            }
             _ => Vec::new(),
         };
         let won = match self {
             Self::Put(PutError::Conflict { won, .. }) => Some(won),
             _ => None,
         };
-        let text = ErrorText { error, faults, won };
+        let text = ErrorBody { error, faults, won };
         (status, Json(text)).into_response()
     }
 }
 
-/// Routes for operators.
-pub fn routes(outside: Outside) -> Router {
+/// Routes of the operator API.
+pub fn routes(api: OperatorApi) -> Router {
     Router::new()
         .route("/v1/services/{service}", get(current).put(put))
         .route("/v1/services/{service}/history", get(history))
         .route("/v1/routes", get(current_routes).put(put_routes))
         .route("/v1/status", get(status))
         .layer(DefaultBodyLimit::max(MAX_DOCUMENT))
-        .with_state(outside)
+        .with_state(api)
 }
 
-impl Outside {
-    fn team(&self, headers: &HeaderMap) -> Result<TeamId, Refused> {
+impl OperatorApi {
+    fn team(&self, headers: &HeaderMap) -> Result<TeamId, OperatorError> {
         let value = headers.get(header::AUTHORIZATION);
         let text = value.and_then(|value| value.to_str().ok());
         let key = text.and_then(|text| text.strip_prefix("Bearer "));
-        let hash = key.map(|key| KeyHash::of(key.trim())).ok_or(Refused::Key)?;
+        let hash = key
+            .map(|key| KeyHash::of(key.trim()))
+            .ok_or(OperatorError::UnknownKey)?;
         let team = self.teams.find(&hash).next().cloned();
-        team.ok_or(Refused::Key)
+        team.ok_or(OperatorError::UnknownKey)
     }
 
-    /// The documents, as a majority has them now.
-    async fn documents(&self) -> Result<Arc<Documents>, Refused> {
+    /// The documents, confirmed by a majority.
+    async fn documents(&self) -> Result<Arc<Documents>, OperatorError> {
         let confirmed = self.service.confirm().await;
-        confirmed.map_err(|_| Refused::NoMajority)?;
+        confirmed.map_err(|_| OperatorError::NoMajority)?;
         Ok(self.service.replica().documents.load_full())
     }
 
-    async fn find(&self, service: &str) -> Result<Arc<History>, Refused> {
+    async fn find(&self, service: &str) -> Result<Arc<History>, OperatorError> {
         let documents = self.documents().await?;
         let found = documents.service(service).cloned();
-        found.ok_or_else(|| Refused::Unknown(service.to_string()))
+        found.ok_or_else(|| OperatorError::UnknownService(service.to_string()))
     }
 }
 
 async fn put(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     Path(service): Path<ServiceId>,
     headers: HeaderMap,
     text: String,
-) -> Result<Json<Accepted>, Refused> {
-    let team = outside.team(&headers)?;
-    let document = ServiceDocument::parse(&service, &text).map_err(Refused::Faults)?;
+) -> Result<Json<Accepted>, OperatorError> {
+    let team = api.team(&headers)?;
+    let document = ServiceDocument::parse(&service, &text)
+        .map_err(OperatorError::InvalidDocument)?;
     if document.service != service {
-        return Err(Refused::Name {
+        return Err(OperatorError::NameMismatch {
             path: service,
             text: document.service,
         });
@@ -274,8 +279,8 @@
         text,
         document,
     });
-    let reply = outside.service.submit(&action).await;
-    match reply.map_err(|_| Refused::NoMajority)? {
+    let reply = api.service.submit(&action).await;
+    match reply.map_err(|_| OperatorError::NoMajority)? {
         Reply::Put(Ok(accepted)) => {
             Event::new("document-accepted")
                 .field("service", &accepted.service)
@@ -285,68 +290,68 @@
                 .info();
             Ok(Json(Accepted { accepted }))
         }
-        Reply::Put(Err(error)) => Err(Refused::Put(error)),
-        _ => Err(Refused::NoMajority),
+        Reply::Put(Err(error)) => Err(OperatorError::Put(error)),
+        _ => Err(OperatorError::NoMajority),
     }
 }
 
 async fn current(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     Path(service): Path<ServiceId>,
     headers: HeaderMap,
-) -> Result<Response, Refused> {
-    outside.team(&headers)?;
-    let history = outside.find(&service).await?;
+) -> Result<Response, OperatorError> {
+    api.team(&headers)?;
+    let history = api.find(&service).await?;
     let text = history.entries.last().and_then(|entry| entry.text.clone());
     let kind = [(header::CONTENT_TYPE, "application/json")];
     Ok((kind, text.unwrap_or_default()).into_response())
 }
 
 async fn history(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     Path(service): Path<ServiceId>,
     headers: HeaderMap,
-) -> Result<Json<Vec<Past>>, Refused> {
-    outside.team(&headers)?;
-    let history = outside.find(&service).await?;
-    let past = history.entries.iter().map(|entry| Past {
+) -> Result<Json<Vec<HistoryItem>>, OperatorError> {
+    api.team(&headers)?;
+    let history = api.find(&service).await?;
+    let items = history.entries.iter().map(|entry| HistoryItem {
         accepted: entry.acceptance.clone(),
         text: entry.text.clone(),
     });
-    Ok(Json(past.collect()))
+    Ok(Json(items.collect()))
 }
 
 async fn put_routes(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     headers: HeaderMap,
     source: Bytes,
-) -> Result<Json<RoutesAccepted>, Refused> {
-    outside.team(&headers)?;
-    let put = outside.service.put_routes(&JsonFormat, &source).await;
-    let version = put.map_err(Refused::Routes)?;
+) -> Result<Json<RoutesAccepted>, OperatorError> {
+    api.team(&headers)?;
+    let put = api.service.put_routes(&JsonFormat, &source).await;
+    let version = put.map_err(OperatorError::Routes)?;
     Ok(Json(RoutesAccepted { version }))
 }
 
 async fn current_routes(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     headers: HeaderMap,
-) -> Result<Response, Refused> {
-    outside.team(&headers)?;
-    let text = outside.service.get_routes().await;
-    let text = text.map_err(Refused::Routes)?;
+) -> Result<Response, OperatorError> {
+    api.team(&headers)?;
+    let text = api.service.get_routes().await;
+    let text = text.map_err(OperatorError::Routes)?;
     let kind = [(header::CONTENT_TYPE, "application/json")];
     Ok((kind, text).into_response())
 }
 
 async fn status(
-    State(outside): State<Outside>,
+    State(api): State<OperatorApi>,
     headers: HeaderMap,
-) -> Result<Json<Status>, Refused> {
-    outside.team(&headers)?;
-    let replica = outside.service.replica();
+) -> Result<Json<Status>, OperatorError> {
+    api.team(&headers)?;
+    let replica = api.service.replica();
     let documents = replica.documents.load_full();
-    let standing = replica.standing.borrow().clone();
-    let members = standing.members.iter().map(|member| MemberStatus {
+    let status = replica.status.borrow().clone();
+    let members = status.members.iter().map(|member| MemberStatus {
         node: format!("{:016x}", member.id),
         name: member.name.clone(),
         address: member.address.to_string(),
@@ -360,29 +365,29 @@
         state: history.document.state.to_string(),
     });
     let view = replica.duties.borrow().clone();
-    let duties = view.held.iter().map(|held| DutyStatus {
-        duty: held.duty.clone(),
-        subject: held.subject.clone(),
-        holder: held.holder.machine.to_string(),
-        fence: held.fence,
+    let duties = view.assignments.iter().map(|duty| DutyStatus {
+        duty: duty.duty.clone(),
+        subject: duty.subject.clone(),
+        holder: duty.holder.machine.to_string(),
+        fence: duty.fence,
     });
     let usage = UsageStatus {
-        next: view.next,
-        owed: view.owed,
-        dropped: view.dropped,
+        next: view.next_window,
+        owed: view.pending,
+        dropped: view.discarded,
     };
     Ok(Json(Status {
         revision: documents.revision,
-        node: format!("{:016x}", standing.node),
-        term: standing.term,
-        leads: standing.leads,
-        contact: standing.contact,
-        entries: *outside.presence.count().borrow(),
-        claims: standing.claims,
-        log_bytes: standing.size,
+        node: format!("{:016x}", status.node),
+        term: status.term,
+        leads: status.leads,
+        contact: status.contact,
+        entries: *api.presence.count().borrow(),
+        claims: status.claims,
+        log_bytes: status.log_bytes,
         members: members.collect(),
         services: services.collect(),
         duties: duties.collect(),
-        usage: (view.next > 0).then_some(usage),
+        usage: (view.next_window > 0).then_some(usage),
     }))
 }
