--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -1,14 +1,14 @@
-//! The route set: accepting it from operators, handing it to entries.
+//! The route set: accepting it from operators and serving it to entries.
 //!
-//! A set is checked before it enters the log, and refused there and then; the
-//! log itself keeps it as the text that was sent, so that a read returns what
-//! was written. The state machine lets the highest version win.
+//! A set is validated before it enters the log. The log stores the text as it was sent,
+//! so a read returns exactly what was written. The state machine keeps the set with the
+//! highest version.
 
 use crate::command::{Action, Reply};
 use crate::presence::Presence;
 use crate::replica::Replica;
+use crate::route_sets::RouteSets;
 use crate::service::Service;
-use crate::sets::Sets;
 use derive_more::{Display, Error};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_route::check::InvalidRouteSet;
@@ -19,34 +19,34 @@
 use http::StatusCode;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest poll that is taken.
+/// Upper bound on the wait that a caller can request.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Why a route set was not accepted or could not be read.
+/// Why a route set could not be accepted or read.
 #[derive(Debug, Display, Error)]
 pub enum RoutesError {
-    /// The set is unusable, and nothing changed.
+    /// The set is invalid; nothing has changed.
     #[display("{source}")]
     Invalid {
-        /// Why.
+        /// First fault of the set.
         source: InvalidRouteSet,
     },
-    /// Whether the set is in force is not known.
+    /// No majority answered; the set may or may not have taken effect.
     #[display("no majority confirmed in time; send the same set again")]
     NoMajority,
-    /// The set in force can't be unpacked.
+    /// The current set can't be decompressed.
     #[display("{source}")]
     Unreadable {
-        /// Why.
+        /// Cause reported by the decoder.
         source: DecompressError,
     },
-    /// No set was accepted yet.
+    /// No set has been accepted yet.
     #[display("no route set was accepted yet; send one")]
     Empty,
 }
 
 impl RoutesError {
-    /// The HTTP status that tells an operator of it.
+    /// Status code of the HTTP response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Invalid { .. } => StatusCode::BAD_REQUEST,
@@ -58,11 +58,13 @@
 }
 
 impl Service {
-    /// Puts a route set in force and returns the version in force now.
+    /// Submits a route set and returns the current version, which may be higher than the
+    /// one submitted.
     ///
     /// # Errors
     ///
-    /// [`RoutesError`].
+    /// [`RoutesError::Invalid`] if the set fails validation, [`RoutesError::NoMajority`]
+    /// if no majority confirms it in time.
     pub async fn put_routes(
         &self,
         format: &dyn SetFormat,
@@ -72,9 +74,9 @@
             Event::new("routes-refused").field("reason", &source).warn();
             RoutesError::Invalid { source }
         })?;
-        let held = StoredRoutes::new(set.version, source);
-        let packed = held.source.len();
-        let reply = self.submit(&Action::Routes(held)).await;
+        let stored = StoredRoutes::new(set.version, source);
+        let packed = stored.source.len();
+        let reply = self.submit(&Action::Routes(stored)).await;
         let outcome = match reply {
             Ok(Reply::Routes(version)) => Ok(version),
             _ => Err(RoutesError::NoMajority),
@@ -89,19 +91,20 @@
         outcome
     }
 
-    /// The text of the route set in force, as a majority has it now.
+    /// The text of the current route set, confirmed by a majority.
     ///
     /// # Errors
     ///
-    /// [`RoutesError`].
+    /// [`RoutesError::NoMajority`], [`RoutesError::Empty`] or
+    /// [`RoutesError::Unreadable`].
     pub async fn get_routes(&self) -> Result<Vec<u8>, RoutesError> {
         let confirmed = self.confirm().await;
         confirmed.map_err(|_| RoutesError::NoMajority)?;
         let sets = self.replica().routes.borrow().clone();
-        let held = sets.newest().ok_or(RoutesError::Empty)?;
-        held.text().map_err(|source| {
+        let stored = sets.newest().ok_or(RoutesError::Empty)?;
+        stored.text().map_err(|source| {
             Event::new("routes-unreadable")
-                .field("version", held.version)
+                .field("version", stored.version)
                 .field("reason", &source)
                 .error();
             RoutesError::Unreadable { source }
@@ -113,43 +116,39 @@
 ///
 /// # Errors
 ///
-/// [`ControlUnavailable::NoMajority`] where an entry without a set asks and this instance
-/// can't confirm that the one it has is the newest.
+/// [`ControlUnavailable::NoMajority`] if the entry has no set and this instance can't
+/// confirm that its own is current.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
-    follow: WatchRoutes,
+    watch: WatchRoutes,
 ) -> ControlReply<RoutesStatus> {
-    let _polling = presence.poll(&follow.entry);
-    if follow.known.is_none() {
+    let _polling = presence.poll(&watch.entry);
+    if watch.known.is_none() {
         service.confirm().await?;
     }
     let replica = service.replica();
-    let end = Instant::now() + follow.wait.min(MAX_WAIT);
+    let end = Instant::now() + watch.wait.min(MAX_WAIT);
     let mut routes = replica.routes.clone();
-    let newer = |sets: &Sets| sets.version() > follow.known;
-    // Whether one came or not, the answer says what there is.
+    let newer = |sets: &RouteSets| sets.version() > watch.known;
+    // On a time-out, the response repeats the version that the entry already has.
     let _ = timeout_at(end, routes.wait_for(newer)).await;
-    news(replica, presence, &follow)
+    routes_status(replica, presence, &watch)
 }
 
-fn news(
+fn routes_status(
     replica: &Replica,
     presence: &Presence,
-    follow: &WatchRoutes,
+    watch: &WatchRoutes,
 ) -> ControlReply<RoutesStatus> {
     let newest = replica.routes.borrow().version();
-    let standing = replica.standing.borrow();
-    if follow.known.is_none() && newest.is_none() {
+    let status = replica.status.borrow();
+    if watch.known.is_none() && newest.is_none() {
         return Err(ControlUnavailable::NoMajority);
     }
     Ok(RoutesStatus {
         newest,
-        control: standing
-            .members
-            .iter()
-            .map(|member| member.address)
-            .collect(),
+        control: status.members.iter().map(|member| member.address).collect(),
         entries: *presence.count().borrow(),
     })
 }
