--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -1,50 +1,52 @@
-//! Answering long polls.
+//! Long polls for document changes.
 
 use crate::presence::Presence;
-use crate::replica::Standing;
+use crate::replica::ReplicaStatus;
 use crate::service::Service;
 use crate::state::Documents;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::control::{
-    AcceptedDocument, ControlReply, ControlUnavailable, DocumentChange, Update, Watch,
+    AcceptedDocument, ControlReply, ControlUnavailable, DocumentChange, DocumentsUpdate,
+    WatchDocuments,
 };
 use std::sync::Arc;
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest poll that is taken.
+/// Upper bound on the wait that a caller can request.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// How long this instance may be out of contact before it sends its polls
-/// elsewhere; longer than an election usually takes.
+/// How long this instance may be out of contact before it fails waiting polls, so that
+/// callers try another instance; longer than a typical election.
 const CONTACT_LOSS: Duration = Duration::from_secs(2);
 
 /// Answers one poll.
 ///
 /// # Errors
 ///
-/// [`ControlUnavailable::NoMajority`] where this instance can't confirm that it knows all
-/// that was accepted, or loses contact while the poll waits: the daemon then
-/// asks another one.
+/// [`ControlUnavailable::NoMajority`] if this instance can't confirm that its state is
+/// current, or if it loses contact with the cluster while the poll waits. The caller then
+/// tries another instance.
 pub async fn answer(
     service: &Service,
     presence: &Presence,
-    watch: Watch,
-) -> ControlReply<Update> {
+    watch: WatchDocuments,
+) -> ControlReply<DocumentsUpdate> {
     let _polling = watch.entry.then(|| presence.poll(&watch.daemon));
     service.confirm().await?;
     let mut applied = service.replica().applied.clone();
     let mut count = presence.count();
-    let standing = service.replica().standing.clone();
+    let status = service.replica().status.clone();
     let end = Instant::now() + watch.wait.min(MAX_WAIT);
-    let lost = lost_contact(standing);
+    let lost = lost_contact(status);
     tokio::pin!(lost);
     loop {
         applied.mark_unchanged();
         let entries = *count.borrow_and_update();
         let changes = changes(service, &watch, entries);
-        let news = !changes.changes.is_empty() || changes.revision < watch.revision;
-        let counted = watch.entry && entries != watch.entries;
-        if news || counted || Instant::now() >= end {
+        let has_changes =
+            !changes.changes.is_empty() || changes.revision < watch.revision;
+        let count_changed = watch.entry && entries != watch.entries;
+        if has_changes || count_changed || Instant::now() >= end {
             return Ok(changes);
         }
         tokio::select! {
@@ -56,22 +58,22 @@
     }
 }
 
-fn changes(service: &Service, watch: &Watch, entries: u32) -> Update {
+fn changes(service: &Service, watch: &WatchDocuments, entries: u32) -> DocumentsUpdate {
     let documents = service.replica().documents.load();
     let changes = match watch.entry {
-        true => documents.since(watch.revision, watch.service.as_deref()),
-        false => own_part(&documents, watch),
+        true => documents.updates_since(watch.revision, watch.service.as_deref()),
+        false => agent_view(&documents, watch),
     };
-    Update {
+    DocumentsUpdate {
         revision: documents.revision,
         changes,
         entries,
     }
 }
 
-/// What an agent needs of its service's document: everything but workspaces
-/// and the other endpoints.
-fn own_part(documents: &Documents, watch: &Watch) -> Vec<DocumentChange> {
+/// The part of the service's document that an agent needs: workspaces and the endpoints
+/// of other agents are left out.
+fn agent_view(documents: &Documents, watch: &WatchDocuments) -> Vec<DocumentChange> {
     let history = watch
         .service
         .as_ref()
@@ -90,18 +92,14 @@
     })]
 }
 
-/// Ends once contact has been lost for [`CONTACT_LOSS`] without a break.
-async fn lost_contact(mut standing: Receiver<Standing>) {
+/// Completes once contact has been lost for [`CONTACT_LOSS`] without interruption.
+async fn lost_contact(mut status: Receiver<ReplicaStatus>) {
     loop {
-        if standing
-            .wait_for(|standing| !standing.contact)
-            .await
-            .is_err()
-        {
+        if status.wait_for(|status| !status.contact).await.is_err() {
             return;
         }
-        let back = standing.wait_for(|standing| standing.contact);
-        match tokio::time::timeout(CONTACT_LOSS, back).await {
+        let regained = status.wait_for(|status| status.contact);
+        match tokio::time::timeout(CONTACT_LOSS, regained).await {
             Ok(Ok(_)) => {}
             _ => return,
         }
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -359,7 +359,7 @@
     /// Observations since the last report to control, if any.
     pub(crate) fn take_sighting(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
-        self.estimates().record.take_sighting(now)
+        self.estimates().record.take_report(now)
     }
 
     /// Applies the verdict of all entries; `None` if there is none.
--- a/crates/direct/tests/all/control.rs
+++ b/crates/direct/tests/all/control.rs
@@ -3,15 +3,15 @@
 use dogwoodhill_consensus::members::Member;
 use dogwoodhill_control::command::Action;
 use dogwoodhill_control::demand::Demand;
-use dogwoodhill_control::internal::{self, Inside};
+use dogwoodhill_control::internal::{self, InternalApi};
 use dogwoodhill_control::limits;
-use dogwoodhill_control::lists::Lists;
+use dogwoodhill_control::lists::EndpointLists;
 use dogwoodhill_control::peers::Peers;
 use dogwoodhill_control::presence::Presence;
-use dogwoodhill_control::quarantine::Quarantines;
-use dogwoodhill_control::replica::{Limits, make};
+use dogwoodhill_control::quarantine::QuarantineTracker;
+use dogwoodhill_control::replica::{ReplicaConfig, build_replica};
 use dogwoodhill_control::service::Service;
-use dogwoodhill_control::usage::Usage;
+use dogwoodhill_control::usage::UsageTracker;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_store::memory::MemoryFiles;
@@ -29,7 +29,7 @@
     pub(crate) listen_address: SocketAddr,
     service: Service,
     /// Usage counts reported by entries.
-    pub(crate) usage: Usage,
+    pub(crate) usage: UsageTracker,
 }
 
 impl ControlInstance {
@@ -54,11 +54,11 @@
         let opened = Store::create(Box::new(MemoryFiles::default()), identity.clone());
         let caller = PeerClient::new("secret".to_string());
         let peers = Peers::new(identity.cluster, caller.clone());
-        let limits = Limits {
-            compact: 1_000,
-            copies: 1,
+        let limits = ReplicaConfig {
+            compact_after: 1_000,
+            min_voters: 1,
         };
-        let mut parts = make(opened.expect("an empty folder"), peers, limits, 7);
+        let mut parts = build_replica(opened.expect("an empty folder"), peers, limits, 7);
         parts.driver.bootstrap(Member {
             id: identity.node,
             name: format!("control-{number}"),
@@ -67,16 +67,16 @@
             seat: true,
         });
         tokio::spawn(parts.driver.run());
-        let quarantines = Quarantines::following(parts.replica.quarantined.clone());
-        let usage = Usage::new(parts.replica.clone());
+        let quarantine = QuarantineTracker::with_log(parts.replica.quarantined.clone());
+        let usage = UsageTracker::new(parts.replica.clone());
         let service = Service::new(parts.replica, caller);
-        let api = Inside {
+        let api = InternalApi {
             service: service.clone(),
             presence: Presence::default(),
             demand: Demand::default(),
-            lists: Lists::default(),
-            limits: limits::Limits::default(),
-            quarantines,
+            lists: EndpointLists::default(),
+            limits: limits::LimitTracker::default(),
+            quarantine,
             usage: usage.clone(),
             cluster: identity.cluster,
             secret: Arc::new("secret".to_string()),
--- a/crates/direct/tests/all/usage.rs
+++ b/crates/direct/tests/all/usage.rs
@@ -20,9 +20,13 @@
         minority_wait: Duration::ZERO,
     };
     // With these settings, every window has ended, so the open counts are all there are.
-    let time = instance.usage.open(0, &closing, 0).time.unwrap_or_default();
+    let time = instance
+        .usage
+        .open_windows(0, &closing, 0)
+        .time
+        .unwrap_or_default();
     let window = Windows::new(WINDOW).at(time);
-    let open = instance.usage.open(window, &closing, 0);
+    let open = instance.usage.open_windows(window, &closing, 0);
     open.complete.iter().map(WindowCounts::total).sum()
 }
 
--- a/crates/load/src/bench.rs
+++ b/crates/load/src/bench.rs
@@ -127,7 +127,7 @@
             engine.address(),
         );
         settings.secret = CLUSTER_KEY.to_string();
-        settings.first_limit = self.suite.limit;
+        settings.initial_limit = self.suite.limit;
         settings.linger = Duration::ZERO;
         let agent = Agent::bind(settings, self.behind.clone()).await;
         let agent = agent.expect("a free port");
@@ -150,7 +150,7 @@
         settings.secret = CLUSTER_KEY.to_string();
         settings.placement = self.policy;
         settings.entries = self.suite.entries;
-        settings.waiting.count = self.suite.waiting as usize;
+        settings.queue_bounds.count = self.suite.waiting as usize;
         settings.linger = Duration::from_secs(1);
         let drain = Drain::default();
         let entry = Entry::bind(settings, drain.clone())
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -1,13 +1,14 @@
-//! Following the documents: one long poll per daemon.
+//! Watches service documents by long polling a control instance.
 //!
-//! A poll is answered only by an instance that confirmed, after the poll
-//! began, that it knows everything a majority accepted, so what a daemon takes
-//! in is never older than what it could have been told. A daemon that no
-//! instance answers keeps what it has.
+//! A control instance answers a poll only after a majority confirmed, since the poll
+//! arrived, that the instance has applied every accepted change. A daemon that has seen a
+//! revision therefore never gets an older state from a lagging instance. While no
+//! instance answers, the daemon keeps the documents it has.
 
 use crate::client::PeerClient;
 use crate::control::{
-    AcceptedDocument, ControlReply, DocumentChange, Update, WATCH_PATH, Watch,
+    AcceptedDocument, ControlReply, DocumentChange, DocumentsUpdate, WATCH_PATH,
+    WatchDocuments,
 };
 use crate::control_client::ControlClient;
 use dogwoodhill_core::prelude::*;
@@ -16,37 +17,39 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Longest poll. Short enough that a frozen instance, which closes nothing,
-/// is given up in time; the HTTP/2 pings of the client notice it earlier.
+/// Longest time a control instance may hold a poll. Bounds how long a daemon waits for a
+/// frozen instance that keeps its connections open; HTTP/2 pings usually detect one
+/// earlier.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time beyond the poll until an answer counts as lost.
-const SLACK: Duration = Duration::from_secs(4);
-/// First pause after a failed poll.
-const MIN_PAUSE: Duration = Duration::from_millis(50);
-/// Longest such pause.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Time beyond [`POLL_TIMEOUT`] after which the answer counts as lost.
+const ANSWER_GRACE: Duration = Duration::from_secs(4);
+/// Retry delay after the first failed poll; it doubles with each further failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Upper bound of the retry delay, before jitter.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Documents that changed.
+/// An [`DocumentsUpdate`] after [`DocumentCache::take`] applied its differences.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedChanges {
-    /// Revision up to which everything is known.
+    /// Revision up to which all accepted changes have been received.
     pub revision: Revision,
-    /// The new documents, whole.
+    /// The new and changed documents, complete.
     pub documents: Vec<AcceptedDocument>,
-    /// Entries that watch now; 0 where not known.
+    /// Number of entries that watch documents now; 0 if unknown.
     pub entries: u32,
 }
 
-/// The documents a daemon has, sorted by service, to apply differences to.
+/// The documents that a daemon has received, sorted by service. Differences are applied
+/// to them.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCache {
     documents: Vec<AcceptedDocument>,
 }
 
 impl DocumentCache {
-    /// Takes an update in; `None` where a difference is to a document that
-    /// this daemon does not have, and everything has to be asked for anew.
-    pub fn take(&mut self, update: Update) -> Option<AppliedChanges> {
+    /// Applies an update. Returns `None` if a difference is based on a document revision
+    /// that is not cached; the caller must then request all documents again.
+    pub fn take(&mut self, update: DocumentsUpdate) -> Option<AppliedChanges> {
         let mut changed = Vec::new();
         for change in update.changes {
             let accepted = match change {
@@ -84,45 +87,46 @@
 
     fn find(&self, service: &str) -> Result<usize, usize> {
         self.documents
-            .binary_search_by(|known| known.document.service.as_str().cmp(service))
+            .binary_search_by(|cached| cached.document.service.as_str().cmp(service))
     }
 }
 
-/// Who follows.
+/// Settings of a daemon's document watch.
 #[derive(Clone, Debug)]
 pub struct DocumentWatcher {
     /// Name of the daemon.
     pub daemon: String,
-    /// Whether it is an entry.
+    /// Whether the daemon is an entry rather than an agent.
     pub entry: bool,
-    /// Only this service.
+    /// The only service to watch; `None` for all.
     pub service: Option<ServiceId>,
-    /// Control instances.
+    /// Addresses of the control instances.
     pub control: Vec<SocketAddr>,
-    /// Client.
+    /// Client for the polls.
     pub client: PeerClient,
-    /// Random number that spreads daemons over instances and pauses.
+    /// Random number that selects the first control instance and seeds the jitter of
+    /// retry delays, so that daemons don't act in step.
     pub jitter_seed: u64,
-    /// Newest revision the daemon heard of elsewhere. When it is newer than
-    /// what the present poll gave, the instance polled may be cut off: the
-    /// next one is asked at once.
+    /// Newest revision seen in other messages. If it exceeds the revision of the last
+    /// poll, the polled instance may be cut off from the majority, so the pending poll is
+    /// abandoned and the next instance polled.
     pub newest: watch::Receiver<Revision>,
 }
 
 impl DocumentWatcher {
-    /// Follows for ever and hands every change to `heed`; `failed` is told of
-    /// polls that no instance answered.
+    /// Polls forever. Calls `on_changes` with each applied update and `on_failure` after
+    /// each failed or abandoned poll.
     pub async fn run(
         self,
-        mut heed: impl FnMut(AppliedChanges) + Send,
-        mut failed: impl FnMut() + Send,
+        mut on_changes: impl FnMut(AppliedChanges) + Send,
+        mut on_failure: impl FnMut() + Send,
     ) {
         let control = ControlClient::new(
             self.client.clone(),
             self.control.clone(),
             self.jitter_seed as usize,
         );
-        let mut request = Watch {
+        let mut request = WatchDocuments {
             daemon: self.daemon.clone(),
             entry: self.entry,
             revision: 0,
@@ -131,51 +135,58 @@
             wait: POLL_TIMEOUT,
         };
         let mut newest = self.newest.clone();
-        let mut known = DocumentCache::default();
-        let mut pause = MIN_PAUSE;
+        let mut cache = DocumentCache::default();
+        let mut delay = MIN_RETRY_DELAY;
         let mut jitter = self.jitter_seed;
         loop {
             let polled = tokio::select! {
                 polled = self.poll(&control, &request) => polled,
-                () = newer(&mut newest, request.revision) => None,
+                () = newer_revision(&mut newest, request.revision) => None,
             };
             match polled {
                 Some(update) if update.revision >= request.revision => {
-                    pause = MIN_PAUSE;
-                    match known.take(update) {
+                    delay = MIN_RETRY_DELAY;
+                    match cache.take(update) {
                         Some(changes) => {
                             request.revision = changes.revision;
                             request.entries = changes.entries;
-                            heed(changes);
+                            on_changes(changes);
                         }
-                        // Whole documents come next time; none of them can
-                        // be older than what this daemon has.
+                        // Revision 0 requests all documents in full. None of them can
+                        // be older than the cached ones.
                         None => request.revision = 0,
                     }
                 }
                 _ => {
-                    failed();
+                    on_failure();
                     control.advance();
-                    jitter = next(jitter);
-                    sleep(pause.mul_f64(0.5 + (jitter % 1024) as f64 / 1024.0)).await;
-                    pause = (pause * 2).min(MAX_PAUSE);
+                    jitter = next_jitter(jitter);
+                    sleep(delay.mul_f64(0.5 + (jitter % 1024) as f64 / 1024.0)).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
     }
 
-    async fn poll(&self, control: &ControlClient, watch: &Watch) -> Option<Update> {
+    async fn poll(
+        &self,
+        control: &ControlClient,
+        watch: &WatchDocuments,
+    ) -> Option<DocumentsUpdate> {
         let address = control.instance()?;
         let call = self
             .client
-            .call::<_, ControlReply<Update>>(address, WATCH_PATH, watch);
-        let answered = timeout(POLL_TIMEOUT + SLACK, call).await.ok()?.ok()?;
+            .call::<_, ControlReply<DocumentsUpdate>>(address, WATCH_PATH, watch);
+        let answered = timeout(POLL_TIMEOUT + ANSWER_GRACE, call)
+            .await
+            .ok()?
+            .ok()?;
         answered.ok()
     }
 }
 
-/// Ends when a newer revision than `revision` is heard of for the first time.
-async fn newer(newest: &mut watch::Receiver<Revision>, revision: Revision) {
+/// Resolves on the next notification of a revision above `revision`.
+async fn newer_revision(newest: &mut watch::Receiver<Revision>, revision: Revision) {
     loop {
         if newest.changed().await.is_err() {
             return std::future::pending().await;
@@ -186,10 +197,10 @@
     }
 }
 
-/// A step of a linear congruential generator (Knuth's MMIX constants): enough
-/// to spread pauses, and without a shared random source.
-fn next(state: u64) -> u64 {
-    const FACTOR: u64 = 6_364_136_223_846_793_005;
-    const STEP: u64 = 1_442_695_040_888_963_407;
-    state.wrapping_mul(FACTOR).wrapping_add(STEP) >> 1
+/// One step of a linear congruential generator with Knuth's MMIX constants. Jitter needs
+/// no better quality, and no shared random source is involved.
+fn next_jitter(state: u64) -> u64 {
+    const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+    const INCREMENT: u64 = 1_442_695_040_888_963_407;
+    state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT) >> 1
 }
