--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -185,7 +185,7 @@
             .await
             .change_context(ControlError::Listen)?;
         let identity = opened.identity.clone();
-        let fresh = opened.durable.hard.term == 0;
+        let fresh = opened.durable.hard_state.term == 0;
         let member = Member {
             id: identity.node,
             name: settings.name.clone(),
@@ -401,10 +401,10 @@
 ) -> Result<Opened, Report<ControlError>> {
     let error = ControlError::Store;
     let files = DiskFiles::open(&settings.data).change_context(error)?;
-    let vacant = Store::vacant(&files).change_context(ControlError::Store)?;
+    let vacant = Store::is_uninitialized(&files).change_context(ControlError::Store)?;
     let opened = match (vacant, settings.start) {
-        (true, Start::Existing) => Err(StoreError::Empty),
-        (false, Start::Bootstrap) => Err(StoreError::Occupied),
+        (true, Start::Existing) => Err(StoreError::Uninitialized),
+        (false, Start::Bootstrap) => Err(StoreError::AlreadyInitialized),
         (false, _) => Store::open(Box::new(files)),
         (true, _) if creates_cluster(settings) => {
             refuse_second_cluster(settings, client).await?;
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -9,7 +9,7 @@
 //! replica, which does not resend it before.
 
 use dogwoodhill_consensus::NodeId;
-use dogwoodhill_consensus::message::{Message, transfer};
+use dogwoodhill_consensus::message::{Message, max_transfer_time};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_wire::client::PeerClient;
 use serde::{Deserialize, Serialize};
@@ -99,7 +99,7 @@
             self.peers[at] = self.start(id, address);
         }
         let peer = &self.peers[at];
-        if !message.large() {
+        if !message.is_large() {
             // A message that does not fit is dropped and resent by the consensus
             // protocol.
             let _ = peer.small.try_send(message);
@@ -178,11 +178,11 @@
             messages,
         };
         let bytes = envelope.messages.iter().map(Message::size).sum::<usize>();
-        let large = envelope.messages.iter().any(Message::large);
+        let large = envelope.messages.iter().any(Message::is_large);
         let begun = Instant::now();
         let call = self.client.call::<_, ()>(self.address, LOG_PATH, &envelope);
         let delivered = matches!(
-            timeout(DELIVERY_TIMEOUT + transfer(bytes), call).await,
+            timeout(DELIVERY_TIMEOUT + max_transfer_time(bytes), call).await,
             Ok(Ok(()))
         );
         if large {
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -18,7 +18,7 @@
 use dogwoodhill_consensus::log::{Entry, Payload};
 use dogwoodhill_consensus::members::Member;
 use dogwoodhill_consensus::message::Message;
-use dogwoodhill_consensus::node::{Node, Refused, Timing};
+use dogwoodhill_consensus::node::{Node, RequestError, Timing};
 use dogwoodhill_consensus::ready::Ready;
 use dogwoodhill_consensus::{Index, Moment, ReadId, Term};
 use dogwoodhill_core::prelude::*;
@@ -233,7 +233,8 @@
 
     fn on_delivery(&mut self, outcome: Delivery) {
         let now = self.start.elapsed();
-        self.node.delivery(now, outcome.peer, outcome.delivered);
+        self.node
+            .report_delivery(now, outcome.peer, outcome.delivered);
     }
 
     fn take(&mut self, input: Input) {
@@ -247,10 +248,10 @@
             Input::Propose { action, reply } => self.propose(action, reply),
             Input::Confirm(reply) => self.confirm(reply),
             Input::Add { member, reply } => {
-                let added = self.node.add(now, member);
+                let added = self.node.add_learner(now, member);
                 let _ = reply.send(added.map_err(|refused| self.to_unable(refused)));
             }
-            Input::HandOver => self.node.hand_over(now),
+            Input::HandOver => self.node.transfer_leadership(now),
             Input::Stop => {}
         }
     }
@@ -307,11 +308,13 @@
         leadership.start_time + leadership.started.elapsed()
     }
 
-    fn to_unable(&self, refused: Refused) -> ControlUnavailable {
+    fn to_unable(&self, refused: RequestError) -> ControlUnavailable {
         match refused {
-            Refused::NotLeader | Refused::HandingOver => ControlUnavailable::NotLeader {
-                leader: self.leader(),
-            },
+            RequestError::NotLeader | RequestError::TransferInProgress => {
+                ControlUnavailable::NotLeader {
+                    leader: self.leader(),
+                }
+            }
             _ => ControlUnavailable::NoMajority,
         }
     }
@@ -333,12 +336,12 @@
     }
 
     async fn handle_ready(&mut self, mut ready: Ready) -> Result<(), DriverError> {
-        self.send(std::mem::take(&mut ready.prompt));
-        if ready.durable() {
+        self.send(std::mem::take(&mut ready.immediate));
+        if ready.must_sync() {
             ready = self.persist(ready).await?;
         }
-        self.node.synced(ready.mark);
-        self.send(std::mem::take(&mut ready.synced));
+        self.node.synced(ready.durable_index);
+        self.send(std::mem::take(&mut ready.after_sync));
         if let Some(snapshot) = &ready.snapshot {
             self.state = decode_state(&snapshot.data);
             self.documents.store(Arc::new(self.state.documents.clone()));
@@ -369,12 +372,12 @@
             let log = self.node.log();
             log.slice(snapshot.index + 1, usize::MAX / 2).to_vec()
         });
-        let hard = self.node.hard();
+        let hard = self.node.hard_state();
         let work = move || {
             let done = match (&ready.snapshot, rest) {
                 (Some(snapshot), Some(rest)) => store.replace(hard, snapshot, &rest),
                 _ => store.write(&Batch {
-                    hard: ready.hard,
+                    hard_state: ready.hard_state,
                     truncate: ready.truncate,
                     append: &ready.append,
                 }),
@@ -484,7 +487,7 @@
         for read in std::mem::take(&mut self.reads) {
             if ready.reads.contains(&read.id) {
                 let _ = read.reply.send(Ok(index));
-            } else if ready.refused.contains(&read.id) {
+            } else if ready.failed_reads.contains(&read.id) {
                 let _ = read
                     .reply
                     .send(Err(ControlUnavailable::NotLeader { leader }));
@@ -506,7 +509,7 @@
         let Some(snapshot) = self.node.compact(applied, data) else {
             return Ok(());
         };
-        let hard = self.node.hard();
+        let hard = self.node.hard_state();
         let rest = self.node.log().slice(applied + 1, usize::MAX / 2).to_vec();
         let mut store = self.store.take().ok_or(DriverError::Writer)?;
         let work = move || store.replace(hard, &snapshot, &rest).map(|()| store);
@@ -521,7 +524,7 @@
         let status = ReplicaStatus {
             node: self.node.id(),
             term: self.node.term(),
-            leads: self.node.leads(),
+            leads: self.node.is_leader(),
             leader: self.leader(),
             contact: self.node.in_contact(self.start.elapsed()),
             members: self.node.members().clone(),
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -1,8 +1,8 @@
-//! Whether an endpoint may be sent a request now, as it asks of its senders.
+//! Admission control on behalf of endpoints.
 //!
-//! It may leave, name a limit on the requests of all entries, or ask this entry to be left
-//! alone. All of that is looked at when an endpoint is chosen, and again where the first byte of
-//! a request goes out, so that whatever leads there is covered.
+//! An endpoint may be leaving, announce a rate limit for all entries together, or request
+//! a backoff of this entry. Admission is checked when an endpoint is chosen, and again
+//! before the first byte of a request is sent, so that no path bypasses it.
 
 use super::endpoint::Endpoint;
 use derive_more::Display;
@@ -13,55 +13,56 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Pause after which one without permits may have some: the interval at which entries ask.
-const PERMIT_PAUSE: Duration = Duration::from_millis(500);
+/// Retry delay for an endpoint without permits: the interval at which entries request
+/// them.
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Why an endpoint is not sent a request that was chosen for it.
+/// Why a request is not sent to the endpoint chosen for it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Hold {
-    /// It is about to stop, or gone.
+pub enum AdmissionError {
+    /// The endpoint is shutting down or gone.
     #[display("leaving")]
     Leaving,
-    /// It takes no more of this entry now.
+    /// The entry has no permit under the endpoint's rate limit.
     #[display("limited")]
     Limited,
-    /// It asked to be left alone.
+    /// The endpoint requested a backoff.
     #[display("backoff")]
     BackedOff,
 }
 
-/// What an endpoint asked of this entry and of all.
+/// Limits that an endpoint imposes on its senders.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
     permits: Mutex<Permits>,
-    /// Whether it is sent only what there are permits for.
+    /// Whether a rate limit is in force, so that requests need permits.
     limited: AtomicBool,
     backoff: Mutex<Backoff>,
-    /// Whether it has ever asked to be left alone.
+    /// Whether a backoff was ever requested; avoids taking the lock.
     backed_off: AtomicBool,
 }
 
 impl Endpoint {
-    /// An answer of its own said this of a limit.
-    pub fn heard_limit(&self, limit: Limit) {
+    /// Applies the rate limit named in a response of the endpoint.
+    pub fn apply_named_limit(&self, limit: Limit) {
         if limit == Limit::Unreadable {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
-        // Most endpoints name none.
+        // Most endpoints name no limit.
         if limit != Limit::Unnamed || self.is_limited() {
             self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
     }
 
-    /// It turned a request away, and said this of when to come back.
-    pub fn turned_away(&self, retry: Retry) {
+    /// Applies the retry delay named in a rejection by the endpoint.
+    pub fn record_rejection(&self, retry: Retry) {
         if retry == Retry::Unspecified {
             return;
         }
         let now = uptime();
-        let left = {
+        let remaining = {
             let mut backoff = self.backoff();
             backoff.record(now, retry);
             backoff.remaining(now).unwrap_or_default()
@@ -71,12 +72,12 @@
             .field("endpoint", self.run())
             .field("service", &self.service)
             .field("retry", retry)
-            .field("left_ms", left.as_millis())
+            .field("left_ms", remaining.as_millis())
             .info();
     }
 
-    /// For how much longer it is left alone, as it asked this entry; `None` where it is not.
-    pub fn backoff_left(&self) -> Option<Duration> {
+    /// Remaining backoff; `None` if there is none.
+    pub fn remaining_backoff(&self) -> Option<Duration> {
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
         }
@@ -90,9 +91,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Control told what all entries know of its limit.
-    pub(super) fn told_limit(&self, observed: Observation) {
-        self.change_limit("control", |permits| permits.merge(observed));
+    /// Applies the limit that control derived from the reports of all entries.
+    pub(super) fn apply_shared_limit(&self, observation: Observation) {
+        self.change_limit("control", |permits| permits.merge(observation));
     }
 
     fn change_limit(&self, by: &str, change: impl FnOnce(&mut Permits) -> bool) {
@@ -114,90 +115,104 @@
         }
     }
 
-    /// Whether it is sent only what there are permits for.
+    /// Whether a rate limit is in force, so that requests need permits.
     pub fn is_limited(&self) -> bool {
         self.admission.limited.load(Ordering::Acquire)
     }
 
-    /// Whether it may be sent a request now.
-    pub(super) fn open(&self) -> bool {
-        let accepting = self.accepting().is_ok();
-        accepting && (!self.is_limited() || self.permits().demand(uptime()))
+    /// Whether the endpoint admits a request now.
+    pub(super) fn admits(&self) -> bool {
+        let available = self.check_available().is_ok();
+        available && (!self.is_limited() || self.permits().demand(uptime()))
     }
 
-    /// How long until it may be sent a request, as far as that is known.
-    pub(super) fn opens_in(&self) -> Duration {
-        let rest = self.backoff_left().unwrap_or_default();
-        let ready = !self.is_limited() || self.permits().is_available(uptime());
-        rest.max(if ready { Duration::ZERO } else { PERMIT_PAUSE })
+    /// Time until the endpoint is expected to admit a request.
+    pub(super) fn admits_in(&self) -> Duration {
+        let backoff = self.remaining_backoff().unwrap_or_default();
+        let permitted = !self.is_limited() || self.permits().is_available(uptime());
+        backoff.max(if permitted {
+            Duration::ZERO
+        } else {
+            PERMIT_RETRY_DELAY
+        })
     }
 
-    /// Whether it takes requests of this entry at all now.
-    fn accepting(&self) -> Result<(), Hold> {
+    /// Whether the endpoint is neither leaving nor backed off.
+    fn check_available(&self) -> Result<(), AdmissionError> {
         if self.leaving() {
-            return Err(Hold::Leaving);
+            return Err(AdmissionError::Leaving);
         }
-        match self.backoff_left() {
-            Some(_) => Err(Hold::BackedOff),
+        match self.remaining_backoff() {
+            Some(_) => Err(AdmissionError::BackedOff),
             None => Ok(()),
         }
     }
 
-    /// Leave to send a request whose first byte goes out now. What was chosen may have begun
-    /// to leave or rest, or to name a limit, since.
+    /// Admits a request whose first byte is about to be sent. Since it was chosen, the
+    /// endpoint may have begun to leave, requested a backoff or named a limit.
     ///
     /// # Errors
     ///
-    /// [`Hold`] where none may go out.
-    pub fn admit(&self) -> Result<Permit, Hold> {
-        self.accepting()?;
+    /// [`AdmissionError`] if the request must not be sent.
+    pub fn admit(&self) -> Result<Permit, AdmissionError> {
+        self.check_available()?;
         if !self.is_limited() {
             return Ok(Permit { until: None });
         }
-        self.permits().take(uptime()).ok_or(Hold::Limited)
+        self.permits().take(uptime()).ok_or(AdmissionError::Limited)
     }
 
-    /// The same for a request that got a permit before and has sent nothing yet.
+    /// Checks admission again for a request with a permit of which nothing has been sent
+    /// yet.
     ///
     /// # Errors
     ///
-    /// [`Hold`] where none may go out any more.
-    pub fn admit_late(&self, permit: Permit) -> Result<(), Hold> {
-        let holds = match permit.until {
+    /// [`AdmissionError`] if the request must not be sent any more.
+    pub fn readmit(&self, permit: Permit) -> Result<(), AdmissionError> {
+        let still_valid = match permit.until {
             Some(until) => uptime() < until,
             None => !self.is_limited(),
         };
-        if holds {
-            self.accepting()
+        if still_valid {
+            self.check_available()
         } else {
             self.admit().map(|_| ())
         }
     }
 
-    /// What control is to be told of its limit, if anything.
-    pub(super) fn limit_news(&self, now: Duration) -> Option<LimitReport> {
+    /// Limit observations and permit demand to report to control, if any.
+    pub(super) fn limit_report(&self, now: Duration) -> Option<LimitReport> {
         self.permits().report(now)
     }
 
-    /// Control granted permits, of those that were asked for at `asked`.
-    pub(super) fn granted(&self, asked: Duration, permits: u32, wanted: u32) {
-        self.permits().receive_grant(asked, permits);
+    /// Applies permits granted by control in response to a request sent at
+    /// `requested_at`.
+    pub(super) fn apply_permits(
+        &self,
+        requested_at: Duration,
+        permits: u32,
+        wanted: u32,
+    ) {
+        self.permits().receive_grant(requested_at, permits);
         if permits > 0 {
             Event::new("permits-granted")
                 .field("endpoint", self.run())
                 .field("permits", permits)
                 .field("wanted", wanted)
-                .field("asked_ms", uptime().saturating_sub(asked).as_millis())
+                .field(
+                    "asked_ms",
+                    uptime().saturating_sub(requested_at).as_millis(),
+                )
                 .info();
         }
     }
 
-    /// No control instance grants any: this entry, one of `entries`, goes by itself.
+    /// Control is unreachable: this entry, one of `entries`, limits its own rate.
     pub(super) fn begin_autonomy(&self, entries: u32) {
         self.permits().begin_autonomy(entries, rand::random());
     }
 
-    /// A control instance is heard of again.
+    /// Control is reachable again.
     pub(super) fn end_autonomy(&self) {
         self.permits().end_autonomy();
     }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -1,11 +1,12 @@
-//! Counting the requests that endpoints begin, and telling control of them.
+//! Counting the requests that endpoints start, and reporting the counts to control.
 //!
-//! An entry tells the control instance that reports, else the first one by address that
-//! answers and is in contact with a majority. Windows are cut by true time as control knows
-//! it from the clocks of all entries, held against a clock that nobody steps; an entry goes
-//! by its own wall clock only until it was first told.
+//! An entry reports to the control instance that owns the usage duty, else to the first
+//! one by address that responds and is in contact with a majority. Windows are cut by
+//! true time, as control estimates it from the clocks of all entries, measured against a
+//! monotonic clock. An entry uses its own wall clock only until it receives the first
+//! estimate.
 
-use crate::follow::Follower;
+use crate::route_follower::RouteFollower;
 use crate::stats::Stats;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::uptime;
@@ -18,24 +19,24 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{sleep, timeout};
 
-/// Interval at which an entry tells. An entry that is killed takes with it what it has not
-/// told.
-const INTERVAL: Duration = Duration::from_millis(500);
-/// Spread of the interval, so that entries do not tell in step.
-const SPREAD: std::ops::Range<f64> = 0.8..1.2;
-/// Longest wait for an instance's answer.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// Instances that are told at one time before the next interval: one more than may be lost
-/// at once where five keep the log, and the one that reports.
-const TRIES: usize = 4;
-/// Longest way there and back after which what was told of the time counts: half of it is
-/// how wrong that may be.
-const QUICK: Duration = Duration::from_millis(100);
-
-/// What one entry counts.
+/// Interval between reports. An entry that is killed loses the counts it has not
+/// reported.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Jitter of the interval, so that entries do not report in step.
+const JITTER: std::ops::Range<f64> = 0.8..1.2;
+/// Timeout of a call to a control instance.
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Control instances tried per interval: one more than may fail at once where five
+/// instances replicate the log, and the one that owns the usage duty.
+const MAX_INSTANCES: usize = 4;
+/// Longest round trip after which a received time estimate is used: half of the round
+/// trip bounds its error.
+const MAX_ROUND_TRIP: Duration = Duration::from_millis(100);
+
+/// Usage counts of one entry.
 #[derive(Debug)]
 pub struct Usage {
-    /// Names this run of the entry.
+    /// Random id of this run of the process.
     run: u64,
     windows: Windows,
     stats: Stats,
@@ -45,18 +46,18 @@
 #[derive(Debug, Default)]
 struct State {
     ledger: Ledger,
-    /// What [`uptime`] has to be moved by to show true time.
+    /// What is added to [`uptime`] to get true time.
     offset: Option<Duration>,
-    /// The instance that reports, as it was told last.
-    holder: Option<SocketAddr>,
-    /// The instance that answered last, and its run.
+    /// The instance that owns the usage duty, as last received.
+    reporter: Option<SocketAddr>,
+    /// The instance that responded last, and its run.
     last: Option<(SocketAddr, u64)>,
-    /// The window of which a request was last said to be lost.
-    lost: Option<Window>,
+    /// The last window for which a lost count was logged.
+    lost_logged: Option<Window>,
 }
 
 impl Usage {
-    /// Nothing is counted yet.
+    /// Creates an empty counter.
     pub fn new(windows: Windows, stats: Stats) -> Self {
         Self {
             run: rand::random(),
@@ -66,7 +67,7 @@
         }
     }
 
-    /// An endpoint began a request of a workspace.
+    /// Counts a request of `workspace` that an endpoint started.
     pub fn count(&self, workspace: &str) {
         let window = self.windows.at(self.now());
         let counted = self.state().ledger.count(window, workspace);
@@ -76,8 +77,8 @@
             Counted::Full => "full",
         };
         self.stats.usage(outcome);
-        // One line a window: a workspace may send many requests.
-        if self.state().lost.replace(window) == Some(window) {
+        // Logged once per window, since a workspace may send many requests.
+        if self.state().lost_logged.replace(window) == Some(window) {
             return;
         }
         Event::new("usage-lost")
@@ -87,66 +88,69 @@
             .warn();
     }
 
-    /// True time, as far as it is known here.
+    /// Estimated true time.
     fn now(&self) -> TrueTime {
         let offset = self.state().offset;
-        offset.map_or_else(wall, |offset| offset + uptime())
+        offset.map_or_else(wall_clock, |offset| offset + uptime())
     }
 
-    /// What is told to an instance of which a run was heard before.
-    fn news(&self, entry: &str, address: SocketAddr, ends: bool) -> EntryUsage {
-        // Before the counts are read: what comes between is told twice rather than left out.
+    /// Report to the instance at `address`, relative to what its last run acknowledged.
+    fn message(&self, entry: &str, address: SocketAddr, is_final: bool) -> EntryUsage {
+        // Read before the counts: what is counted in between is reported twice rather
+        // than left out.
         let through = self.now();
         let state = self.state();
         let last = state.last.filter(|last| last.0 == address);
         EntryUsage {
             entry: entry.to_string(),
             run: self.run,
-            wall: wall(),
+            wall: wall_clock(),
             windows: state.ledger.unacknowledged(last.map_or(0, |last| last.1)),
             through,
-            last: ends,
+            last: is_final,
         }
     }
 
-    /// Takes in an answer that was asked for at `asked`.
-    fn heard(
+    /// Applies a response to a report that was sent at `sent_at`.
+    fn apply(
         &self,
         address: SocketAddr,
-        asked: Duration,
-        told: &EntryUsage,
-        heard: &UsageReply,
+        sent_at: Duration,
+        report: &EntryUsage,
+        response: &UsageReply,
     ) {
         let now = uptime();
-        let way = now.saturating_sub(asked);
+        let round_trip = now.saturating_sub(sent_at);
         let mut state = self.state();
-        state.last = Some((address, heard.instance));
-        state.ledger.acknowledged(heard.instance, &told.windows);
-        state.ledger.finalize_before(heard.next);
-        state.holder = heard.reporter;
-        if let Some(time) = heard.now
-            && (way <= QUICK || state.offset.is_none())
+        state.last = Some((address, response.instance));
+        state
+            .ledger
+            .acknowledged(response.instance, &report.windows);
+        state.ledger.finalize_before(response.next);
+        state.reporter = response.reporter;
+        if let Some(time) = response.now
+            && (round_trip <= MAX_ROUND_TRIP || state.offset.is_none())
         {
-            state.offset = Some((time + way / 2).saturating_sub(now));
+            state.offset = Some((time + round_trip / 2).saturating_sub(now));
         }
     }
 
-    /// Tells control what is new, once; `ends` says that nothing more comes. Whether an
-    /// instance that is in contact with a majority has it.
-    pub async fn tell(&self, follower: &Follower, ends: bool) -> bool {
+    /// Reports new counts once; `is_final` marks the final report. Returns whether an
+    /// instance in contact with a majority has them.
+    pub async fn report(&self, follower: &RouteFollower, is_final: bool) -> bool {
         let control = follower.control().instances();
-        let holder = self.state().holder;
-        let others = control.into_iter().filter(|other| Some(*other) != holder);
-        let order: Vec<SocketAddr> = holder.into_iter().chain(others).collect();
-        for address in order.into_iter().take(TRIES) {
-            let told = self.news(&follower.name, address, ends);
-            let asked = uptime();
-            let call = follower.caller.call(address, USAGE_PATH, &told);
-            let heard: Option<UsageReply> =
-                timeout(PATIENCE, call).await.ok().and_then(Result::ok);
-            if let Some(heard) = heard {
-                self.heard(address, asked, &told, &heard);
-                if heard.has_quorum {
+        let reporter = self.state().reporter;
+        let fallbacks = control.into_iter().filter(|other| Some(*other) != reporter);
+        let order: Vec<SocketAddr> = reporter.into_iter().chain(fallbacks).collect();
+        for address in order.into_iter().take(MAX_INSTANCES) {
+            let report = self.message(&follower.name, address, is_final);
+            let sent_at = uptime();
+            let call = follower.client.call(address, USAGE_PATH, &report);
+            let response: Option<UsageReply> =
+                timeout(CALL_TIMEOUT, call).await.ok().and_then(Result::ok);
+            if let Some(response) = response {
+                self.apply(address, sent_at, &report, &response);
+                if response.has_quorum {
                     return true;
                 }
             }
@@ -159,16 +163,16 @@
     }
 }
 
-/// Counts one request as begun, once however often it is sent and whoever finds out.
+/// Counts one request as started at most once, however often it is sent.
 #[derive(Debug)]
-pub struct Begun {
+pub struct StartCounter {
     usage: Option<Arc<Usage>>,
     workspace: Option<WorkspaceId>,
     counted: AtomicBool,
 }
 
-impl Begun {
-    /// For a request of `workspace`. One of nobody is not counted.
+impl StartCounter {
+    /// Counts for `workspace`; without a workspace, nothing is counted.
     pub fn new(usage: Option<Arc<Usage>>, workspace: Option<WorkspaceId>) -> Self {
         Self {
             usage,
@@ -177,7 +181,7 @@
         }
     }
 
-    /// An endpoint has begun it.
+    /// Called when an endpoint has started the request.
     pub fn count(&self) {
         let Some((usage, workspace)) = self.usage.as_ref().zip(self.workspace.as_ref())
         else {
@@ -189,21 +193,23 @@
     }
 }
 
-/// Tells for ever.
-pub async fn run(usage: Arc<Usage>, follower: Arc<Follower>) {
-    let mut told = true;
+/// Reports in an endless loop.
+pub async fn run(usage: Arc<Usage>, follower: Arc<RouteFollower>) {
+    let mut delivered = true;
     loop {
-        let spread = rand::rng().random_range(SPREAD);
-        sleep(INTERVAL.mul_f64(spread)).await;
-        let heard = usage.tell(&follower, false).await;
-        if heard != told {
-            told = heard;
-            Event::new("usage-told").field("heard", heard).info();
+        let jitter = rand::rng().random_range(JITTER);
+        sleep(REPORT_INTERVAL.mul_f64(jitter)).await;
+        let now_delivered = usage.report(&follower, false).await;
+        if now_delivered != delivered {
+            delivered = now_delivered;
+            Event::new("usage-told")
+                .field("heard", now_delivered)
+                .info();
         }
     }
 }
 
-fn wall() -> TrueTime {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default()
+fn wall_clock() -> TrueTime {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default()
 }
