--- a/crates/load/src/arguments.rs
+++ b/crates/load/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The command line's grammar.
+//! Command-line arguments of `dogwoodhill-load`.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The whole grammar.
+/// Definition of all commands and their arguments.
 pub fn command() -> Command {
     Command::new("dogwoodhill-load")
         .version(env!("CARGO_PKG_VERSION"))
@@ -13,10 +13,14 @@
         .subcommand(
             Command::new("engine")
                 .about("Runs a stand-in model engine")
-                .arg(listen())
-                .arg(number("slots", "32", "Requests that run at once"))
-                .arg(number("gap-ms", "10", "Time between tokens, alone"))
-                .arg(number(
+                .arg(listen_argument())
+                .arg(number_argument("slots", "32", "Requests that run at once"))
+                .arg(number_argument(
+                    "gap-ms",
+                    "10",
+                    "Time between tokens, alone",
+                ))
+                .arg(number_argument(
                     "crowd-us",
                     "500",
                     "What each further request adds to it",
@@ -25,8 +29,8 @@
         .subcommand(
             Command::new("plain")
                 .about("Runs a stand-in plain service")
-                .arg(listen())
-                .arg(number("work-ms", "5", "Time one call takes")),
+                .arg(listen_argument())
+                .arg(number_argument("work-ms", "5", "Time one call takes")),
         )
         .subcommand(
             Command::new("run")
@@ -37,7 +41,7 @@
                         .value_parser(value_parser!(PathBuf))
                         .help("Scenarios, as JSON with comments"),
                 )
-                .arg(number("seeds", "3", "Seeds for each scenario"))
+                .arg(number_argument("seeds", "3", "Seeds for each scenario"))
                 .arg(
                     Arg::new("only")
                         .long("only")
@@ -62,7 +66,11 @@
         .subcommand(
             Command::new("latency")
                 .about("Measures what entry and agent add to a direct call")
-                .arg(number("seconds", "4", "Length of each measurement")),
+                .arg(number_argument(
+                    "seconds",
+                    "4",
+                    "Length of each measurement",
+                )),
         )
         .subcommand(
             Command::new("slopes")
@@ -76,7 +84,7 @@
         )
 }
 
-fn listen() -> Arg {
+fn listen_argument() -> Arg {
     Arg::new("listen")
         .long("listen")
         .value_name("ADDRESS")
@@ -85,7 +93,7 @@
         .help("Address to listen on")
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_argument(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("N")
--- a/crates/load/src/bench.rs
+++ b/crates/load/src/deployment.rs
@@ -1,7 +1,8 @@
-//! A deployment for experiments: the real daemons in one process.
+//! The deployment under test: entries and agents as in production, and simulated engines,
+//! all in this process and connected over loopback.
 
 use crate::link;
-use crate::scenario::{Load, Suite};
+use crate::scenario::{ClassLoad, Suite};
 use dogwoodhill_agent::Agent;
 use dogwoodhill_core::document::{Endpoint, Kind, Repeat, State, Target, Workspace};
 use dogwoodhill_core::keys::KeyHash;
@@ -10,104 +11,105 @@
 use dogwoodhill_entry::Entry;
 use dogwoodhill_entry::table::Service;
 use dogwoodhill_policy::placement::Policy;
-use dogwoodhill_standin::engine::{Engine, Made};
-use dogwoodhill_standin::faults::Faults;
+use dogwoodhill_standin::engine::{Engine, TokenCounter};
+use dogwoodhill_standin::faults::FaultInjector;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
 /// Name of the service under test.
 pub const SERVICE: &str = "bench";
-/// Key shared by the processes.
+/// Key with which entries and agents authenticate each other.
 const CLUSTER_KEY: &str = "bench";
 
-/// Key of a workspace.
+/// API key of the workspace with this number.
 pub fn workspace_key(number: u32) -> String {
     format!("key-{number}")
 }
 
-/// One endpoint under test.
+/// An endpoint of the deployment with its agent.
 #[derive(Clone, Debug)]
-pub struct Behind {
-    /// Name.
+pub struct DeployedEndpoint {
+    /// Endpoint name.
     pub name: EndpointId,
-    /// Domain.
+    /// Failure domain.
     pub domain: DomainId,
-    /// Its own address.
+    /// Address of the engine itself.
     pub address: SocketAddr,
-    /// Its agent's address.
+    /// Address of the agent in front of the engine.
     pub agent: SocketAddr,
-    /// Its switches.
-    pub faults: Faults,
-    /// Its tokens.
-    pub made: Made,
+    /// Fault switches of the engine.
+    pub faults: FaultInjector,
+    /// Count of the tokens that the engine generated.
+    pub token_counter: TokenCounter,
 }
 
 /// A running deployment.
 #[derive(Debug)]
-pub struct Bench {
-    /// Endpoints.
-    pub endpoints: Vec<Behind>,
+pub struct Deployment {
+    /// Endpoints in the order of their numbers.
+    pub endpoints: Vec<DeployedEndpoint>,
     suite: Suite,
     policy: Policy,
-    entries: Vec<Running>,
-    behind: Drain,
+    entries: Vec<EntryHandle>,
+    endpoint_drain: Drain,
     tasks: JoinSet<()>,
 }
 
 #[derive(Debug)]
-struct Running {
+struct EntryHandle {
     address: SocketAddr,
     drain: Drain,
 }
 
-impl Bench {
-    /// Starts the deployment of `suite` with one placement policy.
+impl Deployment {
+    /// Starts the deployment that `suite` describes, with `policy` in all entries.
     ///
     /// # Panics
     ///
-    /// Where loopback has no free port: no experiment can be run then.
+    /// If no loopback port is free.
     pub async fn start(suite: &Suite, policy: Policy) -> Self {
-        let mut bench = Self {
+        let mut deployment = Self {
             endpoints: Vec::new(),
             suite: suite.clone(),
             policy,
             entries: Vec::new(),
-            behind: Drain::default(),
+            endpoint_drain: Drain::default(),
             tasks: JoinSet::new(),
         };
         for number in 0..suite.endpoints {
-            bench.add_endpoint(number).await;
+            deployment.add_endpoint(number).await;
         }
         for number in 0..suite.entries {
-            let running = bench.start_entry(number).await;
-            bench.entries.push(running);
+            let handle = deployment.start_entry(number).await;
+            deployment.entries.push(handle);
         }
-        bench
+        deployment
     }
 
-    /// Addresses of the entries, as the balancer knows them now.
+    /// Current addresses of the entries; they change when an entry is restarted.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.address).collect()
     }
 
-    /// Drains an entry and puts a new one in its place.
-    pub async fn restart(&mut self, number: u32) {
-        let fresh = self.start_entry(number).await;
-        let at = number as usize % self.entries.len();
-        let old = std::mem::replace(&mut self.entries[at], fresh);
+    /// Starts a new entry in place of entry `number`, then drains the old one. `number` is
+    /// taken modulo the number of entries.
+    pub async fn restart_entry(&mut self, number: u32) {
+        let replacement = self.start_entry(number).await;
+        let index = number as usize % self.entries.len();
+        let old = std::mem::replace(&mut self.entries[index], replacement);
         old.drain.begin();
     }
 
-    /// Tokens that all endpoints made.
-    pub fn made(&self) -> u64 {
-        self.endpoints.iter().map(|e| e.made.count()).sum()
+    /// Tokens that all endpoints generated, delivered or not.
+    pub fn generated_tokens(&self) -> u64 {
+        self.endpoints.iter().map(|e| e.token_counter.count()).sum()
     }
 
-    /// Stops everything.
+    /// Drains all daemons and aborts the tasks that still run.
     pub async fn stop(mut self) {
         self.entries.iter().for_each(|entry| entry.drain.begin());
-        self.behind.begin();
+        self.endpoint_drain.begin();
         self.tasks.shutdown().await;
     }
 
@@ -116,8 +118,8 @@
     }
 
     async fn add_endpoint(&mut self, number: u32) {
-        let free = SocketAddr::from(([127, 0, 0, 1], 0));
-        let engine = Engine::bind(free, self.suite.speed)
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let engine = Engine::bind(any_port, self.suite.engine)
             .await
             .expect("a free port");
         let name = format!("endpoint-{number}");
@@ -127,30 +129,30 @@
             engine.address(),
         );
         settings.secret = CLUSTER_KEY.to_string();
-        settings.initial_limit = self.suite.limit;
+        settings.initial_limit = self.suite.initial_limit;
         settings.linger = Duration::ZERO;
-        let agent = Agent::bind(settings, self.behind.clone()).await;
+        let agent = Agent::bind(settings, self.endpoint_drain.clone()).await;
         let agent = agent.expect("a free port");
-        self.endpoints.push(Behind {
+        self.endpoints.push(DeployedEndpoint {
             name,
             domain: self.domain(number),
             address: engine.address(),
             agent: agent.address(),
             faults: engine.faults(),
-            made: engine.made(),
+            token_counter: engine.token_counter(),
         });
-        self.tasks.spawn(engine.run(self.behind.clone()));
+        self.tasks.spawn(engine.run(self.endpoint_drain.clone()));
         self.tasks.spawn(agent.run());
     }
 
-    async fn start_entry(&mut self, number: u32) -> Running {
+    async fn start_entry(&mut self, number: u32) -> EntryHandle {
         let domain = self.domain(number);
         let name = format!("entry-{number}");
         let mut settings = dogwoodhill_entry::Settings::new(name, domain.clone());
         settings.secret = CLUSTER_KEY.to_string();
         settings.placement = self.policy;
         settings.entries = self.suite.entries;
-        settings.queue_bounds.count = self.suite.waiting as usize;
+        settings.queue_bounds.count = self.suite.max_waiting as usize;
         settings.linger = Duration::from_secs(1);
         let drain = Drain::default();
         let entry = Entry::bind(settings, drain.clone())
@@ -164,26 +166,26 @@
         entry.core().install(1, vec![service]);
         let address = entry.address();
         self.tasks.spawn(entry.run());
-        Running { address, drain }
+        EntryHandle { address, drain }
     }
 
-    /// The document as an entry in `domain` sees it: agents of other domains
-    /// are behind a link with their distance.
+    /// Service document for an entry in `domain`. Agents of other domains are addressed
+    /// through a link that adds the delay between domains.
     async fn document(&self, domain: &str) -> ServiceDocument {
         let mut endpoints = Vec::new();
-        for behind in &self.endpoints {
-            let near = behind.domain == domain || self.suite.distance.is_zero();
-            let agent = match near {
-                true => behind.agent,
-                false => link::start(behind.agent, self.suite.distance)
+        for endpoint in &self.endpoints {
+            let is_local = endpoint.domain == domain || self.suite.domain_delay.is_zero();
+            let agent = match is_local {
+                true => endpoint.agent,
+                false => link::start(endpoint.agent, self.suite.domain_delay)
                     .await
                     .expect("a free port"),
             };
             endpoints.push(Endpoint {
-                name: behind.name.clone(),
+                name: endpoint.name.clone(),
                 agent,
-                address: behind.address,
-                domain: behind.domain.clone(),
+                address: endpoint.address,
+                domain: endpoint.domain.clone(),
                 fenced: false,
                 leaving: false,
             });
@@ -211,28 +213,32 @@
     }
 }
 
-/// Whether a workspace is one of the few large ones.
-pub fn large(number: u32, workspaces: u32) -> bool {
+/// Whether a workspace belongs to the first quarter, which has four times the weight.
+pub fn is_large_workspace(number: u32, workspaces: u32) -> bool {
     number < workspaces.div_ceil(4)
 }
 
 fn workspace(number: u32, workspaces: u32) -> Workspace {
     Workspace {
         name: format!("workspace-{number}"),
-        weight: if large(number, workspaces) { 4 } else { 1 },
+        weight: if is_large_workspace(number, workspaces) {
+            4
+        } else {
+            1
+        },
         in_flight: None,
         rate: None,
         keys: vec![KeyHash::of(&workspace_key(number))],
     }
 }
 
-fn class(load: &Load) -> Class {
+fn class(load: &ClassLoad) -> Class {
     Class {
         name: load.name.clone(),
         priority: load.priority,
         target: Target {
             first_token: load.first,
-            token_gap: load.gap,
+            token_gap: load.token_gap,
             finish: load.finish,
         },
         objective: load.objective,
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -1,7 +1,8 @@
-//! The open loop: plans requests, starts them on time, checks the answers.
+//! Open-loop load generation: plans the requests of a scenario, sends each and checks the
+//! answer.
 
-use crate::bench::{SERVICE, large, workspace_key};
-use crate::outcome::{Ended, Result};
+use crate::deployment::{SERVICE, is_large_workspace, workspace_key};
+use crate::outcome::{RequestEnd, RequestResult};
 use crate::scenario::{Scenario, Suite};
 use bytes::{Bytes, BytesMut};
 use dogwoodhill_core::prelude::*;
@@ -17,59 +18,64 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// How much busier a large workspace is than a small one.
-const LARGE: f64 = 4.0;
-/// Time over which calm load goes on after the burst.
-const AFTER: Duration = Duration::from_secs(1);
+/// Request rate of a large workspace relative to a small one.
+const LARGE_WORKSPACE_FACTOR: f64 = 4.0;
+/// Length of the calm phase after the burst.
+const FINAL_CALM: Duration = Duration::from_secs(1);
 
-/// One request to send.
+/// A request of the plan.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// Intended start, from the beginning.
+pub struct PlannedRequest {
+    /// Intended start, from the start of the run.
     pub at: Duration,
-    /// Position of the class in the suite.
+    /// Index of the class in the suite.
     pub class: usize,
-    /// Workspace.
+    /// Number of the workspace that sends the request.
     pub workspace: u32,
-    /// Tokens of the answer.
+    /// Requested length of the answer in tokens.
     pub tokens: u32,
-    /// Prompt, unlike any other request's.
+    /// Prompt, unique within the run, so that each expected answer is too.
     pub prompt: String,
 }
 
-/// Plans a scenario; the same seed gives the same plan.
-pub fn plan(suite: &Suite, scenario: &Scenario, seed: u64) -> Vec<Planned> {
+/// Plans the requests of `scenario`, sorted by start. The plan depends only on the
+/// arguments; the same seed gives the same plan.
+pub fn plan(suite: &Suite, scenario: &Scenario, seed: u64) -> Vec<PlannedRequest> {
     let mut random = SmallRng::seed_from_u64(seed);
     let base = suite.capacity() / suite.mean_tokens();
-    let end = scenario.before + scenario.burst + AFTER;
+    let end = scenario.calm_duration + scenario.burst_duration + FINAL_CALM;
     let shares: u32 = suite.classes.iter().map(|class| class.share).sum();
     let mut planned = Vec::new();
     for (class, load) in suite.classes.iter().enumerate() {
         let share = f64::from(load.share) / f64::from(shares);
-        let bursts = scenario.only.as_ref().is_none_or(|only| *only == load.name);
+        let has_burst = scenario
+            .burst_class
+            .as_ref()
+            .is_none_or(|name| *name == load.name);
         let mut at = Duration::ZERO;
         while at < end {
-            let within = at >= scenario.before && at < scenario.before + scenario.burst;
-            let factor = match within && bursts {
-                true => scenario.factor,
-                false => scenario.calm,
+            let in_burst = at >= scenario.calm_duration
+                && at < scenario.calm_duration + scenario.burst_duration;
+            let load_factor = match in_burst && has_burst {
+                true => scenario.burst_factor,
+                false => scenario.calm_factor,
             };
-            let rate = (base * factor * share).max(1e-3);
-            // Exponential gaps: independent arrivals.
+            let rate = (base * load_factor * share).max(1e-3);
+            // Exponential gaps give a Poisson process, that is independent arrivals.
             let gap = -random.random_range(f64::EPSILON..1.0).ln() / rate;
             let next = at + Duration::from_secs_f64(gap.min(3600.0));
-            // A gap drawn at calm rate must not jump over the burst.
-            if at < scenario.before && next > scenario.before {
-                at = scenario.before;
+            // A gap drawn at the calm rate must not skip the burst.
+            if at < scenario.calm_duration && next > scenario.calm_duration {
+                at = scenario.calm_duration;
                 continue;
             }
             at = next;
             if at < end {
-                planned.push(Planned {
+                planned.push(PlannedRequest {
                     at,
                     class,
-                    workspace: workspace(&mut random, suite.workspaces),
-                    tokens: tokens(&mut random, load.least, load.most),
+                    workspace: draw_workspace(&mut random, suite.workspaces),
+                    tokens: draw_tokens(&mut random, load.min_tokens, load.max_tokens),
                     prompt: format!("{seed}-{class}-{}", planned.len()),
                 });
             }
@@ -79,31 +85,34 @@
     planned
 }
 
-/// Output lengths with a long tail: the square of an even draw.
-fn tokens(random: &mut SmallRng, least: u32, most: u32) -> u32 {
-    // The mean of the square is a third; scaled so that the mean of the
-    // whole stays in the middle, as the suite's capacity assumes.
+/// Draws an answer length from a long-tailed distribution: the square of a uniform draw.
+fn draw_tokens(random: &mut SmallRng, min_tokens: u32, max_tokens: u32) -> u32 {
+    // The mean of the square is 1/3. The factor 1.5 puts the mean length halfway between
+    // the two bounds, which `Suite::mean_tokens` relies on.
     let draw: f64 = random.random_range(0.0..1.0);
-    let spread = f64::from(most - least) * 1.5;
-    least + (spread * draw * draw) as u32
+    let spread = f64::from(max_tokens - min_tokens) * 1.5;
+    min_tokens + (spread * draw * draw) as u32
 }
 
-fn workspace(random: &mut SmallRng, count: u32) -> u32 {
+/// Draws a workspace by rejection: small ones are kept with a probability of one quarter.
+fn draw_workspace(random: &mut SmallRng, count: u32) -> u32 {
     loop {
         let number = random.random_range(0..count);
-        if large(number, count) || random.random_range(0.0..1.0) < 1.0 / LARGE {
+        if is_large_workspace(number, count)
+            || random.random_range(0.0..1.0) < 1.0 / LARGE_WORKSPACE_FACTOR
+        {
             return number;
         }
     }
 }
 
-/// Client of all callers.
+/// HTTP client shared by all simulated callers.
 #[derive(Clone, Debug)]
-pub struct Callers {
+pub struct LoadClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Default for Callers {
+impl Default for LoadClient {
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -112,17 +121,16 @@
     }
 }
 
-impl Callers {
-    /// Sends one request that was meant to start at `start`, and checks what
-    /// comes back.
+impl LoadClient {
+    /// Sends one request whose intended start is `start`, and checks the answer.
     pub async fn send(
         &self,
         entry: SocketAddr,
         class: &str,
-        planned: &Planned,
+        planned: &PlannedRequest,
         start: Instant,
-    ) -> Result {
-        let mut result = Result::new(planned.class);
+    ) -> RequestResult {
+        let mut result = RequestResult::new(planned.class);
         let body = format!(
             "{{\"model\":\"{SERVICE}\",\"stream\":true,\"max_tokens\":{},\
              \"messages\":[{{\"role\":\"user\",\"content\":\"{}\"}}]}}",
@@ -139,63 +147,65 @@
         let response = match self.client.request(request).await {
             Ok(response) => response,
             Err(_) => {
-                result.ended = Ended::Lost;
+                result.end = RequestEnd::NoAnswer;
                 return result;
             }
         };
         if !response.status().is_success() {
-            result.ended = match response.status().as_u16() {
-                429 => Ended::Shed,
-                504 => Ended::Late,
-                _ => Ended::Refused,
+            result.end = match response.status().as_u16() {
+                429 => RequestEnd::Shed,
+                504 => RequestEnd::Late,
+                _ => RequestEnd::Refused,
             };
             return result;
         }
-        read(response.into_body(), planned, start, &mut result).await;
+        read_answer(response.into_body(), planned, start, &mut result).await;
         result
     }
 }
 
-async fn read(
+async fn read_answer(
     mut body: Incoming,
-    planned: &Planned,
+    planned: &PlannedRequest,
     start: Instant,
-    result: &mut Result,
+    result: &mut RequestResult,
 ) {
-    let mut whole = BytesMut::new();
+    let mut received = BytesMut::new();
     let mut first = None;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            result.ended = Ended::Broken;
+            result.end = RequestEnd::Interrupted;
             return;
         };
         if let Some(data) = frame.data_ref() {
             first.get_or_insert_with(|| start.elapsed());
-            whole.extend_from_slice(data);
+            received.extend_from_slice(data);
         }
     }
     let total = start.elapsed();
     let first = first.unwrap_or(total);
-    let text = String::from_utf8_lossy(&whole);
+    let text = String::from_utf8_lossy(&received);
     result.first = first;
     result.total = total;
     result.tokens = planned.tokens;
-    result.ended = match text.ends_with("data: [DONE]\n\n") {
-        false => Ended::Broken,
-        true if said(&text) == answer(&planned.prompt, planned.tokens) => Ended::Whole,
-        true => Ended::Wrong,
+    result.end = match text.ends_with("data: [DONE]\n\n") {
+        false => RequestEnd::Interrupted,
+        true if content_text(&text) == answer(&planned.prompt, planned.tokens) => {
+            RequestEnd::Complete
+        }
+        true => RequestEnd::Wrong,
     };
 }
 
-/// The text that a stream's events carry.
-fn said(events: &str) -> String {
-    const MARK: &str = "\"content\":\"";
+/// Concatenates the `content` of all events of a stream.
+fn content_text(events: &str) -> String {
+    const CONTENT_KEY: &str = "\"content\":\"";
     let mut text = String::new();
     for line in events.lines() {
-        if let Some((_, rest)) = line.split_once(MARK)
-            && let Some((piece, _)) = rest.split_once('"')
+        if let Some((_, rest)) = line.split_once(CONTENT_KEY)
+            && let Some((content, _)) = rest.split_once('"')
         {
-            text.push_str(piece);
+            text.push_str(content);
         }
     }
     text
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -1,9 +1,9 @@
-//! Running a scenario with every policy and seed, and the table of it.
+//! Runs scenarios with several placement policies and seeds, and formats the comparison.
 
-use crate::bench::Bench;
-use crate::driver::{Callers, plan};
-use crate::outcome::{Outcome, Result};
-use crate::scenario::{Kind, Scenario, Suite};
+use crate::deployment::Deployment;
+use crate::driver::{LoadClient, plan};
+use crate::outcome::{RequestResult, RunOutcome};
+use crate::scenario::{FaultKind, Scenario, Suite};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::placement::Policy;
 use dogwoodhill_standin::faults::Fault;
@@ -13,46 +13,51 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest time for answers after the last request started.
-const PATIENCE: Duration = Duration::from_secs(45);
-/// How much slower a straggler is.
-const SLOWNESS: u32 = 6;
+/// Time limit for outstanding answers after the last request was sent.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(45);
+/// Factor by which [`FaultKind::Slow`] slows an endpoint down.
+const SLOWDOWN_FACTOR: u32 = 6;
 
-/// Runs one scenario once.
+/// Runs `scenario` once, on a new deployment of `suite`.
 pub async fn run(
     suite: &Suite,
     scenario: &Scenario,
     policy: Policy,
     seed: u64,
-) -> Outcome {
+) -> RunOutcome {
     let mut suite = suite.clone();
-    suite.speed.lag = scenario.lag;
-    let mut bench = Bench::start(&suite, policy).await;
-    let entries = Arc::new(RwLock::new(bench.entries()));
-    let callers = Callers::default();
+    suite.engine.report_lag = scenario.report_lag;
+    let mut deployment = Deployment::start(&suite, policy).await;
+    let entries = Arc::new(RwLock::new(deployment.entries()));
+    let client = LoadClient::default();
     let planned = plan(&suite, scenario, seed);
     let start = Instant::now();
-    let driving = tokio::spawn(drive(
-        callers,
+    let sending = tokio::spawn(send_requests(
+        client,
         suite.clone(),
         planned,
         Arc::clone(&entries),
         start,
     ));
-    inflict(&mut bench, scenario, &entries, start).await;
-    let results = driving.await.unwrap_or_default();
-    let outcome = Outcome::new(&suite, &results, bench.made(), start.elapsed());
-    bench.stop().await;
+    inject_faults(&mut deployment, scenario, &entries, start).await;
+    let results = sending.await.unwrap_or_default();
+    let outcome = RunOutcome::new(
+        &suite,
+        &results,
+        deployment.generated_tokens(),
+        start.elapsed(),
+    );
+    deployment.stop().await;
     outcome
 }
 
-async fn drive(
-    callers: Callers,
+async fn send_requests(
+    client: LoadClient,
     suite: Suite,
-    planned: Vec<crate::driver::Planned>,
+    planned: Vec<crate::driver::PlannedRequest>,
     entries: Arc<RwLock<Vec<SocketAddr>>>,
     start: Instant,
-) -> Vec<Result> {
+) -> Vec<RequestResult> {
     let mut tasks = JoinSet::new();
     let count = planned.len();
     for (number, request) in planned.into_iter().enumerate() {
@@ -62,23 +67,23 @@
             let entries = entries.read().expect("no holder panics");
             entries[number % entries.len()]
         };
-        let callers = callers.clone();
+        let client = client.clone();
         let class = suite.classes[request.class].name.clone();
-        tasks.spawn(async move { callers.send(entry, &class, &request, due).await });
+        tasks.spawn(async move { client.send(entry, &class, &request, due).await });
     }
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + ANSWER_TIMEOUT;
     let mut results = Vec::with_capacity(count);
     while let Ok(Some(done)) = tokio::time::timeout_at(end, tasks.join_next()).await {
         results.extend(done);
     }
-    // What has not ended by now counts as lost.
-    results.extend((0..tasks.len()).map(|_| Result::new(0)));
+    // Requests that are still running count as unanswered, in the first class.
+    results.extend((0..tasks.len()).map(|_| RequestResult::new(0)));
     results
 }
 
-/// Brings the scenario's faults about.
-async fn inflict(
-    bench: &mut Bench,
+/// Injects the faults of the scenario at their times.
+async fn inject_faults(
+    deployment: &mut Deployment,
     scenario: &Scenario,
     entries: &RwLock<Vec<SocketAddr>>,
     start: Instant,
@@ -87,46 +92,47 @@
     faults.sort_by_key(|fault| fault.at);
     for fault in &faults {
         sleep_until(start + fault.at).await;
-        let at = fault.target as usize % bench.endpoints.len();
-        let switches = bench.endpoints[at].faults.clone();
+        let index = fault.target as usize % deployment.endpoints.len();
+        let switches = deployment.endpoints[index].faults.clone();
         match fault.kind {
-            Kind::Slow => switches.slow(SLOWNESS),
-            Kind::Crash => switches.set(Fault::CloseMiddle),
-            Kind::Restart => {
-                bench.restart(fault.target).await;
-                *entries.write().expect("no holder panics") = bench.entries();
+            FaultKind::Slow => switches.set_slowdown(SLOWDOWN_FACTOR),
+            FaultKind::Crash => switches.set(Fault::CloseMiddle),
+            FaultKind::Restart => {
+                deployment.restart_entry(fault.target).await;
+                *entries.write().expect("no holder panics") = deployment.entries();
             }
         }
-        let until = start + fault.at + fault.lasting;
+        let until = start + fault.at + fault.duration;
         tokio::spawn(async move {
             sleep_until(until).await;
-            switches.slow(1);
+            switches.set_slowdown(1);
             switches.set(Fault::None);
         });
     }
 }
 
-/// Outcomes of one scenario and policy, one for each seed.
+/// Outcomes of one scenario with one policy.
 #[derive(Clone, Debug)]
-pub struct Row {
-    /// Scenario.
+pub struct ComparisonRow {
+    /// Scenario name.
     pub scenario: String,
-    /// Policy.
+    /// Placement policy of the entries.
     pub policy: Policy,
-    /// Outcomes.
-    pub outcomes: Vec<Outcome>,
+    /// One outcome per seed, in the order of the seeds.
+    pub outcomes: Vec<RunOutcome>,
 }
 
-/// Runs `scenario` with all `policies` at a time, seed after seed.
+/// Runs `scenario` with the seeds 1 to `seeds`, one after the other, each with all
+/// `policies` concurrently.
 pub async fn compare(
     suite: &Suite,
     scenario: &Scenario,
     policies: &[Policy],
     seeds: u64,
-) -> Vec<Row> {
-    let mut rows: Vec<Row> = policies
+) -> Vec<ComparisonRow> {
+    let mut rows: Vec<ComparisonRow> = policies
         .iter()
-        .map(|policy| Row {
+        .map(|policy| ComparisonRow {
             scenario: scenario.name.clone(),
             policy: *policy,
             outcomes: Vec::new(),
@@ -146,8 +152,8 @@
     rows
 }
 
-/// The table's head, in Markdown.
-pub fn head(suite: &Suite) -> String {
+/// Head of the results table, in Markdown.
+pub fn table_head(suite: &Suite) -> String {
     let mut line = String::from("| scenario | policy |");
     let mut rule = String::from("| --- | --- |");
     for class in &suite.classes {
@@ -159,8 +165,9 @@
     format!("{line}\n{rule}\n")
 }
 
-/// One row: the mean over seeds, with the spread of attainment.
-pub fn line(row: &Row) -> String {
+/// Row of the results table, in Markdown: means over the seeds, for the attainment of each
+/// class with minimum and maximum in percent.
+pub fn table_row(row: &ComparisonRow) -> String {
     let runs = &row.outcomes;
     let mut line = format!("| {} | {} |", row.scenario, row.policy);
     let classes = runs.first().map_or(0, |run| run.classes.len());
@@ -173,15 +180,15 @@
         let high = shares.iter().copied().fold(0.0, f64::max);
         let _ = write!(line, " {:.1} ({low:.1}-{high:.1}) |", mean(&shares));
     }
-    let of =
-        |value: fn(&Outcome) -> f64| mean(&runs.iter().map(value).collect::<Vec<_>>());
-    let p99 = of(|run| run.classes[0].first.value_at_quantile(0.99) as f64 / 1000.0);
-    let slow_first = of(|run| run.classes[0].slow_first as f64);
-    let slow_gap = of(|run| run.classes[0].slow_gap as f64);
+    let mean_of =
+        |value: fn(&RunOutcome) -> f64| mean(&runs.iter().map(value).collect::<Vec<_>>());
+    let p99 = mean_of(|run| run.classes[0].first.value_at_quantile(0.99) as f64 / 1000.0);
+    let slow_first = mean_of(|run| run.classes[0].slow_first as f64);
+    let slow_gap = mean_of(|run| run.classes[0].slow_gap as f64);
     let _ = write!(line, " {p99:.0} | {slow_first:.0}/{slow_gap:.0} |");
-    let attained = of(|run| run.attained() as f64);
-    let goodput = of(|run| run.good as f64 / run.lasting.as_secs_f64());
-    let wasted = of(|run| run.wasted() * 100.0);
+    let attained = mean_of(|run| run.attained() as f64);
+    let goodput = mean_of(|run| run.good_tokens as f64 / run.duration.as_secs_f64());
+    let wasted = mean_of(|run| run.wasted_share() * 100.0);
     let sum = |value: fn(&crate::outcome::ClassOutcome) -> u64| -> u64 {
         runs.iter().flat_map(|run| &run.classes).map(value).sum()
     };
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -1,11 +1,11 @@
-//! What entry and agent add to a direct call.
+//! Latency and processor time that entry and agent add to a direct call.
 
-use crate::bench::{Bench, SERVICE, workspace_key};
-use crate::scenario::{Load, Suite};
+use crate::deployment::{Deployment, SERVICE, workspace_key};
+use crate::scenario::{ClassLoad, Suite};
 use bytes::Bytes;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::placement::Policy;
-use dogwoodhill_standin::engine::Speed;
+use dogwoodhill_standin::engine::EngineConfig;
 use hdrhistogram::Histogram;
 use http::{Request, header};
 use http_body_util::{BodyExt, Full};
@@ -16,30 +16,30 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Tokens of each answer.
+/// Length of each answer in tokens.
 const TOKENS: u32 = 8;
-/// Numbers of concurrent streams.
+/// Concurrent streams of the measurements.
 pub const STREAMS: [u32; 3] = [1, 32, 512];
-/// Endpoints behind the router.
+/// Number of endpoints.
 const ENDPOINTS: u32 = 4;
 
-/// One measurement.
+/// Measurement with one number of streams.
 #[derive(Clone, Copy, Debug)]
-pub struct Point {
-    /// Concurrent streams.
+pub struct LatencyPoint {
+    /// Number of concurrent streams.
     pub streams: u32,
-    /// Median and 99th percentile of the first byte, direct, microseconds.
+    /// Time to the first byte of direct calls.
     pub direct: Percentiles,
-    /// The same through entry and agent.
+    /// Time to the first byte through entry and agent.
     pub routed: Percentiles,
-    /// Requests a second through the router.
-    pub rate: f64,
-    /// Processor seconds of the whole process for a routed request, less
-    /// those for a direct one.
-    pub cost: Duration,
+    /// Requests per second through entry and agent.
+    pub requests_per_second: f64,
+    /// Processor time of entry and agent per request: that of the whole process for a
+    /// routed request, less that for a direct one.
+    pub router_cpu: Duration,
 }
 
-/// Two percentiles in microseconds.
+/// Percentiles in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Percentiles {
     /// Median.
@@ -48,81 +48,92 @@
     pub p99: u64,
 }
 
-/// Suite of fast endpoints: what is measured is the router.
+/// A suite whose endpoints are fast enough that the router dominates the measurement.
 pub fn suite(endpoints: u32) -> Suite {
     Suite {
         name: "latency".to_string(),
         domains: 1,
         endpoints,
         entries: 1,
-        distance: Duration::ZERO,
-        approach: Duration::ZERO,
+        domain_delay: Duration::ZERO,
+        caller_delay: Duration::ZERO,
         workspaces: 4,
-        speed: Speed {
+        engine: EngineConfig {
             slots: 4096,
-            gap: Duration::from_millis(1),
-            crowd: Duration::ZERO,
+            token_gap: Duration::from_millis(1),
+            gap_per_request: Duration::ZERO,
             prefill: Duration::ZERO,
-            lag: Duration::ZERO,
+            report_lag: Duration::ZERO,
         },
-        limit: 256,
-        waiting: 20_000,
-        classes: vec![Load {
+        initial_limit: 256,
+        max_waiting: 20_000,
+        classes: vec![ClassLoad {
             name: "only".to_string(),
             priority: 0,
             objective: 0.95,
             first: Some(Duration::from_secs(10)),
-            gap: None,
+            token_gap: None,
             finish: None,
             timeout: Duration::from_secs(60),
             share: 1,
-            least: TOKENS,
-            most: TOKENS,
+            min_tokens: TOKENS,
+            max_tokens: TOKENS,
         }],
         scenarios: Vec::new(),
     }
 }
 
-/// Measures one number of streams for about `lasting` on each side.
-pub async fn measure(streams: u32, lasting: Duration) -> Point {
-    let bench = Bench::start(&suite(ENDPOINTS), Policy::Predicted).await;
-    let direct: Vec<SocketAddr> = bench.endpoints.iter().map(|e| e.address).collect();
-    let entries = bench.entries();
-    // Connections and code are warmed up before anything is counted.
-    load(&entries, streams, TOKENS, lasting / 4).await;
-    load(&direct, streams, TOKENS, lasting / 4).await;
-    let plain = load(&direct, streams, TOKENS, lasting).await;
-    let routed = load(&entries, streams, TOKENS, lasting).await;
-    bench.stop().await;
-    Point {
+/// Measures with `streams` concurrent streams, for `duration` direct and as long through
+/// the router.
+pub async fn measure(streams: u32, duration: Duration) -> LatencyPoint {
+    let deployment = Deployment::start(&suite(ENDPOINTS), Policy::Predicted).await;
+    let direct: Vec<SocketAddr> =
+        deployment.endpoints.iter().map(|e| e.address).collect();
+    let entries = deployment.entries();
+    // Warm up: connections are open before the measurement starts.
+    load(&entries, streams, TOKENS, duration / 4).await;
+    load(&direct, streams, TOKENS, duration / 4).await;
+    let direct_result = load(&direct, streams, TOKENS, duration).await;
+    let routed_result = load(&entries, streams, TOKENS, duration).await;
+    deployment.stop().await;
+    LatencyPoint {
         streams,
-        direct: plain.percentiles(),
-        routed: routed.percentiles(),
-        rate: routed.requests as f64 / lasting.as_secs_f64(),
-        cost: routed.cost().saturating_sub(plain.cost()),
+        direct: direct_result.percentiles(),
+        routed: routed_result.percentiles(),
+        requests_per_second: routed_result.requests as f64 / duration.as_secs_f64(),
+        router_cpu: routed_result
+            .cpu_per_request()
+            .saturating_sub(direct_result.cpu_per_request()),
     }
 }
 
-/// Processor time that entry and agent together take for one request of
-/// `tokens` tokens: that of a routed request less that of a direct one.
-pub async fn cost(streams: u32, tokens: u32, lasting: Duration) -> Duration {
-    let bench = Bench::start(&suite(ENDPOINTS), Policy::Predicted).await;
-    let direct: Vec<SocketAddr> = bench.endpoints.iter().map(|e| e.address).collect();
-    let entries = bench.entries();
-    load(&entries, streams, tokens, lasting / 4).await;
-    let plain = load(&direct, streams, tokens, lasting).await;
-    let routed = load(&entries, streams, tokens, lasting).await;
-    bench.stop().await;
-    routed.cost().saturating_sub(plain.cost())
+/// Processor time of entry and agent together for one request of `tokens` tokens: that of
+/// a routed request less that of a direct one.
+pub async fn router_cpu_per_request(
+    streams: u32,
+    tokens: u32,
+    duration: Duration,
+) -> Duration {
+    let deployment = Deployment::start(&suite(ENDPOINTS), Policy::Predicted).await;
+    let direct: Vec<SocketAddr> =
+        deployment.endpoints.iter().map(|e| e.address).collect();
+    let entries = deployment.entries();
+    load(&entries, streams, tokens, duration / 4).await;
+    let direct_result = load(&direct, streams, tokens, duration).await;
+    let routed_result = load(&entries, streams, tokens, duration).await;
+    deployment.stop().await;
+    routed_result
+        .cpu_per_request()
+        .saturating_sub(direct_result.cpu_per_request())
 }
 
-struct Loaded {
+struct LoadResult {
     first: Histogram<u64>,
     requests: u64,
-    used: Duration,
+    cpu: Duration,
 }
 
-impl Loaded {
+impl LoadResult {
     fn percentiles(&self) -> Percentiles {
         Percentiles {
             p50: self.first.value_at_quantile(0.5),
@@ -130,8 +141,8 @@
         }
     }
 
-    fn cost(&self) -> Duration {
-        self.used / self.requests.max(1) as u32
+    fn cpu_per_request(&self) -> Duration {
+        self.cpu / self.requests.max(1) as u32
     }
 }
 
@@ -139,12 +150,12 @@
     targets: &[SocketAddr],
     streams: u32,
     tokens: u32,
-    lasting: Duration,
-) -> Loaded {
+    duration: Duration,
+) -> LoadResult {
     let client: Client<HttpConnector, Full<Bytes>> =
         Client::builder(TokioExecutor::new()).build_http();
     let before = cpu_time();
-    let end = Instant::now() + lasting;
+    let end = Instant::now() + duration;
     let mut tasks = JoinSet::new();
     for stream in 0..streams {
         let target = targets[stream as usize % targets.len()];
@@ -152,8 +163,8 @@
         tasks.spawn(async move {
             let mut first = Histogram::<u64>::new(3).expect("a valid precision");
             while Instant::now() < end {
-                if let Some(taken) = one(&client, target, tokens).await {
-                    let _ = first.record(taken.as_micros() as u64);
+                if let Some(time) = request_first_byte(&client, target, tokens).await {
+                    let _ = first.record(time.as_micros() as u64);
                 }
             }
             first
@@ -165,14 +176,14 @@
             let _ = first.add(part);
         }
     }
-    Loaded {
+    LoadResult {
         requests: first.len(),
         first,
-        used: cpu_time().saturating_sub(before),
+        cpu: cpu_time().saturating_sub(before),
     }
 }
 
-async fn one(
+async fn request_first_byte(
     client: &Client<HttpConnector, Full<Bytes>>,
     target: SocketAddr,
     tokens: u32,
@@ -197,25 +208,27 @@
     Some(first)
 }
 
-/// Processor time of this process so far, from `/proc/self/stat`.
+/// User and system time of this process so far, from `/proc/self/stat`, in steps of 10 ms.
 pub fn cpu_time() -> Duration {
-    /// Clock ticks a second, as Linux reports them to programs.
-    const TICKS: u64 = 100;
-    /// Position of `utime` after the command's closing parenthesis.
-    const USER: usize = 11;
+    /// `USER_HZ`, the unit of times in `/proc`.
+    const TICKS_PER_SECOND: u64 = 100;
+    /// Index of `utime` after the closing parenthesis of the command; `stime` follows.
+    const UTIME_FIELD: usize = 11;
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = text.rsplit_once(") ").map_or("", |(_, rest)| rest);
-    let field = |at: usize| -> u64 {
-        let text = fields.split(' ').nth(at).unwrap_or("0");
+    let field = |index: usize| -> u64 {
+        let text = fields.split(' ').nth(index).unwrap_or("0");
         text.parse().unwrap_or(0)
     };
-    Duration::from_millis((field(USER) + field(USER + 1)) * 1000 / TICKS)
+    Duration::from_millis(
+        (field(UTIME_FIELD) + field(UTIME_FIELD + 1)) * 1000 / TICKS_PER_SECOND,
+    )
 }
 
-/// Resident memory of this process in bytes, from `/proc/self/statm`.
-pub fn resident() -> u64 {
-    const PAGE: u64 = 4096;
+/// Resident memory of this process in bytes, from `/proc/self/statm`, with pages of 4 KiB.
+pub fn resident_bytes() -> u64 {
+    const PAGE_BYTES: u64 = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).unwrap_or("0");
-    pages.parse::<u64>().unwrap_or(0) * PAGE
+    pages.parse::<u64>().unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,14 +1,15 @@
-//! Load and experiments against the real daemons on loopback.
+//! Load tests and measurements of the real daemons on loopback.
 //!
-//! The driver is an open loop: requests start when the scenario says so,
-//! whether or not earlier ones were answered, and latency counts from that
-//! intended start, so that a stalled router can't slow its own measurement
-//! down. Each answer is checked against what the stand-in must have said to
-//! that very request. It is no cluster simulator: entries, agents and
-//! stand-ins are the real ones, in one process, talking over sockets.
+//! The load driver is an open loop: each request starts at its planned time, whether or
+//! not earlier ones were answered, and latency counts from that intended start. A stalled
+//! router therefore can't hide its own delays (coordinated omission). Each answer is
+//! compared with the text that the stand-in generates for that very request.
+//!
+//! This is not a simulation of a cluster: real entries and agents run in one process with
+//! the stand-ins and communicate over sockets.
 
 pub mod arguments;
-pub mod bench;
+pub mod deployment;
 pub mod driver;
 pub mod experiment;
 pub mod latency;
--- a/crates/load/src/link.rs
+++ b/crates/load/src/link.rs
@@ -1,5 +1,5 @@
-//! A TCP link with a fixed one-way delay, to stand for the distance between
-//! failure domains.
+//! A TCP proxy with a fixed one-way delay, which simulates the network between failure
+//! domains.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,66 +10,69 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Pieces in flight on one direction of a link.
-const IN_FLIGHT: usize = 1024;
-/// Bytes read at once.
-const PIECE: usize = 16 * 1024;
+/// Maximum number of chunks in flight in one direction of a connection.
+const MAX_IN_FLIGHT_CHUNKS: usize = 1024;
+/// Maximum size of a chunk.
+const READ_BYTES: usize = 16 * 1024;
 
-struct Piece {
+struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// Starts a link to `target` and returns its address.
+/// Starts a proxy to `target` on a free loopback port and returns its address. It runs
+/// until the runtime shuts down.
 ///
 /// # Errors
 ///
-/// Where no port is free.
+/// If no port is free.
 pub async fn start(target: SocketAddr, delay: Duration) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            tokio::spawn(join(near, target, delay));
+        while let Ok((caller, _)) = listener.accept().await {
+            tokio::spawn(proxy_connection(caller, target, delay));
         }
     });
     Ok(address)
 }
 
-async fn join(near: TcpStream, target: SocketAddr, delay: Duration) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn proxy_connection(caller: TcpStream, target: SocketAddr, delay: Duration) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let _ = caller.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (caller_read, caller_write) = caller.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::join!(
-        carry(near_read, far_write, delay),
-        carry(far_read, near_write, delay)
+        forward(caller_read, server_write, delay),
+        forward(server_read, caller_write, delay)
     );
 }
 
-async fn carry(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, delay: Duration) {
-    let (sender, mut pieces) = mpsc::channel::<Piece>(IN_FLIGHT);
-    let reading = async move {
-        let mut buffer = vec![0; PIECE];
-        while let Ok(count) = from.read(&mut buffer).await {
+/// Forwards chunks from `source` to `sink`, each `delay` after it was read. Reads continue
+/// meanwhile, so the delay does not limit the throughput to one chunk per `delay`.
+async fn forward(mut source: OwnedReadHalf, mut sink: OwnedWriteHalf, delay: Duration) {
+    let (sender, mut receiver) = mpsc::channel::<Chunk>(MAX_IN_FLIGHT_CHUNKS);
+    let read_side = async move {
+        let mut buffer = vec![0; READ_BYTES];
+        while let Ok(count) = source.read(&mut buffer).await {
             let due = Instant::now() + delay;
             let bytes = buffer[..count].to_vec();
-            if count == 0 || sender.send(Piece { due, bytes }).await.is_err() {
+            if count == 0 || sender.send(Chunk { due, bytes }).await.is_err() {
                 return;
             }
         }
     };
-    let writing = async move {
-        while let Some(piece) = pieces.recv().await {
-            sleep_until(piece.due).await;
-            if to.write_all(&piece.bytes).await.is_err() {
+    let write_side = async move {
+        while let Some(chunk) = receiver.recv().await {
+            sleep_until(chunk.due).await;
+            if sink.write_all(&chunk.bytes).await.is_err() {
                 return;
             }
         }
-        let _ = to.shutdown().await;
+        let _ = sink.shutdown().await;
     };
-    tokio::join!(reading, writing);
+    tokio::join!(read_side, write_side);
 }
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -1,57 +1,57 @@
-//! What came of the requests, by class.
+//! Results of single requests, and their totals per class and run.
 
 use crate::scenario::Suite;
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
 use hdrhistogram::Histogram;
 
-/// How one request ended for its caller.
+/// How a request ended from the caller's point of view.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Ended {
-    /// Whole, and the right answer.
+pub enum RequestEnd {
+    /// Complete, with the expected text.
     #[display("whole")]
-    Whole,
-    /// Whole, and another answer than the endpoint gave to it.
+    Complete,
+    /// Complete, with a text other than the expected one.
     #[display("wrong")]
     Wrong,
-    /// Broken off.
+    /// The stream broke off or lacks the end marker.
     #[display("broken")]
-    Broken,
-    /// Refused with 429.
+    Interrupted,
+    /// Refused with status 429.
     #[display("shed")]
     Shed,
-    /// Refused with 504.
+    /// Refused with status 504.
     #[display("late")]
     Late,
-    /// Refused otherwise.
+    /// Refused with another status.
     #[display("refused")]
     Refused,
-    /// No answer at all.
+    /// No response, or none before the run ended.
     #[display("lost")]
-    Lost,
+    NoAnswer,
 }
 
-/// What one caller saw.
+/// Result of one request as observed by its caller. Times count from the intended start.
 #[derive(Clone, Copy, Debug)]
-pub struct Result {
-    /// Position of the class.
+pub struct RequestResult {
+    /// Index of the class in the suite.
     pub class: usize,
-    /// How it ended.
-    pub ended: Ended,
-    /// From the intended start to the first byte.
+    /// How the request ended.
+    pub end: RequestEnd,
+    /// Time to the first byte of the body.
     pub first: Duration,
-    /// From the intended start to the end.
+    /// Time to the end of the answer.
     pub total: Duration,
-    /// Tokens of the answer.
+    /// Requested length of the answer in tokens.
     pub tokens: u32,
 }
 
-impl Result {
-    /// A request of which nothing is known yet.
+impl RequestResult {
+    /// Result of a request that has had no response.
     pub fn new(class: usize) -> Self {
         Self {
             class,
-            ended: Ended::Lost,
+            end: RequestEnd::NoAnswer,
             first: Duration::ZERO,
             total: Duration::ZERO,
             tokens: 0,
@@ -59,60 +59,66 @@
     }
 }
 
-/// Results of one class.
+/// Totals of one class in one run.
 #[derive(Clone, Debug)]
 pub struct ClassOutcome {
-    /// Name.
+    /// Class name.
     pub name: ClassId,
-    /// Objective.
+    /// Share of requests that should meet the targets.
     pub objective: f64,
-    /// Requests.
+    /// Requests sent.
     pub requests: u64,
-    /// Those that met the target.
+    /// Requests that met all targets of the class.
     pub attained: u64,
-    /// Whole ones.
-    pub whole: u64,
-    /// Refused with 429.
+    /// Complete answers with the expected text.
+    pub complete: u64,
+    /// Requests refused with status 429.
     pub shed: u64,
-    /// Wrong answers.
+    /// Complete answers with another text.
     pub wrong: u64,
-    /// All other ends.
+    /// Requests that ended in any other way.
     pub failed: u64,
-    /// Whole ones whose first token came too late.
+    /// Complete answers that missed the target for the first token.
     pub slow_first: u64,
-    /// Whole ones whose tokens came too slowly.
+    /// Complete answers that missed the target for the time between tokens.
     pub slow_gap: u64,
-    /// First byte, in microseconds.
+    /// Time to the first byte of complete answers, in microseconds.
     pub first: Histogram<u64>,
 }
 
-/// Results of one run.
+/// Totals of one run.
 #[derive(Clone, Debug)]
-pub struct Outcome {
-    /// By class, in the suite's order.
+pub struct RunOutcome {
+    /// Totals per class, in the order of the suite.
     pub classes: Vec<ClassOutcome>,
-    /// Tokens in answers that met their target.
-    pub good: u64,
-    /// Tokens in whole answers.
-    pub delivered: u64,
-    /// Tokens that the endpoints made.
-    pub made: u64,
+    /// Tokens of answers that met all targets.
+    pub good_tokens: u64,
+    /// Tokens of complete answers.
+    pub delivered_tokens: u64,
+    /// Tokens that the endpoints generated.
+    pub generated_tokens: u64,
     /// Length of the run.
-    pub lasting: Duration,
+    pub duration: Duration,
 }
 
-/// Significant digits of histograms.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of histogram values.
+const HISTOGRAM_DIGITS: u8 = 3;
 
-impl Outcome {
-    /// Sums results up.
-    pub fn new(suite: &Suite, results: &[Result], made: u64, lasting: Duration) -> Self {
+impl RunOutcome {
+    /// Totals `results` of a run of length `duration` in which the endpoints generated
+    /// `generated_tokens`.
+    pub fn new(
+        suite: &Suite,
+        results: &[RequestResult],
+        generated_tokens: u64,
+        duration: Duration,
+    ) -> Self {
         let mut outcome = Self {
-            classes: suite.classes.iter().map(empty).collect(),
-            good: 0,
-            delivered: 0,
-            made,
-            lasting,
+            classes: suite.classes.iter().map(empty_outcome).collect(),
+            good_tokens: 0,
+            delivered_tokens: 0,
+            generated_tokens,
+            duration,
         };
         for result in results {
             outcome.add(suite, result);
@@ -120,65 +126,70 @@
         outcome
     }
 
-    fn add(&mut self, suite: &Suite, result: &Result) {
+    fn add(&mut self, suite: &Suite, result: &RequestResult) {
         let load = &suite.classes[result.class];
         let class = &mut self.classes[result.class];
         class.requests += 1;
-        match result.ended {
-            Ended::Whole => {
-                class.whole += 1;
-                self.delivered += u64::from(result.tokens);
-                let approach = suite.approach * 2;
-                let first = result.first + approach;
-                let total = result.total + approach;
+        match result.end {
+            RequestEnd::Complete => {
+                class.complete += 1;
+                self.delivered_tokens += u64::from(result.tokens);
+                let round_trip = suite.caller_delay * 2;
+                let first = result.first + round_trip;
+                let total = result.total + round_trip;
                 let gaps = result.tokens.saturating_sub(1).max(1);
-                let gap = (result.total - result.first) / gaps;
-                let met = load.first.is_none_or(|limit| first <= limit)
-                    && load.gap.is_none_or(|limit| gap <= limit)
+                let token_gap = (result.total - result.first) / gaps;
+                let on_target = load.first.is_none_or(|limit| first <= limit)
+                    && load.token_gap.is_none_or(|limit| token_gap <= limit)
                     && load.finish.is_none_or(|limit| total <= limit);
-                class.attained += u64::from(met);
+                class.attained += u64::from(on_target);
                 class.slow_first += u64::from(load.first.is_some_and(|l| first > l));
-                class.slow_gap += u64::from(load.gap.is_some_and(|l| gap > l));
-                self.good += if met { u64::from(result.tokens) } else { 0 };
+                class.slow_gap +=
+                    u64::from(load.token_gap.is_some_and(|l| token_gap > l));
+                self.good_tokens += if on_target {
+                    u64::from(result.tokens)
+                } else {
+                    0
+                };
                 let _ = class.first.record(first.as_micros() as u64);
             }
-            Ended::Shed => class.shed += 1,
-            Ended::Wrong => class.wrong += 1,
+            RequestEnd::Shed => class.shed += 1,
+            RequestEnd::Wrong => class.wrong += 1,
             _ => class.failed += 1,
         }
     }
 
-    /// Share of the tokens made that reached nobody in a whole answer.
-    pub fn wasted(&self) -> f64 {
-        let wasted = self.made.saturating_sub(self.delivered);
-        wasted as f64 / self.made.max(1) as f64
+    /// Share of the generated tokens that were not delivered in a complete answer.
+    pub fn wasted_share(&self) -> f64 {
+        let wasted_share = self.generated_tokens.saturating_sub(self.delivered_tokens);
+        wasted_share as f64 / self.generated_tokens.max(1) as f64
     }
 
-    /// Requests that met their target.
+    /// Requests of all classes that met their targets.
     pub fn attained(&self) -> u64 {
         self.classes.iter().map(|class| class.attained).sum()
     }
 }
 
 impl ClassOutcome {
-    /// Share of requests that met the target.
+    /// Share of the requests that met the targets; 0 if there were none.
     pub fn attainment(&self) -> f64 {
         self.attained as f64 / self.requests.max(1) as f64
     }
 }
 
-fn empty(load: &crate::scenario::Load) -> ClassOutcome {
+fn empty_outcome(load: &crate::scenario::ClassLoad) -> ClassOutcome {
     ClassOutcome {
         name: load.name.clone(),
         objective: load.objective,
         requests: 0,
         attained: 0,
-        whole: 0,
+        complete: 0,
         shed: 0,
         wrong: 0,
         failed: 0,
         slow_first: 0,
         slow_gap: 0,
-        first: Histogram::new(DIGITS).expect("a valid precision"),
+        first: Histogram::new(HISTOGRAM_DIGITS).expect("a valid precision"),
     }
 }
--- a/crates/load/src/program.rs
+++ b/crates/load/src/program.rs
@@ -1,6 +1,6 @@
-//! What each command does.
+//! The commands of `dogwoodhill-load`.
 
-use crate::experiment::{compare, head, line};
+use crate::experiment::{compare, table_head, table_row};
 use crate::latency;
 use crate::scenario::Suite;
 use clap::ArgMatches;
@@ -8,8 +8,8 @@
 use dogwoodhill_daemon::drain::Drain;
 use dogwoodhill_daemon::run::describe;
 use dogwoodhill_policy::placement::Policy;
-use dogwoodhill_standin::engine::{Engine, Speed};
-use dogwoodhill_standin::plain::Plain;
+use dogwoodhill_standin::engine::{Engine, EngineConfig};
+use dogwoodhill_standin::plain::PlainService;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -17,11 +17,12 @@
 ///
 /// # Errors
 ///
-/// Text that says why it could not be run.
+/// A message for the operator if an argument or the scenario file is invalid, an address
+/// can't be bound, a measurement fails, or `drain` begins before a measurement is complete.
 pub async fn run(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
     match matches.subcommand() {
-        Some(("engine", sub)) => engine(sub, drain).await,
-        Some(("plain", sub)) => plain(sub, drain).await,
+        Some(("engine", arguments)) => run_engine(arguments, drain).await,
+        Some(("plain", arguments)) => run_plain(arguments, drain).await,
         _ => tokio::select! {
             measured = measure(matches) => measured,
             () = drain.wait() => Err("stopped before the end".to_string()),
@@ -31,99 +32,107 @@
 
 async fn measure(matches: &ArgMatches) -> Result<(), String> {
     match matches.subcommand() {
-        Some(("run", sub)) => scenarios(sub).await,
-        Some(("latency", sub)) => measure_latency(sub).await,
-        Some(("slopes", sub)) => crate::slopes::run(sub.get_flag("routes")).await,
+        Some(("run", arguments)) => run_scenarios(arguments).await,
+        Some(("latency", arguments)) => measure_latency(arguments).await,
+        Some(("slopes", arguments)) => {
+            crate::slopes::run(arguments.get_flag("routes")).await
+        }
         _ => Err("name a command; see --help".to_string()),
     }
 }
 
-fn number(matches: &ArgMatches, name: &str) -> u32 {
+fn number_argument(matches: &ArgMatches, name: &str) -> u32 {
     *matches.get_one::<u32>(name).expect("it has a default")
 }
 
-fn listen(matches: &ArgMatches) -> SocketAddr {
+fn listen_argument(matches: &ArgMatches) -> SocketAddr {
     *matches.get_one("listen").expect("clap requires it")
 }
 
-async fn engine(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
-    let speed = Speed {
-        slots: number(matches, "slots"),
-        gap: Duration::from_millis(number(matches, "gap-ms").into()),
-        crowd: Duration::from_micros(number(matches, "crowd-us").into()),
-        ..Speed::default()
+async fn run_engine(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
+    let config = EngineConfig {
+        slots: number_argument(matches, "slots"),
+        token_gap: Duration::from_millis(number_argument(matches, "gap-ms").into()),
+        gap_per_request: Duration::from_micros(
+            number_argument(matches, "crowd-us").into(),
+        ),
+        ..EngineConfig::default()
     };
-    let engine = Engine::bind(listen(matches), speed)
+    let engine = Engine::bind(listen_argument(matches), config)
         .await
         .map_err(describe)?;
     engine.run(drain).await;
     Ok(())
 }
 
-async fn plain(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
-    let work = Duration::from_millis(number(matches, "work-ms").into());
-    let plain = Plain::bind(listen(matches), work).await.map_err(describe)?;
-    plain.run(drain).await;
+async fn run_plain(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
+    let work_time = Duration::from_millis(number_argument(matches, "work-ms").into());
+    let service = PlainService::bind(listen_argument(matches), work_time)
+        .await
+        .map_err(describe)?;
+    service.run(drain).await;
     Ok(())
 }
 
-async fn scenarios(matches: &ArgMatches) -> Result<(), String> {
+async fn run_scenarios(matches: &ArgMatches) -> Result<(), String> {
     let path: &PathBuf = matches.get_one("file").expect("clap requires it");
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|error| format!("{file}: {error}; name a readable file"))?;
-    let suite = Suite::parse(&file, &text).map_err(|faults| faults.to_string())?;
+    let suite =
+        Suite::parse(&file, &text).map_err(|diagnostics| diagnostics.to_string())?;
     if matches.get_flag("check") {
         println!("{file}: {} scenarios are valid", suite.scenarios.len());
         return Ok(());
     }
-    let only = names(matches, "only");
-    let policies = policies(&names(matches, "policy"))?;
-    let seeds = u64::from(number(matches, "seeds"));
+    let only = string_arguments(matches, "only");
+    let policies = parse_policies(&string_arguments(matches, "policy"))?;
+    let seeds = u64::from(number_argument(matches, "seeds"));
     println!(
         "{}: {:.0} tokens/s with every slot in use, {:.1} tokens a request\n",
         suite.name,
         suite.capacity(),
         suite.mean_tokens()
     );
-    print!("{}", head(&suite));
+    print!("{}", table_head(&suite));
     for scenario in &suite.scenarios {
         if !only.is_empty() && !only.contains(&scenario.name) {
             continue;
         }
         eprintln!("running {}", scenario.name);
         for row in compare(&suite, scenario, &policies, seeds).await {
-            println!("{}", line(&row));
+            println!("{}", table_row(&row));
         }
     }
     Ok(())
 }
 
-fn names(matches: &ArgMatches, name: &str) -> Vec<String> {
-    let given = matches.get_many::<String>(name);
-    given.into_iter().flatten().cloned().collect()
+fn string_arguments(matches: &ArgMatches, name: &str) -> Vec<String> {
+    let values = matches.get_many::<String>(name);
+    values.into_iter().flatten().cloned().collect()
 }
 
-fn policies(names: &[String]) -> Result<Vec<Policy>, String> {
+fn parse_policies(names: &[String]) -> Result<Vec<Policy>, String> {
     if names.is_empty() {
         return Ok(Policy::ALL.to_vec());
     }
     let find = |name: &String| {
-        let at = Policy::NAMES.iter().position(|word| word == name);
-        at.map(|at| Policy::ALL[at])
+        let index = Policy::NAMES.iter().position(|known| known == name);
+        index
+            .map(|index| Policy::ALL[index])
             .ok_or_else(|| format!("there is no policy {name}; use {:?}", Policy::NAMES))
     };
     names.iter().map(find).collect()
 }
 
 async fn measure_latency(matches: &ArgMatches) -> Result<(), String> {
-    let lasting = Duration::from_secs(number(matches, "seconds").into());
+    let duration = Duration::from_secs(number_argument(matches, "seconds").into());
     println!(
         "| streams | direct p50 us | p99 | routed p50 us | p99 | added p50 | req/s | added cpu us/request |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for streams in latency::STREAMS {
-        let point = latency::measure(streams, lasting).await;
+        let point = latency::measure(streams, duration).await;
         println!(
             "| {streams} | {} | {} | {} | {} | {} | {:.0} | {} |",
             point.direct.p50,
@@ -131,8 +140,8 @@
             point.routed.p50,
             point.routed.p99,
             point.routed.p50.saturating_sub(point.direct.p50),
-            point.rate,
-            point.cost.as_micros()
+            point.requests_per_second,
+            point.router_cpu.as_micros()
         );
     }
     Ok(())
--- a/crates/load/src/slopes.rs
+++ b/crates/load/src/slopes.rs
@@ -1,8 +1,8 @@
-//! The slopes that the capacity page is worked out from.
+//! Measurements of how costs grow with size: the slopes that `docs/CAPACITY.md` uses.
 //!
-//! Each measurement is made at three or more sizes and printed as one table
-//! row for each size, with the fitted slope below. Watchers are tasks in this
-//! process; everything talks over loopback.
+//! Each measurement is made at three or more sizes and printed as a table with one row per
+//! size and the fitted line below. All daemons are tasks in this process and communicate
+//! over loopback.
 
 pub mod claims;
 pub mod decision;
@@ -15,44 +15,44 @@
 
 use std::fmt::Write;
 
-/// One measured pair.
+/// One value measured at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pair {
+pub struct Point {
     /// Size.
     pub x: f64,
-    /// What was measured at it.
+    /// Value measured at this size.
     pub y: f64,
 }
 
-/// A least-squares line.
+/// A line fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fit {
+pub struct LinearFit {
     /// Growth per unit of size.
     pub slope: f64,
-    /// Value at size zero.
-    pub base: f64,
-    /// Share of the variance that the line explains.
-    pub quality: f64,
+    /// Value of the line at size zero.
+    pub intercept: f64,
+    /// Share of the variance that the line explains (R²).
+    pub r_squared: f64,
 }
 
-/// Fits a line through at least two pairs.
-pub fn fit(pairs: &[Pair]) -> Fit {
-    let count = pairs.len() as f64;
-    let mean_x = pairs.iter().map(|p| p.x).sum::<f64>() / count;
-    let mean_y = pairs.iter().map(|p| p.y).sum::<f64>() / count;
-    let xy: f64 = pairs.iter().map(|p| (p.x - mean_x) * (p.y - mean_y)).sum();
-    let xx: f64 = pairs.iter().map(|p| (p.x - mean_x).powi(2)).sum();
-    let yy: f64 = pairs.iter().map(|p| (p.y - mean_y).powi(2)).sum();
+/// Fits a line to at least two points of different sizes.
+pub fn fit_line(points: &[Point]) -> LinearFit {
+    let count = points.len() as f64;
+    let mean_x = points.iter().map(|p| p.x).sum::<f64>() / count;
+    let mean_y = points.iter().map(|p| p.y).sum::<f64>() / count;
+    let xy: f64 = points.iter().map(|p| (p.x - mean_x) * (p.y - mean_y)).sum();
+    let xx: f64 = points.iter().map(|p| (p.x - mean_x).powi(2)).sum();
+    let yy: f64 = points.iter().map(|p| (p.y - mean_y).powi(2)).sum();
     let slope = xy / xx;
-    let quality = if yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
-    Fit {
+    let r_squared = if yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
+    LinearFit {
         slope,
-        base: mean_y - slope * mean_x,
-        quality,
+        intercept: mean_y - slope * mean_x,
+        r_squared,
     }
 }
 
-/// A table of one measurement.
+/// Results of one measurement at several sizes.
 #[derive(Clone, Debug)]
 pub struct Table {
     title: String,
@@ -61,7 +61,7 @@
 }
 
 impl Table {
-    /// An empty table; the first column is the size.
+    /// Creates an empty table; the first of `columns` is the size.
     pub fn new(title: &str, columns: &[&str]) -> Self {
         Self {
             title: title.to_string(),
@@ -70,64 +70,64 @@
         }
     }
 
-    /// Adds one size's measurements.
-    pub fn add(&mut self, row: &[f64]) {
+    /// Adds the values of one size, with the size as the first.
+    pub fn add_row(&mut self, row: &[f64]) {
         self.rows.push(row.to_vec());
     }
 
-    /// The table in Markdown, with the fit of each column below.
-    pub fn text(&self) -> String {
-        let mut out = format!("\n### {}\n\n|", self.title);
+    /// Formats the table as Markdown, with the fitted line of each column in the last row.
+    pub fn to_markdown(&self) -> String {
+        let mut output = format!("\n### {}\n\n|", self.title);
         for column in &self.columns {
-            let _ = write!(out, " {column} |");
+            let _ = write!(output, " {column} |");
         }
-        out.push_str("\n|");
-        self.columns.iter().for_each(|_| out.push_str(" --- |"));
+        output.push_str("\n|");
+        self.columns.iter().for_each(|_| output.push_str(" --- |"));
         for row in &self.rows {
-            out.push_str("\n|");
+            output.push_str("\n|");
             for value in row {
-                let _ = write!(out, " {value:.2} |");
+                let _ = write!(output, " {value:.2} |");
             }
         }
-        out.push_str("\n| slope (fit) |");
+        output.push_str("\n| slope (fit) |");
         for column in 1..self.columns.len() {
-            let pair = |row: &Vec<f64>| Pair {
+            let point = |row: &Vec<f64>| Point {
                 x: row[0],
                 y: row[column],
             };
-            let pairs: Vec<Pair> = self.rows.iter().map(pair).collect();
-            let fit = fit(&pairs);
+            let points: Vec<Point> = self.rows.iter().map(point).collect();
+            let fit = fit_line(&points);
             let _ = write!(
-                out,
+                output,
                 " {:.4} + {:.2} (r2 {:.2}) |",
-                fit.slope, fit.base, fit.quality
+                fit.slope, fit.intercept, fit.r_squared
             );
         }
-        out.push('\n');
-        out
+        output.push('\n');
+        output
     }
 }
 
-/// Measures every slope, or only that of route sets, and prints the tables.
+/// Runs all measurements, or only those of route sets, and prints their tables.
 ///
 /// # Errors
 ///
-/// Text that says why a measurement could not be made.
+/// A message for the operator if a measurement fails.
 pub async fn run(only_routes: bool) -> Result<(), String> {
-    for packed in [true, false] {
-        print!("{}", routes::measure(packed).await?.text());
+    for compressed in [true, false] {
+        print!("{}", routes::measure(compressed).await?.to_markdown());
     }
     if only_routes {
         return Ok(());
     }
-    print!("{}", decision::measure().text());
-    print!("{}", placement::measure().text());
-    print!("{}", memory::waiting().text());
-    print!("{}", memory::documents().text());
-    print!("{}", memory::streams().await.text());
-    print!("{}", traffic::measure().await.text());
-    print!("{}", watchers::measure().await?.text());
-    print!("{}", claims::measure().await?.text());
-    print!("{}", recovery::measure().await?.text());
+    print!("{}", decision::measure().to_markdown());
+    print!("{}", placement::measure().to_markdown());
+    print!("{}", memory::waiting().to_markdown());
+    print!("{}", memory::documents().to_markdown());
+    print!("{}", memory::streams().await.to_markdown());
+    print!("{}", traffic::measure().await.to_markdown());
+    print!("{}", watchers::measure().await?.to_markdown());
+    print!("{}", claims::measure().await?.to_markdown());
+    print!("{}", recovery::measure().await?.to_markdown());
     Ok(())
 }
--- a/crates/load/src/slopes/claims.rs
+++ b/crates/load/src/slopes/claims.rs
@@ -1,7 +1,8 @@
-//! Claims a second against the number of callers at a time, with syncs.
+//! Claims per second and their latency as a function of the number of concurrent callers.
+//! Each step is synced to disk.
 
 use super::Table;
-use crate::slopes::recovery::Alone;
+use crate::slopes::recovery::ControlInstance;
 use dogwoodhill_control::command::Action;
 use dogwoodhill_control::service::Service;
 use dogwoodhill_core::prelude::*;
@@ -10,44 +11,45 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Callers at a time.
-const SIZES: [u32; 4] = [1, 16, 64, 256];
+/// Concurrent callers.
+const CALLER_COUNTS: [u32; 4] = [1, 16, 64, 256];
 /// Length of each measurement.
-const LASTING: Duration = Duration::from_secs(3);
+const DURATION: Duration = Duration::from_secs(3);
 
-/// Measures claims taken and finished on one instance.
+/// Measures claims that are taken and finished on a single control instance.
 ///
 /// # Errors
 ///
-/// Text that says why the control instance could not run.
+/// A message for the operator if the control instance can't run.
 pub async fn measure() -> Result<Table, String> {
     let mut table = Table::new(
         "Claims (take and finish, each synced)",
         &["callers", "claims/s", "take p50 ms", "take p99 ms"],
     );
-    for size in SIZES {
-        let alone = Alone::start().await?;
+    for size in CALLER_COUNTS {
+        let control = ControlInstance::start().await?;
         let mut tasks = JoinSet::new();
-        let end = Instant::now() + LASTING;
+        let end = Instant::now() + DURATION;
         for caller in 0..size {
-            tasks.spawn(claim(alone.service.clone(), caller, end));
+            tasks.spawn(run_caller(control.service.clone(), caller, end));
         }
-        let mut times = Histogram::<u64>::new(3).expect("a valid precision");
+        let mut latencies = Histogram::<u64>::new(3).expect("a valid precision");
         while let Some(done) = tasks.join_next().await {
             if let Ok(part) = done {
-                let _ = times.add(part);
+                let _ = latencies.add(part);
             }
         }
-        alone.stop().await;
-        let millis = |q| times.value_at_quantile(q) as f64 / 1000.0;
-        let rate = times.len() as f64 / LASTING.as_secs_f64();
-        table.add(&[f64::from(size), rate, millis(0.5), millis(0.99)]);
+        control.stop().await;
+        let millis = |q| latencies.value_at_quantile(q) as f64 / 1000.0;
+        let rate = latencies.len() as f64 / DURATION.as_secs_f64();
+        table.add_row(&[f64::from(size), rate, millis(0.5), millis(0.99)]);
     }
     Ok(table)
 }
 
-async fn claim(service: Service, caller: u32, end: Instant) -> Histogram<u64> {
-    let mut times = Histogram::new(3).expect("a valid precision");
+/// Takes and finishes claims until `end`. Returns the latencies of taking, in microseconds.
+async fn run_caller(service: Service, caller: u32, end: Instant) -> Histogram<u64> {
+    let mut latencies = Histogram::new(3).expect("a valid precision");
     let mut number = 0u64;
     while Instant::now() < end {
         number += 1;
@@ -68,7 +70,7 @@
         if service.submit(&Action::Take(take)).await.is_err() {
             continue;
         }
-        let _ = times.record(start.elapsed().as_micros() as u64);
+        let _ = latencies.record(start.elapsed().as_micros() as u64);
         let finish = FinishClaim {
             claim,
             holder,
@@ -76,5 +78,5 @@
         };
         let _ = service.submit(&Action::Finish(finish)).await;
     }
-    times
+    latencies
 }
--- a/crates/load/src/slopes/decision.rs
+++ b/crates/load/src/slopes/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision against the number of endpoints.
+//! Time of one dispatch decision as a function of the number of endpoints.
 
 use super::Table;
 use dogwoodhill_core::load::Load;
@@ -11,25 +11,25 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Instant;
 
-/// Numbers of endpoints.
-const SIZES: [u32; 4] = [16, 64, 160, 1_200];
+/// Endpoints of the service.
+const ENDPOINT_COUNTS: [u32; 4] = [16, 64, 160, 1_200];
 /// Decisions measured at each size.
 const DECISIONS: u32 = 100_000;
-/// Requests each endpoint runs at once.
+/// Concurrency limit of each endpoint.
 const LIMIT: u32 = 16;
-/// Part of all slots that is in use while decisions are measured.
-const LOAD: f64 = 0.8;
+/// Share of all slots in use while decisions are measured.
+const UTILIZATION: f64 = 0.8;
 
-/// Measures an arrival with its placement, and the end of an earlier request.
+/// Measures the arrival of a request with its placement, and the end of an earlier one.
 pub fn measure() -> Table {
     let mut table = Table::new(
         "Decision cost",
         &["endpoints", "arrive p50 us", "arrive p99 us", "end p50 us"],
     );
-    for size in SIZES {
-        let (arrive, end) = one(size);
+    for size in ENDPOINT_COUNTS {
+        let (arrive, end) = measure_size(size);
         let micros = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
-        table.add(&[
+        table.add_row(&[
             f64::from(size),
             micros(&arrive, 0.5),
             micros(&arrive, 0.99),
@@ -39,57 +39,58 @@
     table
 }
 
-fn one(size: u32) -> (Histogram<u64>, Histogram<u64>) {
+/// Returns the times of arrivals and of ends, in nanoseconds.
+fn measure_size(size: u32) -> (Histogram<u64>, Histogram<u64>) {
     let mut random = SmallRng::seed_from_u64(1);
-    let mut machine = machine(size);
+    let mut dispatcher = dispatcher(size);
     let mut running = Vec::new();
     let mut arrive = Histogram::new(3).expect("a valid precision");
     let mut end = Histogram::new(3).expect("a valid precision");
-    let full = (f64::from(size * LIMIT) * LOAD) as usize;
+    let max_running = (f64::from(size * LIMIT) * UTILIZATION) as usize;
     let mut now = Moment::from_millis(1);
     for number in 0..DECISIONS {
         now += Moment::from_micros(50);
         let started = Instant::now();
-        let actions = machine.arrive(now, item(now), number, &mut random);
+        let actions = dispatcher.arrive(now, queue_item(now), number, &mut random);
         let _ = arrive.record(started.elapsed().as_nanos() as u64);
         for action in actions {
             if let Action::Start(started) = action {
                 running.push(started.view);
             }
         }
-        if running.len() >= full {
-            let at = random.random_range(0..running.len());
-            let view = running.swap_remove(at);
-            let report = report(machine.views()[view].outstanding() - 1);
+        if running.len() >= max_running {
+            let index = random.random_range(0..running.len());
+            let view = running.swap_remove(index);
+            let load_report = load_report(dispatcher.views()[view].outstanding() - 1);
             let started = Instant::now();
-            machine.ended(now, view, Some(&report), true, &mut random);
+            dispatcher.ended(now, view, Some(&load_report), true, &mut random);
             let _ = end.record(started.elapsed().as_nanos() as u64);
         }
     }
     (arrive, end)
 }
 
-fn machine(size: u32) -> Dispatcher<u32> {
+fn dispatcher(size: u32) -> Dispatcher<u32> {
     let bounds = Bounds {
         count: 100_000,
         bytes: usize::MAX,
     };
     let policy = Policy::Predicted.build("domain-0".to_string());
-    let mut machine = Dispatcher::new(bounds, policy);
+    let mut dispatcher = Dispatcher::new(bounds, policy);
     let listed: Vec<ListedEndpoint> = (0..size)
         .map(|n| ListedEndpoint {
             name: format!("endpoint-{n}"),
             domain: format!("domain-{}", n % 4),
         })
         .collect();
-    machine.set_endpoints(&listed);
+    dispatcher.set_endpoints(&listed);
     for view in 0..size as usize {
-        machine.report(Moment::ZERO, view, &report(0));
+        dispatcher.report(Moment::ZERO, view, &load_report(0));
     }
-    machine
+    dispatcher
 }
 
-fn report(running: u32) -> Load {
+fn load_report(running: u32) -> Load {
     Load {
         running,
         limit: LIMIT,
@@ -100,7 +101,7 @@
     }
 }
 
-fn item(now: Moment) -> Item {
+fn queue_item(now: Moment) -> Item {
     Item {
         class: "interactive".to_string(),
         tier: 0,
--- a/crates/load/src/slopes/memory.rs
+++ b/crates/load/src/slopes/memory.rs
@@ -1,8 +1,8 @@
-//! Memory per waiting request, per document and per open stream.
+//! Memory per queued request, per workspace of a document and per open stream.
 
 use super::Table;
-use crate::bench::{Bench, SERVICE, workspace_key};
-use crate::latency::{resident, suite};
+use crate::deployment::{Deployment, SERVICE, workspace_key};
+use crate::latency::{resident_bytes, suite};
 use bytes::Bytes;
 use dogwoodhill_core::document::{
     Class, Endpoint, Kind, Repeat, ServiceDocument, State, Target, Workspace,
@@ -21,26 +21,26 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// Numbers of waiting requests.
-const WAITING: [u32; 3] = [10_000, 40_000, 160_000];
-/// Numbers of workspaces in a document; letter 1 names 2,100.
-const WORKSPACES: [u32; 3] = [500, 2_100, 8_400];
-/// Numbers of open streams.
-const STREAMS: [u32; 3] = [200, 800, 2_400];
-/// Tokens of each stream: long enough that all are open at once.
-const TOKENS: u32 = 4_000;
-/// Bytes in a kibibyte.
-const KIB: f64 = 1024.0;
+/// Queued requests.
+const QUEUE_LENGTHS: [u32; 3] = [10_000, 40_000, 160_000];
+/// Workspaces of each document; the specified size is 2,100.
+const WORKSPACE_COUNTS: [u32; 3] = [500, 2_100, 8_400];
+/// Concurrently open streams.
+const STREAM_COUNTS: [u32; 3] = [200, 800, 2_400];
+/// Tokens of each stream; enough that all streams are open at once.
+const STREAM_TOKENS: u32 = 4_000;
+const BYTES_PER_KIB: f64 = 1024.0;
 
-fn grown(before: u64) -> f64 {
-    resident().saturating_sub(before) as f64 / KIB
+/// Growth of the resident memory since it was `before` bytes, in KiB.
+fn growth_kib(before: u64) -> f64 {
+    resident_bytes().saturating_sub(before) as f64 / BYTES_PER_KIB
 }
 
-/// Memory of waiting requests beside their bodies.
+/// Measures the memory of queued requests without their bodies.
 pub fn waiting() -> Table {
     let mut table = Table::new("Waiting requests", &["requests", "KiB"]);
-    for size in WAITING {
-        let before = resident();
+    for size in QUEUE_LENGTHS {
+        let before = resident_bytes();
         let mut queue = Queue::new(Bounds {
             count: usize::MAX,
             bytes: usize::MAX,
@@ -57,30 +57,30 @@
             };
             queue.push(Moment::ZERO, item, Arc::new(number));
         }
-        table.add(&[f64::from(size), grown(before)]);
+        table.add_row(&[f64::from(size), growth_kib(before)]);
         drop(queue);
     }
     table
 }
 
-/// Memory of documents in force in an entry: 5 services and 1,200 endpoints,
-/// as letter 1 names them, against the number of workspaces.
+/// Measures the memory of an entry's active documents as a function of the number of
+/// workspaces, at the specified size of 5 services and 1,200 endpoints.
 pub fn documents() -> Table {
     let mut table = Table::new("Documents in an entry", &["workspaces", "KiB"]);
-    for size in WORKSPACES {
-        let before = resident();
+    for size in WORKSPACE_COUNTS {
+        let before = resident_bytes();
         let services = (0..5).map(|n| Service {
             revision: 1,
             document: Arc::new(document(&format!("model-{n}"), 1, 240, size)),
         });
         let documents = Documents::new(1, services.collect());
-        table.add(&[f64::from(size), grown(before)]);
+        table.add_row(&[f64::from(size), growth_kib(before)]);
         drop(documents);
     }
     table
 }
 
-/// A document of the given size.
+/// Builds a document of the given size with 6 classes.
 pub fn document(
     service: &str,
     version: Version,
@@ -100,9 +100,9 @@
         classes: (0..6).map(class).collect(),
         endpoints: (0..endpoints).map(endpoint).collect(),
     };
-    // Each version moves one endpoint, as most real changes are.
-    let moved = version as usize % document.endpoints.len().max(1);
-    if let Some(endpoint) = document.endpoints.get_mut(moved) {
+    // Each version changes one endpoint, as most changes in production do.
+    let changed = version as usize % document.endpoints.len().max(1);
+    if let Some(endpoint) = document.endpoints.get_mut(changed) {
         endpoint.leaving = version.is_multiple_of(2);
     }
     document.workspaces.sort_by(|a, b| a.name.cmp(&b.name));
@@ -147,37 +147,38 @@
     }
 }
 
-/// Memory of open streams: the whole process, that is caller, entry, agent
-/// and stand-in together, and the same without entry and agent.
+/// Measures the memory of open streams: for the whole process (caller, entry, agent and
+/// stand-in), and for direct streams without entry and agent.
 pub async fn streams() -> Table {
     let mut table = Table::new("Open streams", &["streams", "routed KiB", "direct KiB"]);
-    for size in STREAMS {
+    for size in STREAM_COUNTS {
         let mut suite = suite(4);
-        suite.speed.gap = Duration::from_millis(100);
-        suite.limit = size;
-        let bench = Bench::start(&suite, Policy::Predicted).await;
-        let direct: Vec<SocketAddr> = bench.endpoints.iter().map(|e| e.address).collect();
-        let routed = open(&bench.entries(), size).await;
-        let plain = open(&direct, size).await;
-        table.add(&[f64::from(size), routed, plain]);
-        bench.stop().await;
+        suite.engine.token_gap = Duration::from_millis(100);
+        suite.initial_limit = size;
+        let deployment = Deployment::start(&suite, Policy::Predicted).await;
+        let direct: Vec<SocketAddr> =
+            deployment.endpoints.iter().map(|e| e.address).collect();
+        let routed_growth = open_streams(&deployment.entries(), size).await;
+        let direct_growth = open_streams(&direct, size).await;
+        table.add_row(&[f64::from(size), routed_growth, direct_growth]);
+        deployment.stop().await;
     }
     table
 }
 
-/// Opens streams, and returns by how much that grew the process.
-async fn open(targets: &[SocketAddr], count: u32) -> f64 {
-    let before = resident();
+/// Opens `count` streams and returns the growth of the resident memory in KiB.
+async fn open_streams(targets: &[SocketAddr], count: u32) -> f64 {
+    let before = resident_bytes();
     let client: Client<_, Full<Bytes>> =
         Client::builder(TokioExecutor::new()).build_http();
     let mut tasks = JoinSet::new();
-    let (opened, mut begun) = tokio::sync::mpsc::channel(64);
+    let (started, mut started_receiver) = tokio::sync::mpsc::channel(64);
     for number in 0..count {
         let target = targets[number as usize % targets.len()];
-        let (client, opened) = (client.clone(), opened.clone());
+        let (client, started) = (client.clone(), started.clone());
         tasks.spawn(async move {
             let body = format!(
-                "{{\"model\":\"{SERVICE}\",\"stream\":true,\"max_tokens\":{TOKENS},\
+                "{{\"model\":\"{SERVICE}\",\"stream\":true,\"max_tokens\":{STREAM_TOKENS},\
                  \"prompt\":\"x\"}}"
             );
             let request = Request::post(format!("http://{target}/v1/completions"))
@@ -192,17 +193,17 @@
             };
             let mut body = response.into_body();
             let _ = body.frame().await;
-            let _ = opened.send(()).await;
+            let _ = started.send(()).await;
             while let Some(Ok(_)) = body.frame().await {}
         });
     }
-    drop(opened);
+    drop(started);
     for _ in 0..count {
-        begun.recv().await;
+        started_receiver.recv().await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let grown = grown(before);
+    let growth = growth_kib(before);
     tasks.shutdown().await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    grown
+    growth
 }
--- a/crates/load/src/slopes/placement.rs
+++ b/crates/load/src/slopes/placement.rs
@@ -33,7 +33,7 @@
         let prompts = one(size, Lane::Other);
         let streams = one(size, Lane::Fragile);
         let micros = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
-        table.add(&[
+        table.add_row(&[
             size as f64,
             micros(&prompts, 0.5),
             micros(&prompts, 0.99),
--- a/crates/load/src/slopes/recovery.rs
+++ b/crates/load/src/slopes/recovery.rs
@@ -1,5 +1,5 @@
-//! A control instance alone: changes a second, and how long it takes to come
-//! back after many of them.
+//! Changes per second of a single control instance, and its recovery time after a restart
+//! with that many changes in its log.
 
 use super::Table;
 use super::memory::document;
@@ -16,31 +16,31 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Numbers of changes before the restart.
-const SIZES: [u64; 3] = [100, 1_000, 10_000];
-/// Key shared by the processes.
+/// Changes before the restart.
+const CHANGE_COUNTS: [u64; 3] = [100, 1_000, 10_000];
+/// Key with which daemons authenticate to the control instance.
 const CLUSTER_KEY: &str = "slopes";
 
-/// A control instance in this process.
+/// A control instance that runs in this process without peers.
 #[derive(Debug)]
-pub struct Alone {
-    /// The cluster.
+pub struct ControlInstance {
+    /// Handle for requests to the cluster.
     pub service: Service,
-    /// Address for daemons.
+    /// Address of the internal interface, for daemons.
     pub internal: SocketAddr,
-    /// Key shared by the processes.
+    /// Key with which daemons authenticate to it.
     pub secret: String,
-    data: PathBuf,
+    data_dir: PathBuf,
     drain: Drain,
     task: JoinHandle<Result<(), String>>,
 }
 
-impl Alone {
-    /// Starts an instance in a new folder.
+impl ControlInstance {
+    /// Starts an instance with a new data folder.
     ///
     /// # Errors
     ///
-    /// Text that says why it could not start.
+    /// A message for the operator if the instance can't start.
     pub async fn start() -> Result<Self, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -48,8 +48,8 @@
         Self::open(&std::env::temp_dir().join(name), Start::Bootstrap).await
     }
 
-    async fn open(data: &Path, start: Start) -> Result<Self, String> {
-        let mut settings = Settings::new("alone".to_string(), data.to_path_buf());
+    async fn open(data_dir: &Path, start: Start) -> Result<Self, String> {
+        let mut settings = Settings::new("alone".to_string(), data_dir.to_path_buf());
         settings.secret = CLUSTER_KEY.to_string();
         settings.linger = Duration::ZERO;
         settings.start = start;
@@ -60,31 +60,34 @@
             service: control.service(),
             internal: control.internal(),
             secret: CLUSTER_KEY.to_string(),
-            data: data.to_path_buf(),
+            data_dir: data_dir.to_path_buf(),
             drain,
             task: tokio::spawn(control.run()),
         })
     }
 
-    async fn halt(self) -> PathBuf {
+    async fn shut_down(self) -> PathBuf {
         self.drain.begin();
         let _ = self.task.await;
-        self.data
+        self.data_dir
     }
 
-    /// Stops it and removes its folder.
+    /// Drains the instance and removes its data folder.
     pub async fn stop(self) {
-        let data = self.halt().await;
-        let _ = std::fs::remove_dir_all(data);
+        let data_dir = self.shut_down().await;
+        let _ = std::fs::remove_dir_all(data_dir);
     }
 }
 
-/// Puts a document in force.
+/// Submits a document and waits until the change is committed.
 ///
 /// # Errors
 ///
-/// Text that says why it was not accepted.
-pub async fn put(service: &Service, document: ServiceDocument) -> Result<(), String> {
+/// A message for the operator if the change is refused or not committed.
+pub async fn put_document(
+    service: &Service,
+    document: ServiceDocument,
+) -> Result<(), String> {
     let action = Action::Put(Put {
         team: document.owner.clone(),
         text: String::new(),
@@ -96,43 +99,50 @@
     }
 }
 
-/// Measures changes, and the restart after them.
+/// Measures changes made one after the other, and the restart after them.
 ///
 /// # Errors
 ///
-/// Text that says why the control instance could not run.
+/// A message for the operator if the control instance can't run, refuses a change, or has
+/// lost an acknowledged change after the restart.
 pub async fn measure() -> Result<Table, String> {
     let mut table = Table::new(
         "Changes and recovery (small documents, one at a time)",
         &["changes", "changes/s", "recovery ms", "disk KiB"],
     );
-    for size in SIZES {
-        let alone = Alone::start().await?;
+    for size in CHANGE_COUNTS {
+        let control = ControlInstance::start().await?;
         let start = Instant::now();
         for version in 1..=size {
-            put(&alone.service, document("svc", version, 4, 4)).await?;
+            put_document(&control.service, document("svc", version, 4, 4)).await?;
         }
         let rate = size as f64 / start.elapsed().as_secs_f64();
-        let data = alone.halt().await;
-        let disk = size_of_folder(&data);
+        let data_dir = control.shut_down().await;
+        let disk_kib = folder_kib(&data_dir);
         let start = Instant::now();
-        let again = Alone::open(&data, Start::Existing).await?;
-        // Back means: the instance leads and confirms what it has.
-        let confirmed = again.service.confirm().await;
-        confirmed.map_err(|unable| unable.to_string())?;
+        let restarted = ControlInstance::open(&data_dir, Start::Existing).await?;
+        // Recovery ends when the instance leads and has completed a confirmation round.
+        let confirmed = restarted.service.confirm().await;
+        confirmed.map_err(|unavailable| unavailable.to_string())?;
         let recovery = start.elapsed().as_secs_f64() * 1000.0;
-        let known = again.service.replica().documents.load().services().len();
-        if known != 1 {
+        let service_count = restarted
+            .service
+            .replica()
+            .documents
+            .load()
+            .services()
+            .len();
+        if service_count != 1 {
             return Err("an acknowledged change is missing after a restart".to_string());
         }
-        again.stop().await;
-        table.add(&[size as f64, rate, recovery, disk]);
+        restarted.stop().await;
+        table.add_row(&[size as f64, rate, recovery, disk_kib]);
     }
     Ok(table)
 }
 
-fn size_of_folder(folder: &Path) -> f64 {
-    let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
-    let sizes = entries.filter_map(|entry| entry.metadata().ok());
-    sizes.map(|data| data.len() as f64).sum::<f64>() / 1024.0
+fn folder_kib(folder: &Path) -> f64 {
+    let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
+    let sizes = files.filter_map(|entry| entry.metadata().ok());
+    sizes.map(|metadata| metadata.len() as f64).sum::<f64>() / 1024.0
 }
--- a/crates/load/src/slopes/routes.rs
+++ b/crates/load/src/slopes/routes.rs
@@ -2,8 +2,8 @@
 //! force, processor time, bytes and memory.
 
 use super::Table;
-use crate::latency::{cpu_time, resident};
-use crate::slopes::recovery::Alone;
+use crate::latency::{cpu_time, resident_bytes};
+use crate::slopes::recovery::ControlInstance;
 use dogwoodhill_control::command::Action;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_direct::follow::{Control, Fetching, Follower, RouteSink};
@@ -86,14 +86,14 @@
         ],
     );
     for size in SIZES {
-        table.add(&one(size, packed).await?);
+        table.add_row(&one(size, packed).await?);
     }
     Ok(table)
 }
 
 async fn one(size: u32, packed: bool) -> Result<Vec<f64>, String> {
-    let alone = Alone::start().await?;
-    let memory = resident();
+    let alone = ControlInstance::start().await?;
+    let memory = resident_bytes();
     let bytes = Arc::new(AtomicUsize::new(0));
     let (told, mut heard) = mpsc::unbounded_channel();
     let mut tasks = JoinSet::new();
@@ -131,7 +131,7 @@
     }
     let used = cpu_time().saturating_sub(before);
     let carried = bytes.load(Ordering::Relaxed) - carried;
-    let memory = resident().saturating_sub(memory);
+    let memory = resident_bytes().saturating_sub(memory);
     tasks.shutdown().await;
     alone.stop().await;
     times.sort_by(f64::total_cmp);
@@ -148,7 +148,11 @@
     ])
 }
 
-async fn put(alone: &Alone, version: Version, packed: bool) -> Result<(), String> {
+async fn put(
+    alone: &ControlInstance,
+    version: Version,
+    packed: bool,
+) -> Result<(), String> {
     let text = text(version);
     let held = match packed {
         true => StoredRoutes::new(version, &text),
--- a/crates/load/src/slopes/traffic.rs
+++ b/crates/load/src/slopes/traffic.rs
@@ -1,26 +1,26 @@
-//! Processor time of entry and agent for a request and for a token.
+//! Processor time of entry and agent per request and per token.
 
 use super::Table;
-use crate::latency::cost;
+use crate::latency::router_cpu_per_request;
 use dogwoodhill_core::prelude::*;
 
-/// Tokens of each answer.
-const TOKENS: [u32; 4] = [1, 8, 32, 128];
-/// Concurrent streams: enough to share writes, too few to fill the machine.
+/// Answer lengths in tokens.
+const ANSWER_TOKENS: [u32; 4] = [1, 8, 32, 128];
+/// Concurrent streams; enough that writes are shared, too few to saturate the machine.
 const STREAMS: u32 = 64;
 /// Length of each measurement.
-const LASTING: Duration = Duration::from_secs(4);
+const DURATION: Duration = Duration::from_secs(4);
 
-/// Measures what entry and agent take together; the slope is the cost of a
-/// token, the base that of a request.
+/// Measures the processor time of entry and agent together. The slope is the cost of a
+/// token, the intercept that of a request.
 pub async fn measure() -> Table {
     let mut table = Table::new(
         "Traffic (entry and agent together, 64 streams)",
         &["tokens a request", "cpu us/request"],
     );
-    for tokens in TOKENS {
-        let cost = cost(STREAMS, tokens, LASTING).await;
-        table.add(&[f64::from(tokens), cost.as_micros() as f64]);
+    for tokens in ANSWER_TOKENS {
+        let cpu = router_cpu_per_request(STREAMS, tokens, DURATION).await;
+        table.add_row(&[f64::from(tokens), cpu.as_micros() as f64]);
     }
     table
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,12 +1,12 @@
-//! A small model of a language-model engine.
+//! A simulated language-model engine.
 //!
-//! Requests run in one batch: the time between tokens grows with the number
-//! of running requests, the time to the first token with the prompt's length.
-//! The load report lags by a set time, as real engines' reports do.
+//! Requests run in one batch: the time between tokens grows with the number of running
+//! requests, the time to the first token with the prompt's length in bytes. The load
+//! report lags by a configured time, as those of real engines do.
 
-use crate::faults::{Fault, Faults};
-use crate::schedule::{Running, Schedule};
-use crate::text::{Asked, answer, token};
+use crate::faults::{Fault, FaultInjector};
+use crate::scheduler::{Scheduler, SlotGuard};
+use crate::text::{CompletionRequest, answer, token};
 use axum::Router;
 use axum::body::Body;
 use axum::extract::State;
@@ -26,41 +26,42 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Size of an answer under [`Fault::Oversized`].
-const OVERSIZED: usize = 2 * 1024 * 1024;
-/// Tokens sent before a connection is closed under [`Fault::CloseMiddle`].
-const BEFORE_CLOSE: u32 = 2;
-/// How often the load is sampled for the lagging report.
-const SAMPLE: Duration = Duration::from_millis(50);
+/// Text of each event under [`Fault::Oversized`]; a complete response has eight times as
+/// much.
+const OVERSIZED_BYTES: usize = 2 * 1024 * 1024;
+/// Tokens sent before a stream's connection is closed under [`Fault::CloseMiddle`].
+const TOKENS_BEFORE_CLOSE: u32 = 2;
+/// Interval at which the load is sampled for the lagging report.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How fast an engine is.
+/// Capacity and timing of a simulated engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Speed {
-    /// Requests that run at once.
+pub struct EngineConfig {
+    /// Maximum number of concurrently running requests.
     pub slots: u32,
-    /// Time between tokens with one request running.
-    pub gap: Duration,
-    /// What each further running request adds to that time.
-    pub crowd: Duration,
-    /// Time to the first token per 1,000 bytes of prompt.
+    /// Time between tokens of a request that runs alone.
+    pub token_gap: Duration,
+    /// Time that each further running request adds to `token_gap`.
+    pub gap_per_request: Duration,
+    /// Prefill time per 1,000 bytes of prompt.
     pub prefill: Duration,
-    /// How old the load report is.
-    pub lag: Duration,
+    /// Age of the values in the load report.
+    pub report_lag: Duration,
 }
 
-impl Default for Speed {
+impl Default for EngineConfig {
     fn default() -> Self {
         Self {
             slots: 32,
-            gap: Duration::from_millis(10),
-            crowd: Duration::from_micros(500),
+            token_gap: Duration::from_millis(10),
+            gap_per_request: Duration::from_micros(500),
             prefill: Duration::from_millis(20),
-            lag: Duration::from_secs(2),
+            report_lag: Duration::from_secs(2),
         }
     }
 }
 
-/// A listening engine.
+/// A simulated engine that is bound to its address.
 #[derive(Debug)]
 pub struct Engine {
     listener: Listener,
@@ -69,32 +70,32 @@
 
 #[derive(Debug)]
 struct Core {
-    speed: Speed,
-    schedule: Schedule,
-    faults: Faults,
-    history: Mutex<VecDeque<Sample>>,
-    made: Made,
+    config: EngineConfig,
+    scheduler: Scheduler,
+    faults: FaultInjector,
+    history: Mutex<VecDeque<LoadSample>>,
+    token_counter: TokenCounter,
 }
 
-/// Tokens an engine has made. Clones share the count.
+/// Number of tokens that an engine has generated. Clones share the count.
 #[derive(Clone, Debug, Default)]
-pub struct Made {
+pub struct TokenCounter {
     count: Arc<AtomicU64>,
 }
 
-impl Made {
-    /// Tokens made so far.
+impl TokenCounter {
+    /// Tokens generated so far, delivered or not.
     pub fn count(&self) -> u64 {
         self.count.load(Ordering::Relaxed)
     }
 
-    fn add(&self) {
+    fn increment(&self) {
         self.count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-struct Sample {
+struct LoadSample {
     running: u32,
     waiting: u32,
     leaving: bool,
@@ -105,17 +106,17 @@
     ///
     /// # Errors
     ///
-    /// [`ListenError`] where the address can't be bound.
+    /// [`ListenError`] if the address can't be bound.
     pub async fn bind(
         address: SocketAddr,
-        speed: Speed,
+        config: EngineConfig,
     ) -> Result<Self, Report<ListenError>> {
         let core = Core {
-            speed,
-            schedule: Schedule::new(speed.slots),
-            faults: Faults::default(),
+            config,
+            scheduler: Scheduler::new(config.slots),
+            faults: FaultInjector::default(),
             history: Mutex::default(),
-            made: Made::default(),
+            token_counter: TokenCounter::default(),
         };
         Ok(Self {
             listener: Listener::bind(address).await?,
@@ -123,29 +124,29 @@
         })
     }
 
-    /// Address it listens on.
+    /// Bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Its switches.
-    pub fn faults(&self) -> Faults {
+    /// Handle to the fault switches; usable while the engine runs.
+    pub fn faults(&self) -> FaultInjector {
         self.core.faults.clone()
     }
 
-    /// Its count of tokens.
-    pub fn made(&self) -> Made {
-        self.core.made.clone()
+    /// Handle to the count of generated tokens; usable while the engine runs.
+    pub fn token_counter(&self) -> TokenCounter {
+        self.core.token_counter.clone()
     }
 
-    /// Its scheduler, to watch what runs.
-    pub fn schedule(&self) -> Schedule {
-        self.core.schedule.clone()
+    /// Handle to the scheduler, to observe running and queued requests.
+    pub fn scheduler(&self) -> Scheduler {
+        self.core.scheduler.clone()
     }
 
     /// Serves until `drain` is complete.
     pub async fn run(self, drain: Drain) {
-        let sampling = tokio::spawn(sample(Arc::clone(&self.core)));
+        let sampler = tokio::spawn(sample_load(Arc::clone(&self.core)));
         let router = Router::new()
             .route("/v1/chat/completions", post(complete))
             .route("/v1/completions", post(complete))
@@ -153,14 +154,14 @@
             .route("/standin/faults", post(set_faults))
             .with_state(self.core);
         self.listener.serve(router, drain, Duration::ZERO).await;
-        sampling.abort();
+        sampler.abort();
     }
 }
 
 /// Body of `POST /standin/faults`.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
-struct Switches {
+struct FaultSettings {
     fault: Fault,
     leaving: bool,
     slow: u32,
@@ -168,21 +169,22 @@
 
 async fn set_faults(
     State(core): State<Arc<Core>>,
-    axum::Json(switches): axum::Json<Switches>,
+    axum::Json(settings): axum::Json<FaultSettings>,
 ) -> StatusCode {
-    core.faults.set(switches.fault);
-    core.faults.leave(switches.leaving);
-    core.faults.slow(switches.slow);
+    core.faults.set(settings.fault);
+    core.faults.set_leaving(settings.leaving);
+    core.faults.set_slowdown(settings.slow);
     StatusCode::NO_CONTENT
 }
 
-async fn sample(core: Arc<Core>) {
-    let steps = (core.speed.lag.as_millis() / SAMPLE.as_millis()) as usize;
+async fn sample_load(core: Arc<Core>) {
+    let steps =
+        (core.config.report_lag.as_millis() / SAMPLE_INTERVAL.as_millis()) as usize;
     loop {
         {
-            let now = Sample {
-                running: core.schedule.running(),
-                waiting: core.schedule.waiting(),
+            let now = LoadSample {
+                running: core.scheduler.running(),
+                waiting: core.scheduler.waiting(),
                 leaving: core.faults.leaving(),
             };
             let mut history = core.history.lock().expect("no holder panics");
@@ -191,7 +193,7 @@
                 history.pop_front();
             }
         }
-        sleep(SAMPLE).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
 }
 
@@ -207,42 +209,43 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let Ok(asked) = serde_json::from_slice::<Asked>(&body) else {
+    let Ok(request) = serde_json::from_slice::<CompletionRequest>(&body) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     match core.faults.fault() {
         Fault::Error => return StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         Fault::Hang => std::future::pending().await,
-        Fault::CloseEarly => return closing(),
+        Fault::CloseEarly => return closed_connection(),
         _ => {}
     }
-    let running = core.schedule.enter(priority(&headers)).await;
-    let factor = core.faults.slowness();
-    let prompt = asked.prompt();
-    let prefill = core.speed.prefill * prompt.len() as u32 / 1000;
+    let slot = core.scheduler.acquire(priority(&headers)).await;
+    let factor = core.faults.slowdown();
+    let prompt = request.prompt();
+    let prefill = core.config.prefill * prompt.len() as u32 / 1000;
     sleep(prefill * factor).await;
-    let mut job = Job {
+    let mut generation = Generation {
         id: request_id(&core, &headers),
-        stream: asked.stream,
-        tokens: asked.tokens(),
+        stream: request.stream,
+        tokens: request.tokens(),
         prompt,
         sent: 0,
         due: Instant::now(),
         core,
-        running: Some(running),
+        slot: Some(slot),
     };
-    if job.stream {
-        streamed(job)
+    if generation.stream {
+        stream_response(generation)
     } else {
-        for _ in 0..job.tokens {
-            job.step().await;
+        for _ in 0..generation.tokens {
+            generation.next_token().await;
         }
-        whole(&job)
+        complete_response(&generation)
     }
 }
 
-/// A response whose connection closes before its head is complete.
-fn closing() -> Response {
+/// A response whose body fails at once, which closes the connection without a response
+/// head.
+fn closed_connection() -> Response {
     let broken = stream::iter([Err::<Bytes, _>(io::Error::other("closed"))]);
     Body::from_stream(broken).into_response()
 }
@@ -262,10 +265,10 @@
     text.unwrap_or_default().to_string()
 }
 
-/// One request being answered.
-struct Job {
+/// A request that holds a slot and whose tokens are being generated.
+struct Generation {
     core: Arc<Core>,
-    running: Option<Running>,
+    slot: Option<SlotGuard>,
     id: String,
     prompt: String,
     stream: bool,
@@ -274,29 +277,29 @@
     due: Instant,
 }
 
-impl Job {
-    /// Waits until the next token is made.
-    async fn step(&mut self) {
-        let crowd = self.core.schedule.running().saturating_sub(1);
-        let gap = self.core.speed.gap + self.core.speed.crowd * crowd;
-        self.due += gap * self.core.faults.slowness();
+impl Generation {
+    /// Waits until the next token is due, then counts it.
+    async fn next_token(&mut self) {
+        let others = self.core.scheduler.running().saturating_sub(1);
+        let gap = self.core.config.token_gap + self.core.config.gap_per_request * others;
+        self.due += gap * self.core.faults.slowdown();
         sleep_until(self.due).await;
-        self.core.made.add();
+        self.core.token_counter.increment();
         self.sent += 1;
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
+    async fn next_event(&mut self) -> Option<Result<Bytes, io::Error>> {
         let fault = self.core.faults.fault();
         if self.sent > self.tokens {
             return None;
         }
-        if fault == Fault::CloseMiddle && self.sent >= BEFORE_CLOSE {
-            self.running = None;
+        if fault == Fault::CloseMiddle && self.sent >= TOKENS_BEFORE_CLOSE {
+            self.slot = None;
             self.sent = u32::MAX;
             return Some(Err(io::Error::other("closed")));
         }
         if self.sent == self.tokens {
-            self.running = None;
+            self.slot = None;
             self.sent += 1;
             return match fault {
                 Fault::Truncated => None,
@@ -304,14 +307,14 @@
             };
         }
         let position = self.sent;
-        self.step().await;
+        self.next_token().await;
         Some(Ok(self.event(position, fault)))
     }
 
     fn event(&self, position: u32, fault: Fault) -> Bytes {
         let text = match fault {
             Fault::Malformed => return Bytes::from_static(b"data: {\"id\": \n\n"),
-            Fault::Oversized => "x".repeat(OVERSIZED),
+            Fault::Oversized => "x".repeat(OVERSIZED_BYTES),
             _ => token(&self.prompt, position),
         };
         let id = &self.id;
@@ -325,23 +328,23 @@
     }
 }
 
-fn streamed(job: Job) -> Response {
-    let id = job.id.clone();
-    let events = stream::unfold(job, |mut job| async move {
-        let next = job.next().await?;
-        Some((next, job))
+fn stream_response(generation: Generation) -> Response {
+    let id = generation.id.clone();
+    let events = stream::unfold(generation, |mut generation| async move {
+        let next = generation.next_event().await?;
+        Some((next, generation))
     });
     let mut response = Body::from_stream(events).into_response();
     let kind = HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
-    named(response, &id)
+    with_request_id(response, &id)
 }
 
-fn whole(job: &Job) -> Response {
-    let fault = job.core.faults.fault();
-    let mut text = answer(&job.prompt, job.tokens);
+fn complete_response(generation: &Generation) -> Response {
+    let fault = generation.core.faults.fault();
+    let mut text = answer(&generation.prompt, generation.tokens);
     if fault == Fault::Oversized {
-        text = "x".repeat(8 * OVERSIZED);
+        text = "x".repeat(8 * OVERSIZED_BYTES);
     }
     let mut body = format!(
         "{{\"id\":\"chatcmpl-{}\",\"object\":\"chat.completion\",\"created\":0,\
@@ -349,9 +352,9 @@
          \"role\":\"assistant\",\"content\":\"{text}\"}},\"text\":\"{text}\",\
          \"finish_reason\":\"stop\"}}],\"usage\":{{\"prompt_tokens\":1,\
          \"completion_tokens\":{},\"total_tokens\":{}}}}}",
-        job.id,
-        job.tokens,
-        job.tokens + 1
+        generation.id,
+        generation.tokens,
+        generation.tokens + 1
     );
     if fault == Fault::Truncated || fault == Fault::Malformed {
         body.truncate(body.len() / 2);
@@ -364,10 +367,10 @@
     let mut response = body.into_response();
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
-    named(response, &job.id)
+    with_request_id(response, &generation.id)
 }
 
-fn named(mut response: Response, id: &str) -> Response {
+fn with_request_id(mut response: Response, id: &str) -> Response {
     if let Ok(id) = HeaderValue::try_from(id) {
         response.headers_mut().insert("x-request-id", id);
     }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,76 +1,76 @@
-//! Faults on command.
+//! Fault injection: switches that tests and scenarios set while a stand-in runs.
 
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// What a stand-in does wrong.
+/// A fault that a stand-in shows. The names are values of `POST /standin/faults`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// Requests are answered normally.
     #[default]
     None,
-    /// Takes the request and closes the connection without a word.
+    /// Accepts the request and closes the connection before the response head.
     CloseEarly,
-    /// Closes the connection in the middle of the answer.
+    /// Closes the connection in the middle of the response body.
     CloseMiddle,
-    /// Takes the request and never answers.
+    /// Accepts the request and never responds.
     Hang,
-    /// Answers under another request's id.
+    /// Responds with the id of another request.
     Crossed,
-    /// Ends a stream without its end mark, or a JSON object before its end.
+    /// Ends a stream without the end marker `[DONE]`, or a JSON object before its end.
     Truncated,
-    /// Sends events that are no JSON.
+    /// Sends events that are not valid JSON.
     Malformed,
-    /// Sends an answer far larger than asked for.
+    /// Sends a response far larger than requested.
     Oversized,
-    /// Answers 500.
+    /// Responds with status 500.
     Error,
 }
 
-/// Switches of one stand-in. Clones share them.
+/// Fault switches of one stand-in. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct FaultInjector {
     fault: Arc<Mutex<Fault>>,
     leaving: Arc<AtomicBool>,
-    slow: Arc<AtomicU32>,
+    slowdown: Arc<AtomicU32>,
 }
 
-impl Faults {
-    /// The fault in force.
+impl FaultInjector {
+    /// Fault that is injected at present.
     pub fn fault(&self) -> Fault {
         *self
             .fault
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Sets the fault.
+    /// Replaces the injected fault; [`Fault::None`] ends it.
     pub fn set(&self, fault: Fault) {
         *self
             .fault
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner()) = fault;
+            .unwrap_or_else(|poisoned| poisoned.into_inner()) = fault;
     }
 
-    /// Whether the stand-in says that it is leaving.
+    /// Whether the load report announces that the stand-in is leaving.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Sets whether it says so.
-    pub fn leave(&self, leaving: bool) {
+    /// Sets whether the load report announces that the stand-in is leaving.
+    pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Factor by which the stand-in is slower than specified, at least 1.
-    pub fn slowness(&self) -> u32 {
-        self.slow.load(Ordering::Relaxed).max(1)
+    /// Factor by which response times are multiplied, at least 1.
+    pub fn slowdown(&self) -> u32 {
+        self.slowdown.load(Ordering::Relaxed).max(1)
     }
 
-    /// Sets that factor.
-    pub fn slow(&self, factor: u32) {
-        self.slow.store(factor, Ordering::Relaxed);
+    /// Sets the factor by which response times are multiplied; 0 counts as 1.
+    pub fn set_slowdown(&self, factor: u32) {
+        self.slowdown.store(factor, Ordering::Relaxed);
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,13 +1,13 @@
-//! Stand-ins for what the router serves.
+//! Stand-ins for the services behind the router.
 //!
-//! [`engine`] is a small model of a language-model engine with continuous
-//! batching; [`plain`] is a service that counts its calls per idempotency
-//! key, so that a doubled call shows. Both say something that depends on the
-//! very request ([`text`]), so that an answer given to the wrong caller is
-//! seen, and both fail on command ([`faults`]).
+//! [`engine`] simulates a language-model engine with continuous batching. [`plain`] is an
+//! HTTP service that counts its calls per idempotency key, which reveals duplicated calls.
+//! The responses of both are a function of the request ([`text`] for engines), so a
+//! response delivered to the wrong caller is detected. Both support fault injection
+//! ([`faults`]).
 
 pub mod engine;
 pub mod faults;
 pub mod plain;
-pub mod schedule;
+pub mod scheduler;
 pub mod text;
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,6 +1,6 @@
-//! A plain service that counts its calls per idempotency key.
+//! A plain HTTP service that echoes requests and counts them per idempotency key.
 
-use crate::faults::{Fault, Faults};
+use crate::faults::{Fault, FaultInjector};
 use axum::Router;
 use axum::body::Body;
 use axum::extract::{Request, State};
@@ -18,29 +18,29 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// How often one key was called.
+/// Number of calls with one key; an element of the body of `GET /standin/calls`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCount {
     /// Idempotency key; empty for calls without one.
     pub key: String,
-    /// Calls that arrived with it.
+    /// Calls that arrived with the key, failed ones included.
     pub calls: u64,
 }
 
-/// Calls per key, sorted by key. Clones share them.
+/// Call counts sorted by key. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Calls {
+pub struct CallCounts {
     counts: Arc<Mutex<Vec<KeyCount>>>,
 }
 
-impl Calls {
-    /// Counts one call.
-    pub fn add(&self, key: &str) {
+impl CallCounts {
+    /// Counts one call with `key`.
+    pub fn record(&self, key: &str) {
         let mut counts = self.counts.lock().expect("no holder panics");
         match counts.binary_search_by(|count| count.key.as_str().cmp(key)) {
-            Ok(at) => counts[at].calls += 1,
-            Err(at) => counts.insert(
-                at,
+            Ok(index) => counts[index].calls += 1,
+            Err(index) => counts.insert(
+                index,
                 KeyCount {
                     key: key.to_string(),
                     calls: 1,
@@ -49,47 +49,47 @@
         }
     }
 
-    /// All counts.
+    /// Counts of all keys, sorted by key.
     pub fn counts(&self) -> Vec<KeyCount> {
         self.counts.lock().expect("no holder panics").clone()
     }
 
-    /// Calls with `key`.
-    pub fn of(&self, key: &str) -> u64 {
+    /// Number of calls with `key`.
+    pub fn count(&self, key: &str) -> u64 {
         let counts = self.counts.lock().expect("no holder panics");
-        let at = counts.binary_search_by(|count| count.key.as_str().cmp(key));
-        at.map_or(0, |at| counts[at].calls)
+        let index = counts.binary_search_by(|count| count.key.as_str().cmp(key));
+        index.map_or(0, |index| counts[index].calls)
     }
 }
 
-/// A listening plain service.
+/// A plain service that is bound to its address.
 #[derive(Debug)]
-pub struct Plain {
+pub struct PlainService {
     listener: Listener,
     core: Arc<Core>,
 }
 
 #[derive(Debug)]
 struct Core {
-    calls: Calls,
-    faults: Faults,
-    work: Duration,
+    calls: CallCounts,
+    faults: FaultInjector,
+    work_time: Duration,
 }
 
-impl Plain {
-    /// Binds a service that takes `work` for each call.
+impl PlainService {
+    /// Binds a service that spends `work_time` on each call.
     ///
     /// # Errors
     ///
-    /// [`ListenError`] where the address can't be bound.
+    /// [`ListenError`] if the address can't be bound.
     pub async fn bind(
         address: SocketAddr,
-        work: Duration,
+        work_time: Duration,
     ) -> Result<Self, Report<ListenError>> {
         let core = Core {
-            calls: Calls::default(),
-            faults: Faults::default(),
-            work,
+            calls: CallCounts::default(),
+            faults: FaultInjector::default(),
+            work_time,
         };
         Ok(Self {
             listener: Listener::bind(address).await?,
@@ -97,18 +97,18 @@
         })
     }
 
-    /// Address it listens on.
+    /// Bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Its switches.
-    pub fn faults(&self) -> Faults {
+    /// Handle to the fault switches; usable while the service runs.
+    pub fn faults(&self) -> FaultInjector {
         self.core.faults.clone()
     }
 
-    /// Its counts.
-    pub fn calls(&self) -> Calls {
+    /// Handle to the call counts; usable while the service runs.
+    pub fn calls(&self) -> CallCounts {
         self.core.calls.clone()
     }
 
@@ -117,7 +117,7 @@
         let router = Router::new()
             .route("/load", get(load))
             .route("/standin/calls", get(counts))
-            .fallback(any(serve))
+            .fallback(any(echo_request))
             .with_state(self.core);
         self.listener.serve(router, drain, Duration::ZERO).await;
     }
@@ -132,8 +132,9 @@
     axum::Json(core.calls.counts()).into_response()
 }
 
-/// Says back what was called, so that a crossed answer shows.
-async fn serve(State(core): State<Arc<Core>>, request: Request) -> Response {
+/// Echoes method, path, key and body, so that a response delivered to the wrong caller
+/// is detected.
+async fn echo_request(State(core): State<Arc<Core>>, request: Request) -> Response {
     let (parts, body) = request.into_parts();
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
@@ -141,14 +142,14 @@
     };
     let key = parts.headers.get("idempotency-key");
     let key = key.and_then(|key| key.to_str().ok()).unwrap_or("");
-    core.calls.add(key);
+    core.calls.record(key);
     match core.faults.fault() {
         Fault::Error => return StatusCode::INTERNAL_SERVER_ERROR.into_response(),
         Fault::Hang => std::future::pending().await,
         _ => {}
     }
-    tokio::time::sleep(core.work * core.faults.slowness()).await;
-    let said = format!(
+    tokio::time::sleep(core.work_time * core.faults.slowdown()).await;
+    let echo = format!(
         "{} {} key={key} body={}",
         parts.method,
         parts.uri,
@@ -157,11 +158,11 @@
     let fault = core.faults.fault();
     let mut response = match fault {
         Fault::CloseMiddle | Fault::CloseEarly | Fault::Truncated => {
-            let half = Bytes::from(said[..said.len() / 2].to_string());
+            let half = Bytes::from(echo[..echo.len() / 2].to_string());
             let parts = [Ok(half), Err(io::Error::other("closed"))];
             Body::from_stream(stream::iter(parts)).into_response()
         }
-        _ => said.into_response(),
+        _ => echo.into_response(),
     };
     let id = match fault {
         Fault::Crossed => Some(HeaderValue::from_static("another-request")),
--- a/src/local.rs
+++ b/src/local.rs
@@ -11,9 +11,9 @@
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_entry::entry::Core;
 use dogwoodhill_entry::{Entry, Settings};
-use dogwoodhill_standin::engine::{Engine, Speed};
-use dogwoodhill_standin::faults::Faults;
-use dogwoodhill_standin::plain::{Calls, Plain};
+use dogwoodhill_standin::engine::{Engine, EngineConfig};
+use dogwoodhill_standin::faults::FaultInjector;
+use dogwoodhill_standin::plain::{CallCounts, PlainService};
 use error_stack::{Report, ResultExt};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -73,11 +73,11 @@
     /// The entry's shared state.
     pub entry: Arc<Core>,
     /// The model endpoint's switches.
-    pub engine: Faults,
+    pub engine: FaultInjector,
     /// The plain endpoint's switches.
-    pub plain: Faults,
+    pub plain: FaultInjector,
     /// The plain service's counts.
-    pub calls: Calls,
+    pub calls: CallCounts,
     entries: JoinSet<()>,
     agents: JoinSet<()>,
     control: JoinSet<()>,
@@ -94,10 +94,10 @@
     pub async fn start(places: Places, drain: Drain) -> Result<Self, Report<LocalError>> {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         let listen = LocalError::Listen;
-        let engine = Engine::bind(free, Speed::default())
+        let engine = Engine::bind(free, EngineConfig::default())
             .await
             .change_context(listen)?;
-        let plain = Plain::bind(free, PLAIN_WORK)
+        let plain = PlainService::bind(free, PLAIN_WORK)
             .await
             .change_context(LocalError::Listen)?;
         let behind = Drain::default();
--- a/tests/all/burst.rs
+++ b/tests/all/burst.rs
@@ -1,7 +1,7 @@
 //! More than fits: who waits, who gives way, and that all of it ends.
 
 use crate::support::{request, send};
-use dogwoodhill::load::bench::{Bench, SERVICE, workspace_key};
+use dogwoodhill::load::deployment::{Deployment, SERVICE, workspace_key};
 use dogwoodhill::load::scenario::Suite;
 use http::Response;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 async fn urgent_never_gives_way_and_patient_ends() {
     let suite = Suite::parse("small", SUITE).unwrap();
     let policy = dogwoodhill::policy::placement::Policy::Predicted;
-    let bench = Bench::start(&suite, policy).await;
+    let bench = Deployment::start(&suite, policy).await;
     let entry = bench.entries()[0];
     // Two long ones run, five wait.
     let patient: Vec<_> = (0..7)
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -4,7 +4,7 @@
 use dogwoodhill::agent::settings::Platform;
 use dogwoodhill::agent::{Agent, Settings};
 use dogwoodhill::daemon::drain::Drain;
-use dogwoodhill::standin::engine::{Engine, Speed};
+use dogwoodhill::standin::engine::{Engine, EngineConfig};
 use dogwoodhill::standin::text::answer;
 use std::time::Duration;
 
@@ -27,14 +27,14 @@
 
 /// An agent that listens in front of a stand-in engine.
 struct Beside {
-    engine: dogwoodhill::standin::faults::Faults,
+    engine: dogwoodhill::standin::faults::FaultInjector,
     agent: std::net::SocketAddr,
     drain: Drain,
 }
 
 impl Beside {
     async fn start(adjust: impl FnOnce(&mut Settings)) -> Self {
-        let engine = Engine::bind(free(), Speed::default()).await.unwrap();
+        let engine = Engine::bind(free(), EngineConfig::default()).await.unwrap();
         let faults = engine.faults();
         let name = "chat-1".to_string();
         let mut settings = Settings::new("chat".to_string(), name, engine.address());
@@ -71,9 +71,9 @@
 async fn leaving_said_by_endpoint() {
     let beside = Beside::start(|_| {}).await;
     assert!(!beside.leaving().await);
-    beside.engine.leave(true);
+    beside.engine.set_leaving(true);
     beside.wait_leaving(true).await;
-    beside.engine.leave(false);
+    beside.engine.set_leaving(false);
     beside.wait_leaving(false).await;
 }
 
--- a/tests/all/lease.rs
+++ b/tests/all/lease.rs
@@ -5,7 +5,7 @@
 use dogwoodhill::control::settings::Start;
 use dogwoodhill::control::{Control, Settings as ControlSettings};
 use dogwoodhill::daemon::drain::Drain;
-use dogwoodhill::standin::engine::{Engine, Speed};
+use dogwoodhill::standin::engine::{Engine, EngineConfig};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     let control = Control::bind(settings, Drain::default()).await.unwrap();
     let internal = control.internal();
     tokio::spawn(control.run());
-    let engine = Engine::bind(free(), Speed::default()).await.unwrap();
+    let engine = Engine::bind(free(), EngineConfig::default()).await.unwrap();
     let address = engine.address();
     tokio::spawn(engine.run(Drain::default()));
     let (first, drain) = agent(address, internal).await;
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -58,7 +58,7 @@
     let other = running.call("POST", path, &key, "another seat").await;
     assert_eq!(other.status(), 422);
     assert_eq!(header(&other, "x-outcome"), "not-run");
-    assert_eq!(running.local.calls.of("seat-1"), 1);
+    assert_eq!(running.local.calls.count("seat-1"), 1);
     running.stop().await;
 }
 
@@ -77,7 +77,7 @@
         assert_ne!(header(&again, "x-outcome"), "not-run");
         assert_ne!(again.status(), 200);
     }
-    assert_eq!(running.local.calls.of("seat-2"), 1);
+    assert_eq!(running.local.calls.count("seat-2"), 1);
     running.stop().await;
 }
 
