--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -62,7 +62,7 @@
             .map(|member| member.id)
     }
 
-    /// Whether there are more voters than seats.
+    /// Whether there are more voters than seats, that is, than the intended size.
     pub fn has_surplus_voter(&self) -> bool {
         let seats = self.0.iter().filter(|member| member.seat).count();
         self.voters().count() > seats
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -10,12 +10,11 @@
 /// intervals after which small messages are sent again. Only operators' documents and
 /// route sets, and snapshots, are that large.
 const LARGE_MESSAGE_BYTES: usize = 64 * 1024;
-/// Lowest transfer rate to one peer in bytes per second, below which a message counts as
-/// lost: 1 Mbit/s, a hundredth of a control instance's link. With time limits independent
-/// of the size, a leader sent route sets of 516 and 768 KB two and three times to each
-/// peer, and abandoned messages that held two copies of one after a second on a saturated
-/// link.
-const MIN_TRANSFER_RATE: f64 = 125_000.0;
+/// Lowest transfer rate to one peer, below which a message counts as lost: 1 Mbit/s, a
+/// hundredth of a control instance's link. With time limits independent of the size, a
+/// leader sent route sets of 516 and 768 KB two and three times to each peer, and abandoned
+/// messages that held two copies of one after a second on a saturated link.
+const MIN_BYTES_PER_SECOND: f64 = 125_000.0;
 
 /// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,7 +82,7 @@
 
 /// Longest time that the transfer of `size` bytes to one peer may take.
 pub fn max_transfer_time(size: usize) -> Duration {
-    Duration::from_secs_f64(size as f64 / MIN_TRANSFER_RATE)
+    Duration::from_secs_f64(size as f64 / MIN_BYTES_PER_SECOND)
 }
 
 /// Whether a message with these entries would be large.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -20,14 +20,14 @@
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Election timeout of a follower, as a multiple of [`Timing::election`].
-const FOLLOWER_FACTOR: Range<f64> = 1.0..2.0;
+const FOLLOWER_TIMEOUT_FACTOR: Range<f64> = 1.0..2.0;
 /// Election timeout of an instance that starts, as a multiple of [`Timing::election`].
 /// It is shorter, since there is no leader if all instances start at once, and a pre-vote
 /// has no effect if there is one. The range is wide, because candidates that start within
 /// some ten milliseconds of each other split the votes.
-const START_FACTOR: Range<f64> = 0.3..1.2;
+const START_TIMEOUT_FACTOR: Range<f64> = 0.3..1.2;
 /// Election timeout of a candidate, as a multiple of [`Timing::election`].
-const CANDIDATE_FACTOR: Range<f64> = 0.5..1.7;
+const CANDIDATE_TIMEOUT_FACTOR: Range<f64> = 0.5..1.7;
 
 /// Intervals and timeouts of a node.
 #[derive(Clone, Copy, Debug)]
@@ -207,7 +207,7 @@
             election_timeout: Duration::ZERO,
             ready: Ready::default(),
         };
-        node.start_timer(now, START_FACTOR);
+        node.start_timer(now, START_TIMEOUT_FACTOR);
         node
     }
 
@@ -460,12 +460,12 @@
 
     /// Restarts the election timeout of a follower.
     pub(crate) fn start_follower_timer(&mut self, now: Moment) {
-        self.start_timer(now, FOLLOWER_FACTOR);
+        self.start_timer(now, FOLLOWER_TIMEOUT_FACTOR);
     }
 
     /// Starts the time in which a candidate must win before it tries again.
     pub(crate) fn start_candidate_timer(&mut self, now: Moment) {
-        self.start_timer(now, CANDIDATE_FACTOR);
+        self.start_timer(now, CANDIDATE_TIMEOUT_FACTOR);
     }
 
     /// Starts an election timeout of a random multiple of [`Timing::election`].
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 
-/// A time after each election timeout.
+/// A time at which every election timeout has expired.
 const LATE: Moment = Moment::from_secs(10);
 
 fn member(id: NodeId) -> Member {
@@ -47,6 +47,7 @@
     Node::new(1, Timing::default(), durable, Moment::ZERO, random)
 }
 
+/// Takes the pending work and reports it as durable.
 fn flush(node: &mut Node<SmallRng>) -> Ready {
     let ready = node.take_ready();
     node.synced(ready.durable_index);
@@ -62,6 +63,7 @@
     }
 }
 
+/// A vote request from a candidate whose log is newer than any other in these tests.
 fn vote(from: NodeId, term: Term) -> Message {
     let request = VoteRequest {
         last: 9,
@@ -72,8 +74,8 @@
 }
 
 fn granted(ready: &Ready) -> bool {
-    let yes = Body::VoteReply { granted: true };
-    ready.after_sync.iter().any(|message| message.body == yes)
+    let reply = Body::VoteReply { granted: true };
+    ready.after_sync.iter().any(|message| message.body == reply)
 }
 
 #[test]
@@ -96,18 +98,18 @@
     first.receive(LATE, vote(2, 5));
     let ready = flush(&mut first);
     let hard_state = ready.hard_state.expect("a vote is made durable");
-    let mut again = node(hard_state, vec![entry(1, 1)]);
-    again.receive(LATE, vote(3, 5));
-    assert!(!granted(&flush(&mut again)));
+    let mut restarted = node(hard_state, vec![entry(1, 1)]);
+    restarted.receive(LATE, vote(3, 5));
+    assert!(!granted(&flush(&mut restarted)));
 }
 
 #[test]
 fn vote_own_survives_restart() {
     let mut first = node(HardState::default(), vec![entry(1, 1)]);
     let hard_state = start_election(&mut first);
-    let mut again = node(hard_state, vec![entry(1, 1)]);
-    again.receive(LATE, vote(3, hard_state.term));
-    assert!(!granted(&flush(&mut again)));
+    let mut restarted = node(hard_state, vec![entry(1, 1)]);
+    restarted.receive(LATE, vote(3, hard_state.term));
+    assert!(!granted(&flush(&mut restarted)));
 }
 
 /// Makes the node win its pre-vote and start an election; returns its term and vote.
@@ -135,6 +137,7 @@
     node
 }
 
+/// A reply that confirms that both logs agree up to `index`.
 fn matched(from: NodeId, term: Term, index: Index) -> Message {
     let reply = AppendReply {
         success: true,
@@ -214,7 +217,7 @@
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
     let interval = Timing::default().heartbeat;
-    // Instance 2 answers each heartbeat, instance 3 never does.
+    // Instance 2 replies to each heartbeat, instance 3 to none.
     for i in 1..=9 {
         let now = LATE + interval * i;
         node.receive(now, matched(2, term, 2));
@@ -321,8 +324,8 @@
     assert!(votes(&node, 4));
 }
 
-/// Number of entries sent to `to`, in all messages.
-fn copies(ready: &Ready, to: NodeId) -> usize {
+/// Number of entries in all messages to `to`.
+fn entry_count(ready: &Ready, to: NodeId) -> usize {
     sent(ready, to).map_or(0, |sizes| sizes.iter().sum())
 }
 
@@ -341,17 +344,17 @@
     node.receive(LATE, matched(3, term, 2));
     flush(&mut node);
     let index = node.propose(vec![0; 516_000]).unwrap();
-    let mut seen = copies(&flush(&mut node), 2);
+    let mut total = entry_count(&flush(&mut node), 2);
     for i in 1..=8 {
         node.tick(LATE + interval * i);
-        seen += copies(&flush(&mut node), 2);
+        total += entry_count(&flush(&mut node), 2);
     }
     let now = LATE + interval * 9;
     node.receive(now, matched(2, term, index));
     node.tick(now);
-    seen += copies(&flush(&mut node), 2);
+    total += entry_count(&flush(&mut node), 2);
     assert_eq!(node.commit(), index);
-    assert_eq!(seen, 1, "copies sent in 0.9 s");
+    assert_eq!(total, 1, "copies sent in 0.9 s");
 }
 
 /// A leader with a large entry in flight to both other instances, and its index.
@@ -362,7 +365,7 @@
     node.receive(LATE, matched(3, term, 2));
     flush(&mut node);
     let index = node.propose(vec![0; 516_000]).unwrap();
-    assert_eq!(copies(&flush(&mut node), 2), 1);
+    assert_eq!(entry_count(&flush(&mut node), 2), 1);
     (node, index)
 }
 
@@ -374,20 +377,20 @@
 ) -> usize {
     let interval = Timing::default().heartbeat;
     let term = node.term();
-    let mut seen = 0;
+    let mut total = 0;
     for i in intervals {
         let now = LATE + interval * i;
         // The replies report only the entries before the large one.
         node.receive(now, matched(2, term, 2));
         node.receive(now, matched(3, term, 2));
         node.tick(now);
-        seen += copies(&flush(node), 2);
+        total += entry_count(&flush(node), 2);
     }
-    seen
+    total
 }
 
 #[test]
-fn replicate_large_entry_keeps_contact_meanwhile() {
+fn replicate_large_entry_in_flight_heartbeats_continue() {
     let (mut node, _) = leader_with_large_entry();
     let term = node.term();
     let interval = Timing::default().heartbeat;
@@ -438,9 +441,9 @@
     let mut node = leader(vec![entry(1, 1)]);
     let term = node.term();
     let index = node.propose(vec![0; 516_000]).unwrap();
-    assert_eq!(copies(&flush(&mut node), 2), 0);
+    assert_eq!(entry_count(&flush(&mut node), 2), 0);
     node.receive(LATE, matched(2, term, index - 1));
-    assert_eq!(copies(&flush(&mut node), 2), 1);
+    assert_eq!(entry_count(&flush(&mut node), 2), 1);
     let reply = AppendReply {
         success: false,
         index: 1,
@@ -448,7 +451,7 @@
     };
     node.receive(LATE, message(2, term, Body::AppendReply(reply)));
     assert_eq!(
-        copies(&flush(&mut node), 2),
+        entry_count(&flush(&mut node), 2),
         0,
         "a late reply to an earlier message"
     );
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 /// Bytes of a large command: it is sent alone, and not repeated while it is in flight.
-const LARGE_COMMAND: usize = 64 * 1024;
+const LARGE_COMMAND_BYTES: usize = 64 * 1024;
 /// One of this many commands is large.
 const LARGE_COMMAND_INTERVAL: usize = 5;
 
@@ -397,7 +397,7 @@
     fn propose(&mut self, i: usize) {
         let large = self.committed.len().is_multiple_of(LARGE_COMMAND_INTERVAL);
         let command =
-            vec![self.committed.len() as u8; if large { LARGE_COMMAND } else { 1 }];
+            vec![self.committed.len() as u8; if large { LARGE_COMMAND_BYTES } else { 1 }];
         self.with_node(i, |node| {
             let _ = node.propose(command);
         });
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -162,6 +162,7 @@
 /// Whether there is a record of a batch after `damaged` at any position after `at`.
 /// Checksums are computed only where the batch number is plausible.
 fn has_later_batch(bytes: &[u8], at: usize, damaged: u64) -> bool {
+    /// A batch number that is ahead by more results from damage, not from a batch.
     const MAX_AHEAD: u64 = 1 << 32;
     let batch_at = |at: usize| {
         let field = bytes.get(at + 8..at + 16)?.first_chunk()?;
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -44,7 +44,7 @@
 }
 
 /// A crash that keeps no unsynced byte.
-const LOST: TornWrite = TornWrite {
+const ALL_LOST: TornWrite = TornWrite {
     kept: 0,
     damaged: false,
 };
@@ -64,7 +64,7 @@
         append: &[],
     };
     store.write(&batch).unwrap();
-    files.crash(LOST);
+    files.crash(ALL_LOST);
     let durable = open(&files).unwrap();
     assert_eq!(durable.hard_state, hard_state);
     assert_eq!(durable.entries, vec![entry(1), entry(2)]);
@@ -148,7 +148,7 @@
         ..Batch::default()
     };
     assert!(matches!(store.write(&batch), Err(StoreError::Io { .. })));
-    files.crash(LOST);
+    files.crash(ALL_LOST);
     assert!(open(&files).unwrap().entries.is_empty());
 }
 
@@ -194,7 +194,8 @@
     ]
 }
 
-/// Checks that acknowledged entries are present after each step; others may be.
+/// Checks that acknowledged entries are present after each step; unacknowledged
+/// ones may be, too.
 fn check_acknowledged_survive(steps: &[Step]) -> Result<(), TestCaseError> {
     let files = MemoryFiles::default();
     let mut store = create(&files);
@@ -202,9 +203,9 @@
     for step in steps {
         match step {
             Step::Write(count) => {
-                let from = acknowledged + 1;
+                let start = acknowledged + 1;
                 acknowledged += u64::from(*count);
-                write(&mut store, from..=acknowledged);
+                write(&mut store, start..=acknowledged);
             }
             Step::Compact => {
                 let done = compact(&mut store, acknowledged);
