--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,16 +1,15 @@
-//! Receiving a request: what it is, and whether it may be sent.
+//! Receiving a request: parsing, authentication and admission.
 //!
-//! A request is read whole before anything is decided, so that a refusal
-//! reaches the caller on an intact connection. What may be sent becomes a
-//! [`Job`].
+//! A request is read completely before any decision, so that a refusal reaches the caller
+//! on an intact connection. An admitted request becomes a [`Dispatch`].
 
-use crate::answer::{Cause, Reply, refuse};
-use crate::dialect::{Ask, CallerDialect, EndpointDialect, Prompt};
+use crate::dialect::{CallerDialect, EndpointDialect, Prompt, RequestMeta};
 use crate::directory::Directory;
-use crate::exchange::{self, Outbound};
-use crate::job::{Job, Prepared};
-use crate::lists::Lists;
-use crate::stats::{Record, Stats};
+use crate::dispatch::{AdmittedRequest, Dispatch};
+use crate::exchange::{self, OutboundRequest};
+use crate::list_tracker::ListTracker;
+use crate::response::{RefusalCause, ResponseBody, refuse};
+use crate::stats::{RequestRecord, Stats};
 use crate::suspects::Suspects;
 use crate::usage::Usage;
 use arc_swap::ArcSwapOption;
@@ -31,99 +30,105 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Longest wait for a body where the caller names no time.
+/// Timeout of reading a body where the caller names none.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back after a refusal that a moment may change: an entry that
-/// starts, a full endpoint, one that leaves. In milliseconds; spread so that
-/// those refused together do not return together.
-const SOON_MS: std::ops::Range<u64> = 120..400;
-/// Longest wait of a request for an entry's first route set and list of endpoints. After
-/// all processes were killed there is a leader after 0.3 to 0.65 s, and a list of some
-/// hundred endpoints after 0.2.
-const ROUTES_WAIT: Duration = Duration::from_millis(700);
-/// Part of its caller's time that the wait may take: one in so many.
-const ROUTES_SHARE: u32 = 4;
-/// Time after the drain's beginning from which requests are refused, with a
-/// word to come back at once through another entry.
-const DRAIN_REFUSES: Duration = Duration::from_millis(2_800);
-/// Time before the end of the grace at which requests without an answer get one of
-/// the entry's own: an engine with a long queue lets a prompt wait for as long as a
-/// drain lasts, and its caller must not find a connection closed instead. The
-/// process ends 0.4 s before the grace does, and answers take some milliseconds.
-const LAST_ANSWERS: Duration = Duration::from_millis(600);
-/// Longest usual time for one token of a stream; for judging whether one that
-/// begins now ends before the entry does.
-const TOKEN_TIME: Duration = Duration::from_millis(20);
+/// Range of the retry delay after a refusal with a transient cause (an entry that starts,
+/// a full or a leaving endpoint), in milliseconds. Randomized so that callers that were
+/// refused together do not return together.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 120..400;
+/// Longest wait of a request for the entry's first route set and endpoint list. After a
+/// restart of all processes a leader is elected within 0.3 to 0.65 s, and a list of some
+/// hundred endpoints is available after 0.2 s.
+const STARTUP_WAIT: Duration = Duration::from_millis(700);
+/// Divisor of the caller's timeout that bounds the same wait.
+const STARTUP_WAIT_DIVISOR: u32 = 4;
+/// Time since the start of the drain after which requests are refused, with a zero retry
+/// delay, so that they move to another entry.
+const DRAIN_REFUSE_AFTER: Duration = Duration::from_millis(2_800);
+/// Time before the end of the grace period at which pending requests are answered by the
+/// entry itself. An engine with a long queue may delay a prompt beyond the drain, and its
+/// caller must get a response rather than a closed connection. The process exits 0.4 s
+/// before the end of the grace period, and responses take some milliseconds.
+const RESPONSE_RESERVE: Duration = Duration::from_millis(600);
+/// Upper estimate of the time per generated token, used to predict whether a stream that
+/// begins now ends before the entry stops.
+const MAX_TOKEN_TIME: Duration = Duration::from_millis(20);
 
-/// What all requests of an entry share.
+/// State shared by all requests of an entry.
 #[derive(Debug)]
-pub struct Shared {
-    /// Route set in force.
+pub struct SharedState {
+    /// Active route set; `None` until the first one arrives.
     pub routes: ArcSwapOption<RouteTable>,
-    /// Told when there is a newer one.
+    /// Notified when a newer route set becomes active.
     pub routes_changed: Notify,
-    /// Endpoints.
+    /// Known endpoints and placement.
     pub directory: Directory,
-    /// The list they come from.
-    pub lists: Lists,
-    /// How callers speak.
+    /// State of the endpoint list.
+    pub list_tracker: ListTracker,
+    /// Parser of callers' headers.
     pub callers: Box<dyn CallerDialect>,
-    /// How endpoints speak.
+    /// Adapter to endpoints' headers.
     pub endpoints: Box<dyn EndpointDialect>,
-    /// Tells which requests are the same.
-    pub fingerprints: Fingerprinter,
+    /// Hashes requests, to recognize those with the same content.
+    pub fingerprinter: Fingerprinter,
     /// Metrics.
     pub stats: Stats,
-    /// Drain of the entry.
+    /// Drain signal of the entry.
     pub drain: Drain,
     /// When the drain began.
-    pub stopping: std::sync::OnceLock<Instant>,
-    /// Time from the drain's beginning after which the process is killed.
+    pub drain_started: std::sync::OnceLock<Instant>,
+    /// Time from the start of the drain after which the process is killed.
     pub grace: Duration,
-    /// Requests that crash endpoints.
+    /// Requests suspected of crashing endpoints.
     pub suspects: Suspects,
-    /// Requests that endpoints began, where they are to be counted.
+    /// Usage counts, if the deployment reports usage.
     pub usage: Option<Arc<Usage>>,
-    /// Second sends that operators allow.
+    /// Resends that operators allow.
     pub allowance: Allowance,
-    /// Most entries that control told of; they share the allowance.
+    /// Largest number of entries reported by control; they share the allowance.
     pub entries: AtomicU32,
-    /// Second sends left, by service; sorted.
+    /// Remaining resends by service, sorted by service.
     pub budgets: Mutex<Vec<(ServiceId, Budget)>>,
 }
 
-impl Shared {
-    /// Answers one request.
-    pub async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
-        let busy = self.drain.enter();
+impl SharedState {
+    /// Handles one request.
+    pub async fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
+        let drain_guard = self.drain.enter();
         let arrived = Instant::now();
         let (parts, body) = request.into_parts();
-        let ask = self.callers.read(&parts.headers);
-        let id = ask.as_ref().map_or("-", |ask| &ask.id).to_string();
-        let mut record = Record::new(self.stats.clone(), id);
-        let mut pending = Pending(Some(&mut record));
-        let read = self.prepare(parts, body, ask.ok(), arrived).await;
-        let record = pending.take();
-        let prepared = match read {
-            Ok(prepared) => prepared,
-            Err((cause, again)) => {
-                record.refused(cause, again);
-                return refuse(cause, again);
+        let meta = self.callers.read(&parts.headers);
+        let id = meta.as_ref().map_or("-", |meta| &meta.id).to_string();
+        let mut record = RequestRecord::new(self.stats.clone(), id);
+        let mut abandon_logger = AbandonLogger(Some(&mut record));
+        let read = self.prepare(parts, body, meta.ok(), arrived).await;
+        let record = abandon_logger.take();
+        let admitted = match read {
+            Ok(admitted) => admitted,
+            Err((cause, retry_after)) => {
+                record.refused(cause, retry_after);
+                return refuse(cause, retry_after);
             }
         };
-        let record =
-            std::mem::replace(record, Record::new(self.stats.clone(), String::new()));
-        let job = Job::new(Arc::clone(&self), prepared, record, busy);
-        let outlived = pin!(self.outlived());
+        let record = std::mem::replace(
+            record,
+            RequestRecord::new(self.stats.clone(), String::new()),
+        );
+        let dispatch = Dispatch::new(Arc::clone(&self), admitted, record, drain_guard);
+        let deadline = pin!(self.wait_response_deadline());
         tokio::select! {
             biased;
-            response = job.serve() => response,
-            () = outlived => refuse(Cause::Lost, None),
+            response = dispatch.run() => response,
+            () = deadline => refuse(RefusalCause::Lost, None),
         }
     }
 
-    /// Puts a route set in force, unless a newer one is. Whether it is now.
-    pub fn take_routes(&self, table: RouteTable) -> bool {
+    /// Activates a route set unless a newer one is active. Returns whether it was
+    /// activated.
+    pub fn activate_routes(&self, table: RouteTable) -> bool {
         let table = Arc::new(table);
         let newer = |old: &Option<Arc<RouteTable>>| {
             let older = old
@@ -140,22 +145,23 @@
         before.is_none_or(|before| before.version() < table.version())
     }
 
-    /// The route set in force. An entry that starts waits for a moment for its first one,
-    /// and for its first list of endpoints.
-    async fn routes_soon(&self, patience: Option<Duration>) -> Option<Arc<RouteTable>> {
-        let share = patience.unwrap_or(Duration::MAX) / ROUTES_SHARE;
-        let end = Instant::now() + share.min(ROUTES_WAIT);
+    /// Returns the active route set. An entry that starts waits briefly for the first
+    /// one, and for the first endpoint list.
+    async fn await_routes(&self, max_wait: Option<Duration>) -> Option<Arc<RouteTable>> {
+        let share = max_wait.unwrap_or(Duration::MAX) / STARTUP_WAIT_DIVISOR;
+        let end = Instant::now() + share.min(STARTUP_WAIT);
         let table = match self.routes.load_full() {
             Some(table) => Some(table),
-            None => timeout_at(end, self.newer_routes(None)).await.ok(),
+            None => timeout_at(end, self.await_newer_routes(None)).await.ok(),
         };
-        // What has no endpoints after that is refused where one is chosen.
-        let _ = timeout_at(end, self.lists.first_list(&self.directory)).await;
+        // If there are still no endpoints, the request is refused at placement.
+        let _ =
+            timeout_at(end, self.list_tracker.await_first_list(&self.directory)).await;
         table
     }
 
     /// Waits for a route set newer than `held`.
-    pub async fn newer_routes(&self, held: Option<Version>) -> Arc<RouteTable> {
+    pub async fn await_newer_routes(&self, held: Option<Version>) -> Arc<RouteTable> {
         loop {
             let mut changed = pin!(self.routes_changed.notified());
             changed.as_mut().enable();
@@ -168,37 +174,37 @@
         }
     }
 
-    /// Reads the body, and finds out what the request is.
+    /// Reads the body, and authenticates and routes the request.
     async fn prepare(
         &self,
         parts: Parts,
         body: Incoming,
-        ask: Option<Ask>,
+        meta: Option<RequestMeta>,
         arrived: Instant,
-    ) -> Result<Prepared, (Cause, Option<Duration>)> {
+    ) -> Result<AdmittedRequest, (RefusalCause, Option<Duration>)> {
         let limits = self.routes.load().as_ref().map(|table| *table.limits());
         let limits = limits.unwrap_or_default();
-        let end = arrived + self.body_time(&parts, ask.as_ref());
+        let end = arrived + self.body_timeout(&parts, meta.as_ref());
         let body = read_body(body, limits.body, end).await?;
-        let ask = ask.ok_or((Cause::Malformed, None))?;
-        let table = self.routes_soon(ask.patience).await;
-        let table = table.ok_or_else(|| (Cause::NoRoutes, Some(soon())))?;
-        let host = host(&parts).ok_or((Cause::Malformed, None))?;
-        let admitted = table.admit(&host, parts.uri.path(), ask.key.as_deref());
+        let meta = meta.ok_or((RefusalCause::Malformed, None))?;
+        let table = self.await_routes(meta.max_wait).await;
+        let table = table.ok_or_else(|| (RefusalCause::NoRoutes, Some(retry_delay())))?;
+        let host = host(&parts).ok_or((RefusalCause::Malformed, None))?;
+        let admitted = table.admit(&host, parts.uri.path(), meta.key.as_deref());
         let admitted = admitted.map_err(|denied| match denied {
-            Denied::Route => (Cause::UnknownRoute, None),
-            Denied::Key => (Cause::UnknownKey, None),
+            Denied::Route => (RefusalCause::UnknownRoute, None),
+            Denied::Key => (RefusalCause::UnknownKey, None),
         })?;
-        if self.too_late(&admitted.route, &ask.prompt) {
-            return Err((Cause::Stopping, Some(Duration::ZERO)));
+        if self.outlasts_drain(&admitted.route, &meta.prompt) {
+            return Err((RefusalCause::Stopping, Some(Duration::ZERO)));
         }
         let target = parts.uri.path_and_query().cloned();
-        let target = target.ok_or((Cause::Malformed, None))?;
+        let target = target.ok_or((RefusalCause::Malformed, None))?;
         let wait = admitted
             .route
             .timeout
-            .min(ask.patience.unwrap_or(Duration::MAX));
-        let fingerprint = self.fingerprints.of(&RequestContent {
+            .min(meta.max_wait.unwrap_or(Duration::MAX));
+        let fingerprint = self.fingerprinter.of(&RequestContent {
             workspace: admitted.workspace.as_ref(),
             method: parts.method.as_str(),
             host: &host,
@@ -206,66 +212,65 @@
             body: &body,
         });
         let mut headers = parts.headers;
-        exchange::strip(&mut headers);
-        Ok(Prepared {
-            until: arrived + wait,
+        exchange::strip_hop_by_hop(&mut headers);
+        Ok(AdmittedRequest {
+            deadline: arrived + wait,
             table,
-            outbound: Outbound {
+            outbound: OutboundRequest {
                 method: parts.method,
                 target,
                 headers,
                 body,
             },
-            ask,
+            meta,
             admitted,
             fingerprint,
         })
     }
 
-    /// Longest wait for a request's body: its route's time, or its caller's.
-    fn body_time(&self, parts: &Parts, ask: Option<&Ask>) -> Duration {
-        let patience = ask.and_then(|ask| ask.patience).unwrap_or(BODY_TIMEOUT);
+    /// Timeout of reading the body: that of the route or that of the caller.
+    fn body_timeout(&self, parts: &Parts, meta: Option<&RequestMeta>) -> Duration {
+        let max_wait = meta.and_then(|meta| meta.max_wait).unwrap_or(BODY_TIMEOUT);
         let table = self.routes.load();
         let host = host(parts).unwrap_or_default();
         let route = table
             .as_ref()
             .and_then(|table| table.find(&host, parts.uri.path()));
-        route.map_or(patience, |route| route.timeout.min(patience))
+        route.map_or(max_wait, |route| route.timeout.min(max_wait))
     }
 
-    /// When requests that still wait for an answer get one of the entry's own, if it
-    /// is about to stop.
-    pub(crate) fn last_answers(&self) -> Option<Instant> {
-        let begun = self.stopping.get()?;
-        Some(*begun + self.grace.saturating_sub(LAST_ANSWERS))
+    /// When pending requests get a response of the entry itself; `None` unless it drains.
+    pub(crate) fn response_deadline(&self) -> Option<Instant> {
+        let drain_start = self.drain_started.get()?;
+        Some(*drain_start + self.grace.saturating_sub(RESPONSE_RESERVE))
     }
 
-    /// Ends when the entry is about to stop and requests can't wait any longer.
-    async fn outlived(&self) {
+    /// Completes when the entry drains and pending requests cannot wait any longer.
+    async fn wait_response_deadline(&self) {
         self.drain.wait().await;
-        let begun = Instant::now();
-        let last = begun + self.grace.saturating_sub(LAST_ANSWERS);
-        sleep_until(self.last_answers().unwrap_or(last)).await;
+        let drain_start = Instant::now();
+        let last = drain_start + self.grace.saturating_sub(RESPONSE_RESERVE);
+        sleep_until(self.response_deadline().unwrap_or(last)).await;
     }
 
-    /// Whether the entry stops before the request would be done.
-    fn too_late(&self, route: &Route, prompt: &Prompt) -> bool {
-        let Some(begun) = self.stopping.get() else {
+    /// Whether the entry is expected to stop before the request completes.
+    fn outlasts_drain(&self, route: &Route, prompt: &Prompt) -> bool {
+        let Some(drain_start) = self.drain_started.get() else {
             return false;
         };
-        let writing = TOKEN_TIME * prompt.output;
-        let lasting = (route.objective + writing).min(route.timeout);
-        let since = begun.elapsed();
-        since >= DRAIN_REFUSES || since + lasting >= self.grace
+        let generation = MAX_TOKEN_TIME * prompt.max_output;
+        let duration = (route.objective + generation).min(route.timeout);
+        let since = drain_start.elapsed();
+        since >= DRAIN_REFUSE_AFTER || since + duration >= self.grace
     }
 
-    /// Counts a request of a service, which earns part of a second send.
-    pub(crate) fn earn(&self, service: &str) {
+    /// Credits the service's resend budget for one request.
+    pub(crate) fn credit_resend(&self, service: &str) {
         self.with_budget(service, Budget::earn);
     }
 
-    /// Takes a second send out of the service's budget.
-    pub(crate) fn spend(&self, service: &str) -> bool {
+    /// Debits the service's resend budget for one resend. Returns whether it was covered.
+    pub(crate) fn debit_resend(&self, service: &str) -> bool {
         self.with_budget(service, Budget::spend)
     }
 
@@ -284,16 +289,16 @@
     }
 }
 
-/// Logs a request whose caller goes while it is being read.
-struct Pending<'a>(Option<&'a mut Record>);
+/// Logs a request whose caller disconnects while it is being read.
+struct AbandonLogger<'a>(Option<&'a mut RequestRecord>);
 
-impl<'a> Pending<'a> {
-    fn take(&mut self) -> &'a mut Record {
+impl<'a> AbandonLogger<'a> {
+    fn take(&mut self) -> &'a mut RequestRecord {
         self.0.take().expect("taken once")
     }
 }
 
-impl Drop for Pending<'_> {
+impl Drop for AbandonLogger<'_> {
     fn drop(&mut self) {
         if let Some(record) = &self.0 {
             record.abandoned();
@@ -305,16 +310,18 @@
     body: Incoming,
     limit: usize,
     end: Instant,
-) -> Result<Bytes, (Cause, Option<Duration>)> {
+) -> Result<Bytes, (RefusalCause, Option<Duration>)> {
     match timeout_at(end, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err((Cause::TooLarge, None)),
-        Ok(Err(_)) => Err((Cause::Malformed, None)),
-        Err(_) => Err((Cause::SlowBody, None)),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => {
+            Err((RefusalCause::TooLarge, None))
+        }
+        Ok(Err(_)) => Err((RefusalCause::Malformed, None)),
+        Err(_) => Err((RefusalCause::SlowBody, None)),
     }
 }
 
-/// Host that a request names, without its port.
+/// Host named by the request, in lower case and without the port.
 fn host(parts: &Parts) -> Option<String> {
     let named = parts.headers.get(header::HOST);
     let named = named.and_then(|value| value.to_str().ok());
@@ -323,7 +330,7 @@
     Some(host.to_ascii_lowercase())
 }
 
-/// When to come back where a moment changes things.
-pub(crate) fn soon() -> Duration {
-    Duration::from_millis(rand::rng().random_range(SOON_MS))
+/// Random retry delay after a refusal with a transient cause.
+pub(crate) fn retry_delay() -> Duration {
+    Duration::from_millis(rand::rng().random_range(RETRY_DELAY_MS))
 }
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry that talks to endpoints directly.
+//! Settings of a direct entry.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::text::Text;
@@ -9,23 +9,23 @@
 use std::net::SocketAddr;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Longest interval at which the list of endpoints is read unless settings name one.
-const DEFAULT_LIST: Duration = Duration::from_millis(1_000);
-/// Second sends for each request.
-const DEFAULT_SHARE: f64 = 0.2;
-/// Second sends beside these, for all entries together.
-const DEFAULT_SPARE: f64 = 40.0;
-/// How long new connections are accepted after a drain began.
+/// Upper bound on the default interval between reads of the endpoint list.
+const DEFAULT_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Resends allowed per request.
+const DEFAULT_RESEND_SHARE: f64 = 0.2;
+/// Resends allowed in addition, for all entries together.
+const DEFAULT_RESEND_SPARE: f64 = 40.0;
+/// How long new connections are accepted after the drain begins.
 const DEFAULT_LINGER: Duration = Duration::from_secs(4);
-/// Longest drain.
+/// Upper bound on the duration of a drain.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
 
 /// Settings of a direct entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Name of the instance.
+    /// Name of the instance, unique in the cluster.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
     /// Address for callers.
     pub listen: SocketAddr,
@@ -35,36 +35,35 @@
     pub control: Vec<SocketAddr>,
     /// Key shared by the router's processes.
     pub secret: String,
-    /// Address of the list of endpoints.
-    pub list: SocketAddr,
-    /// How long after the list shows that an endpoint leaves it may still be sent new
-    /// requests. Default 4 s.
+    /// Address of the endpoint list's source.
+    pub list_source: SocketAddr,
+    /// How long an endpoint may still be sent new requests after the list shows it as
+    /// leaving. Default 4 s.
     pub leaving_within: Duration,
-    /// Interval at which the list is read. Default 1 s, or less where that is too long
-    /// for `leaving_within`.
-    pub list_every: Duration,
-    /// Second sends that operators allow a service over all entries. Default a
-    /// fifth of the requests and 40.
+    /// Interval between reads of the endpoint list. Default 1 s, or less where that is
+    /// too long for `leaving_within`.
+    pub list_interval: Duration,
+    /// Resends allowed per service over all entries. Default a fifth of the requests plus
+    /// 40.
     pub allowance: Allowance,
-    /// How long new connections are accepted after a drain began. Default 4 s:
-    /// a balancer takes two missed checks, one a second, to stop sending them.
+    /// How long new connections are accepted after the drain begins. Default 4 s: a load
+    /// balancer needs two failed checks, one a second, to stop sending them.
     pub linger: Duration,
-    /// Time from the drain's beginning after which the process is killed.
-    /// Default 8 s.
+    /// Time from the start of the drain after which the process is killed. Default 8 s.
     pub grace: Duration,
-    /// Windows in which usage is counted, where control reports it.
+    /// Windows of usage counting, if control reports usage.
     pub usage: Option<Windows>,
 }
 
-/// Name of the duty for which usage is counted.
+/// Name of the duty that requires usage counting.
 const USAGE_DUTY: &str = "usage";
 
 impl Settings {
-    /// Reads settings from JSON with comments.
+    /// Parses settings from JSON with comments.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// All faults found in the text.
     pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, read)
     }
@@ -85,22 +84,27 @@
         status: s.address("status"),
         control: control(s),
         secret: s.text("cluster_key"),
-        list: s.address("list"),
-        list_every: s.duration(
+        list_source: s.address("list"),
+        list_interval: s.duration(
             "list_every",
             MIN_READ_INTERVAL..=60 * SECOND,
-            Some(DEFAULT_LIST.min(longest)),
+            Some(DEFAULT_LIST_INTERVAL.min(longest)),
         ),
         allowance: Allowance {
-            share: s.number("second_share", 0.0..=1.0, Some(DEFAULT_SHARE)),
-            spare: s.number("second_spare", 0.0..=1_000_000.0, Some(DEFAULT_SPARE)),
+            share: s.number("second_share", 0.0..=1.0, Some(DEFAULT_RESEND_SHARE)),
+            spare: s.number(
+                "second_spare",
+                0.0..=1_000_000.0,
+                Some(DEFAULT_RESEND_SPARE),
+            ),
         },
         linger: s.duration("linger", Duration::ZERO..=60 * SECOND, Some(DEFAULT_LINGER)),
         grace: s.duration("grace", SECOND..=3_600 * SECOND, Some(DEFAULT_GRACE)),
         usage: usage(s),
     };
-    if settings.list_every > longest {
-        let problem = "is too long for leaving_within: news would travel longer";
+    if settings.list_interval > longest {
+        let problem =
+            "is too long for leaving_within: list updates would arrive too late";
         let longest = longest.as_millis();
         s.report(
             "list_every",
@@ -115,19 +119,23 @@
     settings
 }
 
-/// Windows of usage, where reporting it is one of the deployment's duties.
+/// Windows of usage counting, if usage reporting is one of the deployment's duties.
 fn usage(s: &mut Section<'_, '_>) -> Option<Windows> {
     let duties = s.texts("duties");
     let range = SECOND / 10..=86_400 * SECOND;
     let window = s.duration_opt("usage_window", range);
-    let owed = duties.iter().any(|duty| duty == USAGE_DUTY);
-    if owed && window.is_none() {
-        s.report("usage_window", "is missing", "say how long a window is");
+    let has_duty = duties.iter().any(|duty| duty == USAGE_DUTY);
+    if has_duty && window.is_none() {
+        s.report(
+            "usage_window",
+            "is missing",
+            "set the length of a usage window",
+        );
     }
-    window.filter(|_| owed).map(Windows::new)
+    window.filter(|_| has_duty).map(Windows::new)
 }
 
-/// Addresses of control instances; `control_port` replaces their ports.
+/// Addresses of control instances; `control_port` overrides their ports.
 fn control(s: &mut Section<'_, '_>) -> Vec<SocketAddr> {
     let mut addresses = s.addresses("control");
     let port = s.count("control_port", 0..=65_535, Some(0)) as u16;
