--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -1,11 +1,11 @@
-//! Callers' connections.
+//! Connections of callers.
 //!
-//! A connection is idle, receives a head, or is at work. The route set bounds
-//! the first two; the third ends with the request's own time. An idle
-//! connection is closed between requests only, so a request that is being read
-//! is never cut off by its entry.
+//! A connection is idle, receives a head, or executes a request. The limits of the route
+//! set bound the first two states, the request's own deadline the third. An idle
+//! connection is closed only between requests, so the entry never cuts off a request that
+//! it is reading.
 
-use crate::request::Shared;
+use crate::request::SharedState;
 use dogwoodhill_core::prelude::*;
 use http::{HeaderValue, Request, header};
 use hyper::body::Incoming;
@@ -21,87 +21,87 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Smallest head buffer that the HTTP library takes.
-const LEAST_HEAD: usize = 8_192;
-/// Pause after a failed accept, so that running out of descriptors does not
-/// turn into a busy loop.
+/// Smallest head buffer that `hyper` accepts, in bytes.
+const MIN_HEAD_BUFFER: usize = 8_192;
+/// Delay after a failed accept, so that running out of file descriptors does not cause a
+/// busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time between two looks at a connection's phase.
-const LOOK: Duration = Duration::from_secs(2);
+/// Longest interval between two checks of a connection's state.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What a connection is doing.
+/// State of a connection; the times are those at which it was entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum State {
     Idle(Instant),
-    Head(Instant),
-    Working,
+    ReceivingHead(Instant),
+    Executing,
 }
 
-/// A connection's phase. Clones share it.
+/// State of a connection, shared by its clones.
 #[derive(Clone, Debug)]
-pub struct Phase {
-    doing: Arc<Mutex<Doing>>,
+pub struct ConnectionState {
+    current: Arc<Mutex<State>>,
 }
 
-impl Phase {
+impl ConnectionState {
     fn new() -> Self {
         Self {
-            doing: Arc::new(Mutex::new(Doing::Idle(Instant::now()))),
+            current: Arc::new(Mutex::new(State::Idle(Instant::now()))),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Doing> {
-        self.doing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn bytes_came(&self) {
-        let mut doing = self.lock();
-        if matches!(*doing, Doing::Idle(_)) {
-            *doing = Doing::Head(Instant::now());
+    fn bytes_received(&self) {
+        let mut current = self.lock();
+        if matches!(*current, State::Idle(_)) {
+            *current = State::ReceivingHead(Instant::now());
         }
     }
 
-    /// A request is at work until the guard is dropped.
-    fn work(&self) -> Working {
-        *self.lock() = Doing::Working;
-        Working {
-            phase: self.clone(),
+    /// Marks the connection as executing a request until the guard is dropped.
+    fn begin_request(&self) -> RequestGuard {
+        *self.lock() = State::Executing;
+        RequestGuard {
+            state: self.clone(),
         }
     }
 
-    fn working(&self) -> bool {
-        *self.lock() == Doing::Working
+    fn is_executing(&self) -> bool {
+        *self.lock() == State::Executing
     }
 
-    /// When the connection is to be closed, as things stand.
+    /// Time at which the connection times out in its current state.
     fn deadline(&self, idle: Duration, head: Duration) -> Option<Instant> {
         match *self.lock() {
-            Doing::Idle(since) => Some(since + idle),
-            Doing::Head(since) => Some(since + head),
-            Doing::Working => None,
+            State::Idle(since) => Some(since + idle),
+            State::ReceivingHead(since) => Some(since + head),
+            State::Executing => None,
         }
     }
 }
 
-/// A request at work on a connection.
+/// Guard of a request being executed on a connection.
 #[derive(Debug)]
-pub struct Working {
-    phase: Phase,
+pub struct RequestGuard {
+    state: ConnectionState,
 }
 
-impl Drop for Working {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        *self.phase.lock() = Doing::Idle(Instant::now());
+        *self.state.lock() = State::Idle(Instant::now());
     }
 }
 
-/// A socket that notes when bytes come.
-struct Watched {
+/// A socket that records when bytes arrive.
+struct ObservedStream {
     stream: TcpStream,
-    phase: Phase,
+    state: ConnectionState,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -110,13 +110,13 @@
         let before = buffer.filled().len();
         let read = ready!(Pin::new(&mut self.stream).poll_read(cx, buffer));
         if buffer.filled().len() > before {
-            self.phase.bytes_came();
+            self.state.bytes_received();
         }
         Poll::Ready(read)
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -152,10 +152,10 @@
     }
 }
 
-/// Accepts callers until `stop` ends.
+/// Accepts connections of callers until `stop` completes.
 pub async fn accept(
     socket: TcpListener,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     stop: impl Future<Output = ()>,
 ) {
     let mut stop = pin!(stop);
@@ -176,23 +176,23 @@
     }
 }
 
-async fn serve(stream: TcpStream, shared: Arc<Shared>) {
-    // Delayed small packets only cost time; the connection works without it.
+async fn serve(stream: TcpStream, shared: Arc<SharedState>) {
+    // Optional: without it, small packets are only delayed.
     let _ = stream.set_nodelay(true);
-    let phase = Phase::new();
+    let state = ConnectionState::new();
     let limits = shared.routes.load().as_ref().map(|table| *table.limits());
-    let head = limits.unwrap_or_default().head.max(LEAST_HEAD);
-    let io = TokioIo::new(Watched {
+    let head = limits.unwrap_or_default().head.max(MIN_HEAD_BUFFER);
+    let io = TokioIo::new(ObservedStream {
         stream,
-        phase: phase.clone(),
+        state: state.clone(),
     });
     let service = service_fn(|request: Request<Incoming>| {
-        let working = phase.work();
+        let guard = state.begin_request();
         let shared = Arc::clone(&shared);
         async move {
             let stopping = shared.drain.clone();
-            let mut response = shared.answer(request).await;
-            response.body_mut().hold(working);
+            let mut response = shared.handle(request).await;
+            response.body_mut().attach(guard);
             if stopping.begun() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
@@ -207,33 +207,33 @@
         .serve_connection(io, service);
     let mut connection = pin!(connection);
     tokio::select! {
-        // A connection that its caller breaks off is an ordinary event.
+        // A disconnecting caller is not an error.
         _ = connection.as_mut() => return,
-        () = expired(&phase, &shared) => {}
+        () = timed_out(&state, &shared) => {}
     }
     connection.as_mut().graceful_shutdown();
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = sleep(LOOK) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
-        // A request may have come just before the close.
-        if !phase.working() {
+        // A request may have arrived just before the shutdown.
+        if !state.is_executing() {
             return;
         }
     }
 }
 
-/// Ends when the connection was idle, or at one head, for too long.
-async fn expired(phase: &Phase, shared: &Shared) {
+/// Completes when the connection has been idle, or receiving one head, for too long.
+async fn timed_out(state: &ConnectionState, shared: &SharedState) {
     loop {
         let limits = shared.routes.load().as_ref().map(|table| *table.limits());
         let limits = limits.unwrap_or_default();
         let now = Instant::now();
-        match phase.deadline(limits.idle, limits.head_timeout) {
+        match state.deadline(limits.idle, limits.head_timeout) {
             Some(deadline) if deadline <= now => return,
-            Some(deadline) => sleep_until(deadline.min(now + LOOK)).await,
-            None => sleep(LOOK).await,
+            Some(deadline) => sleep_until(deadline.min(now + CHECK_INTERVAL)).await,
+            None => sleep(CHECK_INTERVAL).await,
         }
     }
 }
--- a/crates/direct/src/socket.rs
+++ b/crates/direct/src/socket.rs
@@ -1,10 +1,10 @@
-//! The socket of a connection to an endpoint.
+//! Socket of a connection to an endpoint.
 //!
-//! A socket that is closed goes on delivering what was written to it, for as long as the
-//! system finds the way blocked: a request whose caller has long been told that it was
-//! given up still reaches its endpoint and runs there, maybe after the endpoint began to
-//! leave. So a connection that still owes an answer is reset, which drops what has not
-//! arrived yet.
+//! The kernel keeps delivering the written bytes of a closed socket for as long as the
+//! network path is blocked. A request that the entry has already given up could then
+//! still reach its endpoint and run there, maybe after the endpoint has begun to leave. A
+//! connection with an outstanding response is therefore reset, which discards undelivered
+//! bytes.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -14,36 +14,38 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a request was written to a connection whose answer is not whole. Clones share
-/// it.
+/// Whether a request was written whose response is incomplete. Clones share the flag.
 #[derive(Clone, Debug, Default)]
-pub struct Owes(Arc<AtomicBool>);
+pub struct ResponsePending(Arc<AtomicBool>);
 
-impl Owes {
-    /// A request begins to be written, or its answer is whole.
-    pub fn set(&self, owes: bool) {
-        self.0.store(owes, Ordering::Release);
+impl ResponsePending {
+    /// Set when a request begins to be written, cleared when its response is complete.
+    pub fn set(&self, response_pending: bool) {
+        self.0.store(response_pending, Ordering::Release);
     }
 }
 
-/// A socket that is reset in place of closed while it owes an answer.
+/// A socket that is reset instead of closed while a response is outstanding.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    owes: Owes,
+    response_pending: ResponsePending,
 }
 
 impl Socket {
-    /// Takes a connection over.
-    pub fn new(stream: TcpStream, owes: Owes) -> Self {
-        Self { stream, owes }
+    /// Wraps an established connection.
+    pub fn new(stream: TcpStream, response_pending: ResponsePending) -> Self {
+        Self {
+            stream,
+            response_pending,
+        }
     }
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        if self.owes.0.load(Ordering::Acquire) {
-            // Fails only where the connection has ended, and nothing is under way then.
+        if self.response_pending.0.load(Ordering::Acquire) {
+            // Fails only if the connection has ended, and then nothing is in flight.
             let _ = self.stream.set_zero_linger();
         }
     }
@@ -71,9 +73,9 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        parts: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.stream).poll_write_vectored(cx, parts)
+        Pin::new(&mut self.stream).poll_write_vectored(cx, buffers)
     }
 
     fn is_write_vectored(&self) -> bool {
