--- a/crates/load/src/slopes/placement.rs
+++ b/crates/load/src/slopes/placement.rs
@@ -1,5 +1,5 @@
-//! Cost of choosing an endpoint in an entry without agents, against the number
-//! of endpoints.
+//! Time of one placement in an entry without agents as a function of the number of
+//! endpoints.
 
 use super::Table;
 use dogwoodhill_core::prelude::*;
@@ -10,16 +10,16 @@
 use hdrhistogram::Histogram;
 use std::time::Instant;
 
-/// Numbers of endpoints.
-const SIZES: [usize; 4] = [16, 64, 160, 1_200];
+/// Endpoints of the service.
+const ENDPOINT_COUNTS: [usize; 4] = [16, 64, 160, 1_200];
 /// Decisions measured at each size.
 const DECISIONS: u64 = 50_000;
-/// Shared beginnings.
-const SHARED: u64 = 500;
-/// Requests under way while decisions are measured, for each endpoint.
-const UNDER_WAY: usize = 12;
+/// Distinct shared prompt prefixes.
+const PREFIXES: u64 = 500;
+/// Requests in flight per endpoint while decisions are measured.
+const IN_FLIGHT_PER_ENDPOINT: usize = 12;
 
-/// Measures the choice for a long prompt and for a stream with short pauses.
+/// Measures placements of long prompts, and of latency-sensitive streams.
 pub fn measure() -> Table {
     let mut table = Table::new(
         "Placement without agents",
@@ -31,9 +31,9 @@
             "stream p99 us",
         ],
     );
-    for size in SIZES {
-        let prompts = one(size, LatencyClass::Tolerant);
-        let streams = one(size, LatencyClass::Sensitive);
+    for size in ENDPOINT_COUNTS {
+        let prompts = measure_size(size, LatencyClass::Tolerant);
+        let streams = measure_size(size, LatencyClass::Sensitive);
         let micros = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
         table.add_row(&[
             size as f64,
@@ -46,11 +46,12 @@
     table
 }
 
-fn one(size: usize, class: LatencyClass) -> Histogram<u64> {
+/// Returns the times of placements, in nanoseconds.
+fn measure_size(size: usize, class: LatencyClass) -> Histogram<u64> {
     let directory = Directory::new("domain-0".to_string());
-    directory.update((0..size).map(listed).collect());
+    directory.update((0..size).map(endpoint_record).collect());
     let position = QueuePosition::default();
-    let mut under_way = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     let mut histogram = Histogram::new(3).expect("a valid precision");
     for number in 0..DECISIONS {
         let prompt = prompt(number);
@@ -64,18 +65,18 @@
             isolate: None,
         };
         directory.record_demand(&query);
-        let begun = Instant::now();
-        let placed = directory.place(&query).expect("endpoints are listed");
-        let _ = histogram.record(begun.elapsed().as_nanos() as u64);
-        under_way.push_back(placed.endpoint.begin_request(&prompt, &position));
-        if under_way.len() > size * UNDER_WAY {
-            under_way.pop_front();
+        let started = Instant::now();
+        let placement = directory.place(&query).expect("endpoints are listed");
+        let _ = histogram.record(started.elapsed().as_nanos() as u64);
+        in_flight.push_back(placement.endpoint.begin_request(&prompt, &position));
+        if in_flight.len() > size * IN_FLIGHT_PER_ENDPOINT {
+            in_flight.pop_front();
         }
     }
     histogram
 }
 
-fn listed(number: usize) -> EndpointRecord {
+fn endpoint_record(number: usize) -> EndpointRecord {
     EndpointRecord {
         run: Incarnation::new(format!("endpoint-{number}"), None),
         service: "voice".to_string(),
@@ -88,7 +89,7 @@
 
 fn prompt(number: u64) -> Prompt {
     Prompt {
-        prefix: Some(number % SHARED),
+        prefix: Some(number % PREFIXES),
         prefix_tokens: 6_300,
         tokens: 9_190,
         max_output: 200,
--- a/crates/load/src/slopes/routes.rs
+++ b/crates/load/src/slopes/routes.rs
@@ -1,5 +1,5 @@
-//! Entries that follow one control instance's route sets: time until a set is in
-//! force, processor time, bytes and memory.
+//! Cost of entries that follow the route sets of one control instance: time until a set is
+//! active in all of them, processor time, bytes and memory.
 
 use super::Table;
 use crate::latency::{cpu_time, resident_bytes};
@@ -21,27 +21,26 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Numbers of entries: of today's largest deployment, of a middle one, and of the size
-/// that the design is made for.
-const SIZES: [u32; 3] = [33, 300, 450];
-/// Routes of a set: what made a set late once.
+/// Entries: as in the largest present deployment, in a medium one, and the design limit.
+const ENTRY_COUNTS: [u32; 3] = [33, 300, 450];
+/// Routes per set; a set of this size has once become active too late.
 const ROUTES: usize = 3_000;
-/// Sets put in force at each size.
+/// Route sets submitted and timed at each size.
 const SETS: u64 = 10;
-/// Length of the idle measurement.
-const IDLE: Duration = Duration::from_secs(5);
-/// Longest wait for all entries.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Length of the measurement without changes.
+const IDLE_PERIOD: Duration = Duration::from_secs(5);
+/// Time limit for one entry's delivery of a set.
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An entry that counts what it gets.
+/// Route sink of a simulated entry: counts the bytes of the sets that it receives.
 #[derive(Debug)]
-struct Counting {
+struct CountingSink {
     version: AtomicU64,
     bytes: Arc<AtomicUsize>,
-    told: mpsc::UnboundedSender<()>,
+    notify: mpsc::UnboundedSender<()>,
 }
 
-impl RouteSink for Counting {
+impl RouteSink for CountingSink {
     fn version(&self) -> Option<Version> {
         let version = self.version.load(Ordering::Relaxed);
         (version > 0).then_some(version)
@@ -52,21 +51,22 @@
     fn take(&self, text: &Text, _: Duration) {
         self.version.store(text.version, Ordering::Relaxed);
         self.bytes.fetch_add(text.bytes.len(), Ordering::Relaxed);
-        // Nobody waits any more once the measurement is over.
-        let _ = self.told.send(());
+        // The receiver is dropped at the end of the measurement.
+        let _ = self.notify.send(());
     }
 
     fn piece_failed(&self, _: &str) {}
 }
 
-/// Measures the route sets of many entries in this process, packed as they are in use,
-/// or not, for what packing is worth.
+/// Measures the distribution of route sets to many entries in this process, `compressed`
+/// as in production, or uncompressed to quantify what compression saves.
 ///
 /// # Errors
 ///
-/// Text that says why the control instance could not run.
-pub async fn measure(packed: bool) -> Result<Table, String> {
-    let title = match packed {
+/// A message for the operator if the control instance can't run, refuses a set, or a set
+/// does not reach an entry within 30 s.
+pub async fn measure(compressed: bool) -> Result<Table, String> {
+    let title = match compressed {
         true => {
             "Route sets, packed (entries; sets of 3,000 routes from one control instance)"
         }
@@ -87,101 +87,105 @@
             "KiB memory per entry",
         ],
     );
-    for size in SIZES {
-        table.add_row(&one(size, packed).await?);
+    for size in ENTRY_COUNTS {
+        table.add_row(&measure_size(size, compressed).await?);
     }
     Ok(table)
 }
 
-async fn one(size: u32, packed: bool) -> Result<Vec<f64>, String> {
-    let alone = ControlInstance::start().await?;
+async fn measure_size(size: u32, compressed: bool) -> Result<Vec<f64>, String> {
+    let control = ControlInstance::start().await?;
     let memory = resident_bytes();
     let bytes = Arc::new(AtomicUsize::new(0));
-    let (told, mut heard) = mpsc::unbounded_channel();
+    let (notify, mut notified) = mpsc::unbounded_channel();
     let mut tasks = JoinSet::new();
     for number in 0..size {
         let name = format!("entry-{number}");
         let follower = RouteFollower {
-            sink: Arc::new(Counting {
+            sink: Arc::new(CountingSink {
                 version: AtomicU64::new(0),
                 bytes: Arc::clone(&bytes),
-                told: told.clone(),
+                notify: notify.clone(),
             }),
-            client: PeerClient::new(alone.secret.clone()),
+            client: PeerClient::new(control.secret.clone()),
             fetch_state: FetchState::new(&name),
             name,
             control: Mutex::new(ControlAddresses {
-                seeds: vec![alone.internal],
+                seeds: vec![control.internal],
                 announced: Vec::new(),
             }),
         };
         tasks.spawn(Arc::new(follower).run());
     }
-    put(&alone, 1, packed).await?;
-    all(&mut heard, size).await?;
+    put_routes(&control, 1, compressed).await?;
+    all(&mut notified, size).await?;
     let before = cpu_time();
-    sleep(IDLE).await;
+    sleep(IDLE_PERIOD).await;
     let idle = cpu_time().saturating_sub(before);
     let mut times = Vec::new();
-    let carried = bytes.load(Ordering::Relaxed);
+    let transferred = bytes.load(Ordering::Relaxed);
     let before = cpu_time();
     for version in 2..2 + SETS {
         let start = Instant::now();
-        put(&alone, version, packed).await?;
-        all(&mut heard, size).await?;
+        put_routes(&control, version, compressed).await?;
+        all(&mut notified, size).await?;
         times.push(start.elapsed().as_secs_f64() * 1000.0);
     }
     let used = cpu_time().saturating_sub(before);
-    let carried = bytes.load(Ordering::Relaxed) - carried;
+    let transferred = bytes.load(Ordering::Relaxed) - transferred;
     let memory = resident_bytes().saturating_sub(memory);
     tasks.shutdown().await;
-    alone.stop().await;
+    control.stop().await;
     times.sort_by(f64::total_cmp);
-    let each = f64::from(size) * SETS as f64;
+    let deliveries = f64::from(size) * SETS as f64;
     Ok(vec![
         f64::from(size),
         times[times.len() / 2],
         times[times.len() - 1],
-        used.as_micros() as f64 / each,
-        carried as f64 / 1024.0 / each,
-        text(1).len() as f64 / 1024.0,
-        idle.as_micros() as f64 / IDLE.as_secs_f64() / f64::from(size),
+        used.as_micros() as f64 / deliveries,
+        transferred as f64 / 1024.0 / deliveries,
+        routes_text(1).len() as f64 / 1024.0,
+        idle.as_micros() as f64 / IDLE_PERIOD.as_secs_f64() / f64::from(size),
         memory as f64 / 1024.0 / f64::from(size),
     ])
 }
 
-async fn put(
-    alone: &ControlInstance,
+async fn put_routes(
+    control: &ControlInstance,
     version: Version,
-    packed: bool,
+    compressed: bool,
 ) -> Result<(), String> {
-    let text = text(version);
-    let held = match packed {
+    let text = routes_text(version);
+    let stored = match compressed {
         true => StoredRoutes::new(version, &text),
         false => StoredRoutes {
             version,
             source: text,
         },
     };
-    let action = Action::Routes(held);
-    let put = alone.service.submit(&action).await;
-    put.map(|_| ())
-        .map_err(|unable| format!("a set was not accepted: {unable:?}"))
+    let action = Action::Routes(stored);
+    let reply = control.service.submit(&action).await;
+    reply
+        .map(|_| ())
+        .map_err(|unavailable| format!("a set was not accepted: {unavailable:?}"))
 }
 
-/// Waits until so many entries have the set.
-async fn all(heard: &mut mpsc::UnboundedReceiver<()>, size: u32) -> Result<(), String> {
+/// Waits until `size` entries have received the set.
+async fn all(
+    notified: &mut mpsc::UnboundedReceiver<()>,
+    size: u32,
+) -> Result<(), String> {
     for _ in 0..size {
-        let told = timeout(PATIENCE, heard.recv()).await;
-        told.map_err(|_| "an entry missed a set for 30 s".to_string())?;
+        let received = timeout(ACTIVATION_TIMEOUT, notified.recv()).await;
+        received.map_err(|_| "an entry missed a set for 30 s".to_string())?;
     }
     Ok(())
 }
 
-/// A set as operators write it: routes that are alike but for their names and paths.
-fn text(version: Version) -> Vec<u8> {
+/// Text of a route set as operators write it: the routes differ only in names and paths.
+fn routes_text(version: Version) -> Vec<u8> {
     let mut random = SmallRng::seed_from_u64(1);
-    let mut word = || -> String {
+    let mut random_name = || -> String {
         let letter = |_| char::from(random.random_range(b'a'..=b'z'));
         (0..8).map(letter).collect()
     };
@@ -194,8 +198,8 @@
              \"timeout\":{{\"secs\":4,\"nanos\":0}},\
              \"objective\":{{\"secs\":1,\"nanos\":200000000}},\
              \"tier\":2,\"tries\":1,\"public\":false}}",
-            word(),
-            word(),
+            random_name(),
+            random_name(),
         );
         text.write_str(&route).expect("memory takes all");
     }
