--- a/crates/load/src/deployment.rs
+++ b/crates/load/src/deployment.rs
@@ -92,8 +92,8 @@
         self.entries.iter().map(|entry| entry.address).collect()
     }
 
-    /// Starts a new entry in place of entry `number`, then drains the old one. `number` is
-    /// taken modulo the number of entries.
+    /// Starts a new entry in place of entry `number`, then drains the old one. `number`
+    /// is taken modulo the number of entries.
     pub async fn restart_entry(&mut self, number: u32) {
         let replacement = self.start_entry(number).await;
         let index = number as usize % self.entries.len();
@@ -121,7 +121,7 @@
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let engine = Engine::bind(any_port, self.suite.engine)
             .await
-            .expect("a free port");
+            .expect("a loopback port is free");
         let name = format!("endpoint-{number}");
         let mut settings = dogwoodhill_agent::Settings::new(
             SERVICE.to_string(),
@@ -132,7 +132,7 @@
         settings.initial_limit = self.suite.initial_limit;
         settings.linger = Duration::ZERO;
         let agent = Agent::bind(settings, self.endpoint_drain.clone()).await;
-        let agent = agent.expect("a free port");
+        let agent = agent.expect("a loopback port is free");
         self.endpoints.push(DeployedEndpoint {
             name,
             domain: self.domain(number),
@@ -157,7 +157,7 @@
         let drain = Drain::default();
         let entry = Entry::bind(settings, drain.clone())
             .await
-            .expect("a free port");
+            .expect("a loopback port is free");
         let document = self.document(&domain).await;
         let service = Service {
             revision: 1,
@@ -179,7 +179,7 @@
                 true => endpoint.agent,
                 false => link::start(endpoint.agent, self.suite.domain_delay)
                     .await
-                    .expect("a free port"),
+                    .expect("a loopback port is free"),
             };
             endpoints.push(Endpoint {
                 name: endpoint.name.clone(),
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -64,7 +64,7 @@
         let due = start + request.at;
         sleep_until(due).await;
         let entry = {
-            let entries = entries.read().expect("no holder panics");
+            let entries = entries.read().expect("not poisoned");
             entries[number % entries.len()]
         };
         let client = client.clone();
@@ -99,7 +99,7 @@
             FaultKind::Crash => switches.set(Fault::CloseMiddle),
             FaultKind::Restart => {
                 deployment.restart_entry(fault.target).await;
-                *entries.write().expect("no holder panics") = deployment.entries();
+                *entries.write().expect("not poisoned") = deployment.entries();
             }
         }
         let until = start + fault.at + fault.duration;
@@ -165,8 +165,8 @@
     format!("{line}\n{rule}\n")
 }
 
-/// Row of the results table, in Markdown: means over the seeds, for the attainment of each
-/// class with minimum and maximum in percent.
+/// Row of the results table, in Markdown: means over the seeds, for the attainment of
+/// each class with minimum and maximum in percent.
 pub fn table_row(row: &ComparisonRow) -> String {
     let runs = &row.outcomes;
     let mut line = format!("| {} | {} |", row.scenario, row.policy);
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -161,7 +161,8 @@
         let target = targets[stream as usize % targets.len()];
         let client = client.clone();
         tasks.spawn(async move {
-            let mut first = Histogram::<u64>::new(3).expect("a valid precision");
+            let mut first =
+                Histogram::<u64>::new(3).expect("3 digits are a valid precision");
             while Instant::now() < end {
                 if let Some(time) = request_first_byte(&client, target, tokens).await {
                     let _ = first.record(time.as_micros() as u64);
@@ -170,7 +171,7 @@
             first
         });
     }
-    let mut first = Histogram::new(3).expect("a valid precision");
+    let mut first = Histogram::new(3).expect("3 digits are a valid precision");
     while let Some(done) = tasks.join_next().await {
         if let Ok(part) = done {
             let _ = first.add(part);
@@ -208,7 +209,8 @@
     Some(first)
 }
 
-/// User and system time of this process so far, from `/proc/self/stat`, in steps of 10 ms.
+/// User and system time of this process so far, from `/proc/self/stat`, in steps of 10
+/// ms.
 pub fn cpu_time() -> Duration {
     /// `USER_HZ`, the unit of times in `/proc`.
     const TICKS_PER_SECOND: u64 = 100;
@@ -225,7 +227,8 @@
     )
 }
 
-/// Resident memory of this process in bytes, from `/proc/self/statm`, with pages of 4 KiB.
+/// Resident memory of this process in bytes, from `/proc/self/statm`, with pages of 4
+/// KiB.
 pub fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/load/src/link.rs
+++ b/crates/load/src/link.rs
@@ -51,8 +51,9 @@
     );
 }
 
-/// Forwards chunks from `source` to `sink`, each `delay` after it was read. Reads continue
-/// meanwhile, so the delay does not limit the throughput to one chunk per `delay`.
+/// Forwards chunks from `source` to `sink`, each `delay` after it was read. Reads
+/// continue meanwhile, so the delay does not limit the throughput to one chunk per
+/// `delay`.
 async fn forward(mut source: OwnedReadHalf, mut sink: OwnedWriteHalf, delay: Duration) {
     let (sender, mut receiver) = mpsc::channel::<Chunk>(MAX_IN_FLIGHT_CHUNKS);
     let read_side = async move {
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -190,6 +190,6 @@
         failed: 0,
         slow_first: 0,
         slow_gap: 0,
-        first: Histogram::new(HISTOGRAM_DIGITS).expect("a valid precision"),
+        first: Histogram::new(HISTOGRAM_DIGITS).expect("3 digits are a valid precision"),
     }
 }
--- a/crates/load/src/program.rs
+++ b/crates/load/src/program.rs
@@ -18,7 +18,8 @@
 /// # Errors
 ///
 /// A message for the operator if an argument or the scenario file is invalid, an address
-/// can't be bound, a measurement fails, or `drain` begins before a measurement is complete.
+/// can't be bound, a measurement fails, or `drain` begins before a measurement is
+/// complete.
 pub async fn run(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
     match matches.subcommand() {
         Some(("engine", arguments)) => run_engine(arguments, drain).await,
@@ -42,11 +43,13 @@
 }
 
 fn number_argument(matches: &ArgMatches, name: &str) -> u32 {
-    *matches.get_one::<u32>(name).expect("it has a default")
+    *matches
+        .get_one::<u32>(name)
+        .expect("the argument has a default")
 }
 
 fn listen_argument(matches: &ArgMatches) -> SocketAddr {
-    *matches.get_one("listen").expect("clap requires it")
+    *matches.get_one("listen").expect("the argument is required")
 }
 
 async fn run_engine(matches: &ArgMatches, drain: Drain) -> Result<(), String> {
@@ -75,7 +78,7 @@
 }
 
 async fn run_scenarios(matches: &ArgMatches) -> Result<(), String> {
-    let path: &PathBuf = matches.get_one("file").expect("clap requires it");
+    let path: &PathBuf = matches.get_one("file").expect("the argument is required");
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|error| format!("{file}: {error}; name a readable file"))?;
--- a/crates/load/src/slopes.rs
+++ b/crates/load/src/slopes.rs
@@ -1,8 +1,8 @@
 //! Measurements of how costs grow with size: the slopes that `docs/CAPACITY.md` uses.
 //!
-//! Each measurement is made at three or more sizes and printed as a table with one row per
-//! size and the fitted line below. All daemons are tasks in this process and communicate
-//! over loopback.
+//! Each measurement is made at three or more sizes and printed as a table with one row
+//! per size and the fitted line below. All daemons are tasks in this process and
+//! communicate over loopback.
 
 pub mod claims;
 pub mod decision;
@@ -75,7 +75,8 @@
         self.rows.push(row.to_vec());
     }
 
-    /// Formats the table as Markdown, with the fitted line of each column in the last row.
+    /// Formats the table as Markdown, with the fitted line of each column in the last
+    /// row.
     pub fn to_markdown(&self) -> String {
         let mut output = format!("\n### {}\n\n|", self.title);
         for column in &self.columns {
--- a/crates/load/src/slopes/claims.rs
+++ b/crates/load/src/slopes/claims.rs
@@ -33,7 +33,8 @@
         for caller in 0..size {
             tasks.spawn(run_caller(control.service.clone(), caller, end));
         }
-        let mut latencies = Histogram::<u64>::new(3).expect("a valid precision");
+        let mut latencies =
+            Histogram::<u64>::new(3).expect("3 digits are a valid precision");
         while let Some(done) = tasks.join_next().await {
             if let Ok(part) = done {
                 let _ = latencies.add(part);
@@ -47,9 +48,10 @@
     Ok(table)
 }
 
-/// Takes and finishes claims until `end`. Returns the latencies of taking, in microseconds.
+/// Takes and finishes claims until `end`. Returns the latencies of taking, in
+/// microseconds.
 async fn run_caller(service: Service, caller: u32, end: Instant) -> Histogram<u64> {
-    let mut latencies = Histogram::new(3).expect("a valid precision");
+    let mut latencies = Histogram::new(3).expect("3 digits are a valid precision");
     let mut number = 0u64;
     while Instant::now() < end {
         number += 1;
--- a/crates/load/src/slopes/decision.rs
+++ b/crates/load/src/slopes/decision.rs
@@ -44,8 +44,8 @@
     let mut random = SmallRng::seed_from_u64(1);
     let mut dispatcher = dispatcher(size);
     let mut running = Vec::new();
-    let mut arrive = Histogram::new(3).expect("a valid precision");
-    let mut end = Histogram::new(3).expect("a valid precision");
+    let mut arrive = Histogram::new(3).expect("3 digits are a valid precision");
+    let mut end = Histogram::new(3).expect("3 digits are a valid precision");
     let max_running = (f64::from(size * LIMIT) * UTILIZATION) as usize;
     let mut now = Moment::from_millis(1);
     for number in 0..DECISIONS {
--- a/crates/load/src/slopes/placement.rs
+++ b/crates/load/src/slopes/placement.rs
@@ -52,7 +52,7 @@
     directory.update((0..size).map(endpoint_record).collect());
     let position = QueuePosition::default();
     let mut in_flight = std::collections::VecDeque::new();
-    let mut histogram = Histogram::new(3).expect("a valid precision");
+    let mut histogram = Histogram::new(3).expect("3 digits are a valid precision");
     for number in 0..DECISIONS {
         let prompt = prompt(number);
         let query = PlacementQuery {
--- a/crates/load/src/slopes/recovery.rs
+++ b/crates/load/src/slopes/recovery.rs
@@ -95,7 +95,7 @@
     });
     match service.submit(&action).await {
         Ok(Reply::Put(Ok(_))) => Ok(()),
-        other => Err(format!("a change was not accepted: {other:?}")),
+        other => Err(format!("the document was not accepted: {other:?}")),
     }
 }
 
@@ -133,7 +133,7 @@
             .services()
             .len();
         if service_count != 1 {
-            return Err("an acknowledged change is missing after a restart".to_string());
+            return Err("an acknowledged change is missing after the restart".to_string());
         }
         restarted.stop().await;
         table.add_row(&[size as f64, rate, recovery, disk_kib]);
--- a/crates/load/src/slopes/routes.rs
+++ b/crates/load/src/slopes/routes.rs
@@ -1,5 +1,5 @@
-//! Cost of entries that follow the route sets of one control instance: time until a set is
-//! active in all of them, processor time, bytes and memory.
+//! Cost of entries that follow the route sets of one control instance: time until a set
+//! is active in all of them, processor time, bytes and memory.
 
 use super::Table;
 use crate::latency::{cpu_time, resident_bytes};
@@ -167,7 +167,7 @@
     let reply = control.service.submit(&action).await;
     reply
         .map(|_| ())
-        .map_err(|unavailable| format!("a set was not accepted: {unavailable:?}"))
+        .map_err(|unavailable| format!("the route set was not accepted: {unavailable:?}"))
 }
 
 /// Waits until `size` entries have received the set.
@@ -177,7 +177,9 @@
 ) -> Result<(), String> {
     for _ in 0..size {
         let received = timeout(ACTIVATION_TIMEOUT, notified.recv()).await;
-        received.map_err(|_| "an entry missed a set for 30 s".to_string())?;
+        received.map_err(|_| {
+            "an entry did not receive the route set within 30 s".to_string()
+        })?;
     }
     Ok(())
 }
@@ -201,7 +203,8 @@
             random_name(),
             random_name(),
         );
-        text.write_str(&route).expect("memory takes all");
+        text.write_str(&route)
+            .expect("writing to a string can't fail");
     }
     text.push_str("],\"services\":[\"voice\"]}");
     text.into_bytes()
--- a/crates/load/src/slopes/watchers.rs
+++ b/crates/load/src/slopes/watchers.rs
@@ -89,7 +89,9 @@
         let start = Instant::now();
         for _ in 0..size {
             let received = timeout(Duration::from_secs(10), notified.recv()).await;
-            received.map_err(|_| "a daemon missed a change for 10 s".to_string())?;
+            received.map_err(|_| {
+                "a daemon did not receive the change within 10 s".to_string()
+            })?;
         }
         times.push(start.elapsed().as_secs_f64() * 1000.0);
         let updates = control
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -148,8 +148,8 @@
     pub async fn run(self, drain: Drain) {
         let sampler = tokio::spawn(sample_load(Arc::clone(&self.core)));
         let router = Router::new()
-            .route("/v1/chat/completions", post(complete))
-            .route("/v1/completions", post(complete))
+            .route("/v1/chat/completions", post(handle_completion))
+            .route("/v1/completions", post(handle_completion))
             .route("/load", get(load))
             .route("/standin/faults", post(set_faults))
             .with_state(self.core);
@@ -187,7 +187,7 @@
                 waiting: core.scheduler.waiting(),
                 leaving: core.faults.leaving(),
             };
-            let mut history = core.history.lock().expect("no holder panics");
+            let mut history = core.history.lock().expect("not poisoned");
             history.push_back(now);
             while history.len() > steps + 1 {
                 history.pop_front();
@@ -198,13 +198,14 @@
 }
 
 async fn load(State(core): State<Arc<Core>>) -> Response {
-    let history = core.history.lock().expect("no holder panics");
+    let history = core.history.lock().expect("not poisoned");
     let mut report = history.front().copied().unwrap_or_default();
+    // The leaving flag is reported without the lag.
     report.leaving = core.faults.leaving();
     axum::Json(report).into_response()
 }
 
-async fn complete(
+async fn handle_completion(
     State(core): State<Arc<Core>>,
     headers: HeaderMap,
     body: Bytes,
@@ -246,7 +247,9 @@
 /// A response whose body fails at once, which closes the connection without a response
 /// head.
 fn closed_connection() -> Response {
-    let broken = stream::iter([Err::<Bytes, _>(io::Error::other("closed"))]);
+    let broken = stream::iter([Err::<Bytes, _>(io::Error::other(
+        "connection closed by fault injection",
+    ))]);
     Body::from_stream(broken).into_response()
 }
 
@@ -296,7 +299,9 @@
         if fault == Fault::CloseMiddle && self.sent >= TOKENS_BEFORE_CLOSE {
             self.slot = None;
             self.sent = u32::MAX;
-            return Some(Err(io::Error::other("closed")));
+            return Some(Err(io::Error::other(
+                "connection closed by fault injection",
+            )));
         }
         if self.sent == self.tokens {
             self.slot = None;
@@ -361,7 +366,10 @@
     }
     if fault == Fault::CloseMiddle {
         let half = Bytes::from(body.split_off(body.len() / 2));
-        let parts = [Ok(half), Err(io::Error::other("closed"))];
+        let parts = [
+            Ok(half),
+            Err(io::Error::other("connection closed by fault injection")),
+        ];
         return Body::from_stream(stream::iter(parts)).into_response();
     }
     let mut response = body.into_response();
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -36,7 +36,7 @@
 impl CallCounts {
     /// Counts one call with `key`.
     pub fn record(&self, key: &str) {
-        let mut counts = self.counts.lock().expect("no holder panics");
+        let mut counts = self.counts.lock().expect("not poisoned");
         match counts.binary_search_by(|count| count.key.as_str().cmp(key)) {
             Ok(index) => counts[index].calls += 1,
             Err(index) => counts.insert(
@@ -51,12 +51,12 @@
 
     /// Counts of all keys, sorted by key.
     pub fn counts(&self) -> Vec<KeyCount> {
-        self.counts.lock().expect("no holder panics").clone()
+        self.counts.lock().expect("not poisoned").clone()
     }
 
     /// Number of calls with `key`.
     pub fn count(&self, key: &str) -> u64 {
-        let counts = self.counts.lock().expect("no holder panics");
+        let counts = self.counts.lock().expect("not poisoned");
         let index = counts.binary_search_by(|count| count.key.as_str().cmp(key));
         index.map_or(0, |index| counts[index].calls)
     }
@@ -159,7 +159,10 @@
     let mut response = match fault {
         Fault::CloseMiddle | Fault::CloseEarly | Fault::Truncated => {
             let half = Bytes::from(echo[..echo.len() / 2].to_string());
-            let parts = [Ok(half), Err(io::Error::other("closed"))];
+            let parts = [
+                Ok(half),
+                Err(io::Error::other("connection closed by fault injection")),
+            ];
             Body::from_stream(stream::iter(parts)).into_response()
         }
         _ => echo.into_response(),
