--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -161,8 +161,8 @@
 
     /// Share of the generated tokens that were not delivered in a complete answer.
     pub fn wasted_share(&self) -> f64 {
-        let wasted_share = self.generated_tokens.saturating_sub(self.delivered_tokens);
-        wasted_share as f64 / self.generated_tokens.max(1) as f64
+        let wasted = self.generated_tokens.saturating_sub(self.delivered_tokens);
+        wasted as f64 / self.generated_tokens.max(1) as f64
     }
 
     /// Requests of all classes that met their targets.
