--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -105,7 +105,7 @@
         self.listener
             .serve(router, drain.clone(), self.linger)
             .await;
-        drain.idle().await;
+        drain.wait_idle().await;
         looking.abort();
         if let Some(control) = control {
             control.stop().await;
@@ -277,7 +277,7 @@
         .route("/v1/load", get(load))
         .layer(DefaultBodyLimit::max(MAX_ATTEMPT))
         .with_state(Arc::clone(core))
-        .merge(health::routes(&core.drain, &metrics, ready))
+        .merge(health::router(&core.drain, &metrics, ready))
 }
 
 fn allowed(core: &Core, headers: &HeaderMap) -> bool {
--- a/crates/agent/src/watch.rs
+++ b/crates/agent/src/watch.rs
@@ -89,11 +89,11 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = core.drain.wait(), if !core.sources.leaving() => {
+            () = core.drain.wait_begun(), if !core.sources.leaving() => {
                 core.close_gate(Source::Agent, true);
             }
         }
-        if core.drain.begun() {
+        if core.drain.has_begun() {
             core.close_gate(Source::Agent, true);
         }
         if let Some(report) = core.endpoint.load().await {
@@ -109,7 +109,7 @@
 async fn heed_platform(core: &Core, platform: &dyn PlatformList) {
     match platform.fetch().await {
         Ok(list) => {
-            let leaving = list.leaving(core.settings.address.ip());
+            let leaving = list.is_leaving(core.settings.address.ip());
             core.close_gate(Source::Platform, leaving);
         }
         Err(error) => {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -105,7 +105,7 @@
 pub async fn run_until_drained(
     mut settings: Settings,
     drain: Drain,
-    changed: Changed<Settings>,
+    changed: ReloadedSettings<Settings>,
     extensions: Extensions,
 ) -> Result<(), String> {
     if settings.data.as_os_str().is_empty() {
@@ -117,7 +117,7 @@
         settings.address_updates = Some(addresses.subscribe());
         let started = tokio::select! {
             bound = Control::bind(settings.clone(), drain.clone()) => bound,
-            () = drain.wait() => break,
+            () = drain.wait_begun() => break,
         };
         let ended = match started {
             Ok(control) => control.run_with(extensions.clone()).await,
@@ -125,7 +125,7 @@
         };
         match ended {
             Ok(()) => break,
-            Err(error) if drain.begun() => return Err(error),
+            Err(error) if drain.has_begun() => return Err(error),
             Err(error) => {
                 Event::new("control-restarts")
                     .field("reason", error)
@@ -139,7 +139,7 @@
 
 /// Publishes the addresses of other instances whenever the settings change.
 async fn publish_addresses(
-    mut changed: Changed<Settings>,
+    mut changed: ReloadedSettings<Settings>,
     addresses: watch::Sender<Vec<SocketAddr>>,
 ) {
     while changed.changed().await.is_ok() {
@@ -280,7 +280,7 @@
             AbortOnDropHandle::new(tokio::spawn(reporter.run(self.drain.clone())))
         });
         let health =
-            health::routes(&self.drain, &metrics, readiness(&self.replica, &metrics));
+            health::router(&self.drain, &metrics, readiness(&self.replica, &metrics));
         let public = operators::routes(operator_api)
             .merge(health.clone())
             .merge(platform_routes);
@@ -347,7 +347,7 @@
     }
 }
 
-fn readiness(replica: &Replica, metrics: &Metrics) -> health::Ready {
+fn readiness(replica: &Replica, metrics: &Metrics) -> health::ReadinessCheck {
     let status = replica.status.clone();
     let gauges = metrics.gauges(
         "dogwoodhill_control_standing",
@@ -470,7 +470,7 @@
     drain: Drain,
 ) {
     let mut last_contact = Instant::now();
-    while !drain.begun() {
+    while !drain.has_begun() {
         let status = replica.status.borrow().clone();
         let is_member = status.members.get(member.id).is_some();
         // A removed member has lost its seat to its replacement. With a second seat, the
@@ -585,7 +585,7 @@
     drain: Drain,
     reporter: Option<AbortOnDropHandle<()>>,
 ) {
-    drain.wait().await;
+    drain.wait_begun().await;
     if let Some(reporter) = reporter {
         // A lease that is not released in time expires.
         let _ = timeout(PEER_TIMEOUT, reporter).await;
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -152,7 +152,7 @@
         secret: Arc::new(settings.secret),
     };
     let metrics = Metrics::default();
-    let health = health::routes(&drain, &metrics, Arc::new(|| true));
+    let health = health::router(&drain, &metrics, Arc::new(|| true));
     let public = Router::new()
         .fallback(redirect)
         .with_state(instances.clone());
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -113,7 +113,7 @@
     }
     tokio::select! {
         answered = next.run(request) => answered,
-        () = drain.wait() => {
+        () = drain.wait_begun() => {
             let text = "this instance stops; ask another one\n";
             (StatusCode::SERVICE_UNAVAILABLE, text).into_response()
         }
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -134,7 +134,7 @@
     pub async fn run(mut self, drain: Drain) {
         loop {
             tokio::select! {
-                () = drain.wait() => break,
+                () = drain.wait_begun() => break,
                 () = sleep(CHECK_INTERVAL) => {}
             }
             let now = uptime();
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,20 +1,21 @@
-//! A clock that goes on while the machine is suspended.
+//! A monotonic clock that advances while the machine is suspended.
 //!
-//! The usual monotonic clock stands still then. A process that was suspended for ten
-//! seconds would take what it learned before for as fresh as then, and tell it to others
-//! as such.
+//! `CLOCK_MONOTONIC`, the clock of [`Instant`], stops during a suspension. With it, a process
+//! that was suspended for ten seconds would compute ages ten seconds too short, and report
+//! stale data to other processes as fresh.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// Time since the machine started, suspensions included.
+/// Time since boot, including suspensions (`CLOCK_BOOTTIME`).
 pub fn uptime() -> Duration {
-    clock_gettime(ClockId::CLOCK_BOOTTIME).map_or_else(|_| running(), Duration::from)
+    clock_gettime(ClockId::CLOCK_BOOTTIME).map_or_else(|_| monotonic(), Duration::from)
 }
 
-/// The same without suspensions, since the first call, where the system has no such clock.
-fn running() -> Duration {
+/// Fallback where the system has no `CLOCK_BOOTTIME`: time since the first call, without
+/// suspensions.
+fn monotonic() -> Duration {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed()
 }
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful drain: refuse new work, finish what runs, then stop.
+//! Graceful drain: refuse new work, finish the work in progress, then stop.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,11 +7,12 @@
 #[derive(Debug)]
 struct Inner {
     begun: watch::Sender<bool>,
-    busy: AtomicUsize,
+    active: AtomicUsize,
     idle: watch::Sender<()>,
 }
 
-/// A daemon's drain state. Clones share it.
+/// The drain state of a daemon: whether the drain has begun, and how much work is in
+/// progress. Clones share the state.
 #[derive(Clone, Debug)]
 pub struct Drain {
     inner: Arc<Inner>,
@@ -21,7 +22,7 @@
     fn default() -> Self {
         let inner = Inner {
             begun: watch::Sender::new(false),
-            busy: AtomicUsize::new(0),
+            active: AtomicUsize::new(0),
             idle: watch::Sender::new(()),
         };
         Self {
@@ -31,54 +32,54 @@
 }
 
 impl Drain {
-    /// Starts the drain; later calls change nothing.
+    /// Begins the drain; later calls have no effect.
     pub fn begin(&self) {
         self.inner.begun.send_replace(true);
     }
 
-    /// Tells whether the drain has begun.
-    pub fn begun(&self) -> bool {
+    /// Whether the drain has begun.
+    pub fn has_begun(&self) -> bool {
         *self.inner.begun.borrow()
     }
 
     /// Waits until the drain begins.
-    pub async fn wait(&self) {
+    pub async fn wait_begun(&self) {
         let mut begun = self.inner.begun.subscribe();
-        // The sender lives as long as `self`, so waiting can't fail.
+        // `self` holds the sender, so the channel can't be closed.
         let _ = begun.wait_for(|begun| *begun).await;
     }
 
-    /// Counts one piece of work until the guard is dropped.
-    pub fn enter(&self) -> Busy {
-        self.inner.busy.fetch_add(1, Ordering::AcqRel);
-        Busy {
+    /// Counts one piece of work as in progress until the guard is dropped.
+    pub fn enter(&self) -> DrainGuard {
+        self.inner.active.fetch_add(1, Ordering::AcqRel);
+        DrainGuard {
             inner: Arc::clone(&self.inner),
         }
     }
 
-    /// Work in progress.
-    pub fn busy(&self) -> usize {
-        self.inner.busy.load(Ordering::Acquire)
+    /// Pieces of work in progress, that is guards not yet dropped.
+    pub fn active(&self) -> usize {
+        self.inner.active.load(Ordering::Acquire)
     }
 
     /// Waits until no work is in progress.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         let mut idle = self.inner.idle.subscribe();
-        while self.busy() > 0 {
+        while self.active() > 0 {
             let _ = idle.changed().await;
         }
     }
 }
 
-/// One piece of work in progress; its drop ends it.
+/// Marks one piece of work as in progress until it is dropped; see [`Drain::enter`].
 #[derive(Debug)]
-pub struct Busy {
+pub struct DrainGuard {
     inner: Arc<Inner>,
 }
 
-impl Drop for Busy {
+impl Drop for DrainGuard {
     fn drop(&mut self) {
-        if self.inner.busy.fetch_sub(1, Ordering::AcqRel) == 1 {
+        if self.inner.active.fetch_sub(1, Ordering::AcqRel) == 1 {
             self.inner.idle.send_replace(());
         }
     }
--- a/crates/daemon/src/health.rs
+++ b/crates/daemon/src/health.rs
@@ -1,4 +1,4 @@
-//! `/healthz`, `/readyz` and `/metrics`.
+//! The HTTP routes `/healthz`, `/readyz` and `/metrics`.
 
 use crate::drain::Drain;
 use crate::metrics::Metrics;
@@ -7,17 +7,18 @@
 use http::StatusCode;
 use std::sync::Arc;
 
-/// Tells whether a daemon can do its work now.
-pub type Ready = Arc<dyn Fn() -> bool + Send + Sync>;
+/// Reports whether a daemon can do its work at present.
+pub type ReadinessCheck = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Routes that every daemon serves.
-pub fn routes(drain: &Drain, metrics: &Metrics, ready: Ready) -> Router {
+/// Router with the routes that every daemon serves. `/readyz` answers 503 if `ready` returns
+/// `false` or once the drain has begun.
+pub fn router(drain: &Drain, metrics: &Metrics, ready: ReadinessCheck) -> Router {
     let drain = drain.clone();
     let metrics = metrics.clone();
     let readyz = move || {
-        let up = ready() && !drain.begun();
+        let is_ready = ready() && !drain.has_begun();
         async move {
-            if up {
+            if is_ready {
                 (StatusCode::OK, "ready\n")
             } else {
                 (StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,11 +1,10 @@
-//! What every daemon shares: its command line, listener, drain and metrics.
+//! Common parts of the daemons: command line, listener, drain, metrics and logging.
 //!
-//! A program of the router is a thin `main` over [`run::main`], which reads
-//! and checks the settings, sets up logging, starts the daemon and turns the
-//! first `SIGTERM` or `SIGINT` into a graceful drain. A daemon is a library
-//! type that can also be started by a test or by the all-in-one program, so
-//! nothing here is global: each daemon has its own [`drain::Drain`] and
-//! [`metrics::Metrics`].
+//! Each program is a thin `main` around [`run::main`], which reads and checks the settings,
+//! sets up logging, runs the daemon, and begins a graceful drain on the first `SIGTERM` or
+//! `SIGINT`. A daemon is a library type that tests and the all-in-one program can start as
+//! well, several in one process. Apart from the log, no state is therefore global: each
+//! daemon has its own [`drain::Drain`] and [`metrics::Metrics`].
 
 pub mod clock;
 pub mod drain;
@@ -17,11 +16,11 @@
 pub mod reload;
 pub mod run;
 
-/// The names most modules need, for one import line.
+/// Common imports of the daemons' modules.
 pub mod prelude {
     pub use crate::clock::uptime;
-    pub use crate::drain::{Busy, Drain};
+    pub use crate::drain::{Drain, DrainGuard};
     pub use crate::listen::{ListenError, Listener};
     pub use crate::metrics::Metrics;
-    pub use crate::reload::Changed;
+    pub use crate::reload::ReloadedSettings;
 }
--- a/crates/daemon/src/listen.rs
+++ b/crates/daemon/src/listen.rs
@@ -1,5 +1,5 @@
-//! The listener: accepts connections, bounds what they may send, and closes
-//! them gracefully.
+//! The HTTP listener: accepts connections, limits the size and time of request heads and the
+//! number of streams, and closes connections gracefully.
 
 use crate::drain::Drain;
 use axum::Router;
@@ -14,32 +14,32 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Largest head of an HTTP/1 request.
-pub const MAX_HEAD: usize = 64 * 1024;
-/// Longest time a client may take to send a request's head.
+/// Largest head of an HTTP/1 request, and the read buffer of an HTTP/1 connection.
+pub const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Time within which an HTTP/1 client must send the whole head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a failed accept, so that running out of descriptors does not
-/// turn into a busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Flow-control window of one HTTP/2 stream for what comes in, in bytes. It is also what
-/// of one large message may fill the path before a ping that is sent behind it: with the
-/// library's 1 MiB a ping waits for a second on a link of 10 Mbit/s, and its connection
-/// is taken for dead. It carries 20 MB/s over the 3 ms between failure domains and back.
-const INBOUND_WINDOW: u32 = 64 * 1024;
-/// Most HTTP/2 streams on one connection.
+/// Delay after a failed accept. Without it the accept loop would spin while the process is
+/// out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Flow-control window of one inbound HTTP/2 stream, in bytes. It bounds how much of a large
+/// message can be queued on the link ahead of a keep-alive ping: with the library's default
+/// of 1 MiB a ping waits about 1 s on a 10 Mbit/s link, and the connection is taken for
+/// dead. 64 KiB still sustains 20 MB/s at the 3 ms round trip between failure domains.
+const STREAM_WINDOW_BYTES: u32 = 64 * 1024;
+/// Most concurrent HTTP/2 streams on one connection.
 const MAX_STREAMS: u32 = 4096;
 
-/// A listener could not be set up.
+/// The address of a listener can't be bound.
 #[derive(Debug, Display, Error)]
 #[display(
     "can't listen on {address}; choose a free port of this instance in the settings"
 )]
 pub struct ListenError {
-    /// Address from the settings.
+    /// Address in the settings.
     pub address: SocketAddr,
 }
 
-/// A bound listener.
+/// A bound TCP socket on which [`Listener::serve`] accepts HTTP/1 and HTTP/2 connections.
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
@@ -47,33 +47,33 @@
 }
 
 impl Listener {
-    /// Binds `address`; port 0 takes a free one.
+    /// Binds `address`; port 0 picks a free port.
     ///
     /// # Errors
     ///
-    /// [`ListenError`] where the address can't be bound.
+    /// [`ListenError`] if the address can't be bound.
     pub async fn bind(address: SocketAddr) -> Result<Self, Report<ListenError>> {
-        let fault = || ListenError { address };
+        let error = || ListenError { address };
         let socket = TcpListener::bind(address)
             .await
-            .change_context_lazy(fault)?;
-        let address = socket.local_addr().change_context_lazy(fault)?;
+            .change_context_lazy(error)?;
+        let address = socket.local_addr().change_context_lazy(error)?;
         Ok(Self { socket, address })
     }
 
-    /// The address bound, with the port that was taken.
+    /// The bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves `router` until `drain` has begun, `linger` has passed and every
-    /// connection is done. During `linger` connections are still accepted, so
-    /// that a balancer which has not yet seen `/readyz` change loses nothing.
+    /// Serves `router` until `drain` has begun, `linger` has passed and every connection is
+    /// closed. New connections are accepted during `linger`, so that a load balancer that
+    /// has not yet polled the changed `/readyz` loses no request.
     pub async fn serve(self, router: Router, drain: Drain, linger: Duration) {
         let graceful = GracefulShutdown::new();
         let server = server();
         let stop = async {
-            drain.wait().await;
+            drain.wait_begun().await;
             tokio::time::sleep(linger).await;
         };
         tokio::pin!(stop);
@@ -86,7 +86,7 @@
                 Ok((stream, _)) => spawn(&server, &graceful, stream, router.clone()),
                 Err(error) => {
                     Event::new("accept-failed").field("error", error).warn();
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -101,11 +101,11 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(MAX_HEAD);
+        .max_buf_size(MAX_HEAD_BYTES);
     server
         .http2()
         .timer(TokioTimer::new())
-        .initial_stream_window_size(INBOUND_WINDOW)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
         .max_concurrent_streams(MAX_STREAMS);
     server
 }
@@ -121,9 +121,9 @@
     let connection = server
         .serve_connection(TokioIo::new(stream), service)
         .into_owned();
-    let watched = graceful.watch(connection);
+    let served = graceful.watch(connection);
     tokio::spawn(async move {
-        // A connection that its peer breaks off is an ordinary event.
-        let _ = watched.await;
+        // The error is ignored: a connection closed by its peer is not a fault.
+        let _ = served.await;
     });
 }
--- a/crates/daemon/src/log_queue.rs
+++ b/crates/daemon/src/log_queue.rs
@@ -1,10 +1,10 @@
-//! Log lines on their way to standard output.
+//! Bounded queue between the logger and the output.
 //!
-//! A standard output that nobody reads blocks whoever writes to it. Lines
-//! therefore go through a bounded queue to a thread that writes; what does not
-//! fit, in the queue or in the second's budget, is dropped and counted, and the
-//! count is told as soon as there is room. Warnings and errors keep a part of
-//! the budget that other lines may not use.
+//! A write to a pipe that is not read blocks the writer. Log lines therefore pass through a
+//! bounded queue to a writer thread, so that logging never blocks. A line that exceeds the
+//! queue or the budget of its second is dropped and counted, and the count is logged as
+//! `event=log-lines-dropped` as soon as a line fits again. A part of the budget is reserved
+//! for warnings and errors.
 
 use std::io::{self, Write};
 use std::sync::OnceLock;
@@ -12,82 +12,90 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that wait for the writer: one second of the budget.
-const QUEUE: usize = 500;
-/// Lines a second. An entry serves some tens of requests a second for each
-/// tenth of a core, with about two lines each.
-const LINES: u32 = 500;
-/// Lines of each second that only warnings and errors may use.
-const RESERVED: u32 = 150;
-/// Length of the budget's window.
-const WINDOW: Duration = Duration::from_secs(1);
-/// Longest line; the rest of a longer one is cut off.
-const LINE_BYTES: usize = 2_048;
-
-/// Longest wait at the end of the process for lines to be written.
-const LAST_WAIT: Duration = Duration::from_millis(200);
-
-/// The process's queue, for its last lines.
-static RUNNING: OnceLock<SyncSender<Item>> = OnceLock::new();
-
-/// What goes through the queue.
+/// Capacity of the queue in lines: the budget of one second.
+const QUEUE_LINES: usize = 500;
+/// Lines admitted in one window of the budget. An entry serves some tens of requests per
+/// second on a tenth of a core and writes about two lines for each.
+const WINDOW_LINES: u32 = 500;
+/// Part of [`WINDOW_LINES`] that is reserved for warnings and errors.
+const RESERVED_LINES: u32 = 150;
+/// Window of the budget.
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
+/// Longest line; a longer one is truncated.
+const MAX_LINE_BYTES: usize = 2_048;
+
+/// Longest wait of [`flush`] for the writer thread.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Queue of the process, which [`flush`] waits for.
+static PROCESS_QUEUE: OnceLock<SyncSender<Item>> = OnceLock::new();
+
+/// An item of the queue.
 #[derive(Debug)]
 enum Item {
+    /// A line with its newline.
     Line(Vec<u8>),
-    /// Everything before it is written; the sender is told.
-    Mark(SyncSender<()>),
+    /// Requests an acknowledgement once all lines queued before it are written.
+    Flush(SyncSender<()>),
 }
 
-/// Waits, for a short time at most, until what was logged is written.
-pub fn finish() {
-    let Some(queue) = RUNNING.get() else { return };
-    let (mark, written) = sync_channel(1);
-    if queue.try_send(Item::Mark(mark)).is_ok() {
-        // Nobody reads the output where this runs out; the lines are lost.
-        let _ = written.recv_timeout(LAST_WAIT);
+/// Waits until all lines logged so far are written, at most 200 ms.
+pub fn flush() {
+    let Some(queue) = PROCESS_QUEUE.get() else {
+        return;
+    };
+    let (ack, written) = sync_channel(1);
+    if queue.try_send(Item::Flush(ack)).is_ok() {
+        // A timeout means that the output is not read; the queued lines are lost.
+        let _ = written.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// How many lines may still pass in the present second.
+/// Rate limit of log lines over fixed windows of [`BUDGET_WINDOW`].
 #[derive(Debug)]
-struct Budget {
-    since: Instant,
+struct LineBudget {
+    window_start: Instant,
     used: u32,
+    /// Lines dropped, by the budget or by a full queue, and not yet logged as such.
     dropped: u64,
 }
 
-impl Budget {
-    /// Whether one more line may pass.
+impl LineBudget {
+    /// Consumes one line of the budget, and returns whether there was one left.
     fn admits(&mut self, now: Instant, urgent: bool) -> bool {
-        if now.duration_since(self.since) >= WINDOW {
-            self.since = now;
+        if now.duration_since(self.window_start) >= BUDGET_WINDOW {
+            self.window_start = now;
             self.used = 0;
         }
-        let limit = if urgent { LINES } else { LINES - RESERVED };
+        let limit = if urgent {
+            WINDOW_LINES
+        } else {
+            WINDOW_LINES - RESERVED_LINES
+        };
         let fits = self.used < limit;
         self.used += u32::from(fits);
         fits
     }
 }
 
-/// The writing end of the queue.
+/// Sending end of the queue, as a [`Write`] for the logger.
 #[derive(Debug)]
 pub struct LogQueue {
     lines: SyncSender<Item>,
-    budget: Budget,
+    budget: LineBudget,
 }
 
 impl LogQueue {
-    /// Starts the thread that writes to `out`.
+    /// Starts the writer thread, which writes to `out`.
     pub fn start(out: impl Write + Send + 'static) -> Self {
-        let (lines, queue) = sync_channel(QUEUE);
-        // Without the thread the queue fills, and lines are dropped.
+        let (lines, queue) = sync_channel(QUEUE_LINES);
+        // If the thread can't be started, lines are dropped once the queue is full.
         let _ = thread::Builder::new()
             .name("log".to_string())
             .spawn(move || drain(&queue, out));
-        let _ = RUNNING.set(lines.clone());
-        let budget = Budget {
-            since: Instant::now(),
+        let _ = PROCESS_QUEUE.set(lines.clone());
+        let budget = LineBudget {
+            window_start: Instant::now(),
             used: 0,
             dropped: 0,
         };
@@ -100,7 +108,7 @@
         }
     }
 
-    fn tell_dropped(&mut self) {
+    fn report_dropped(&mut self) {
         let dropped = std::mem::take(&mut self.budget.dropped);
         let line = format!("level=warn event=log-lines-dropped count={dropped}\n");
         if self.lines.try_send(Item::Line(line.into_bytes())).is_err() {
@@ -109,18 +117,19 @@
     }
 }
 
-/// Takes one whole line for each call, as the logger writes them.
+/// Each call of `write` must pass one whole line, as the logger does.
 impl Write for LogQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let urgent = contains(line, b"level=warn") || contains(line, b"level=error");
+        let urgent =
+            head_contains(line, b"level=warn") || head_contains(line, b"level=error");
         if !self.budget.admits(Instant::now(), urgent) {
             self.budget.dropped += 1;
             return Ok(line.len());
         }
         if self.budget.dropped > 0 {
-            self.tell_dropped();
+            self.report_dropped();
         }
-        let mut text = line[..line.len().min(LINE_BYTES)].to_vec();
+        let mut text = line[..line.len().min(MAX_LINE_BYTES)].to_vec();
         if text.last() != Some(&b'\n') {
             text.push(b'\n');
         }
@@ -133,30 +142,30 @@
     }
 }
 
-/// Whether the head of a line names `word`.
-fn contains(line: &[u8], word: &[u8]) -> bool {
+/// Whether the first 48 bytes of `line` contain `word`.
+fn head_contains(line: &[u8], word: &[u8]) -> bool {
     let head = &line[..line.len().min(48)];
     head.windows(word.len()).any(|window| window == word)
 }
 
-/// Writes lines, as many as there are in one go.
+/// Loop of the writer thread: writes all queued lines with one write.
 fn drain(queue: &Receiver<Item>, mut out: impl Write) {
     while let Ok(first) = queue.recv() {
         let mut text = Vec::new();
-        let mut marks = Vec::new();
+        let mut acks = Vec::new();
         for item in std::iter::once(first).chain(queue.try_iter()) {
             match item {
                 Item::Line(line) => text.extend_from_slice(&line),
-                Item::Mark(mark) => marks.push(mark),
+                Item::Flush(ack) => acks.push(ack),
             }
         }
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
-            // Nobody reads any more; there is no other place to say so.
+            // The output is closed, and the error can't be logged anywhere else.
             return;
         }
-        for mark in marks {
-            // Who asked may have stopped waiting.
-            let _ = mark.try_send(());
+        for ack in acks {
+            // The receiver is gone if `flush` has timed out.
+            let _ = ack.try_send(());
         }
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of one daemon, in a registry of its own.
+//! Prometheus metrics of one daemon, in a registry of its own: several daemons can run in one
+//! process.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,24 +7,29 @@
     TextEncoder,
 };
 
-/// Upper bounds of latency buckets in seconds, from well under the shortest
-/// target to the longest deadline.
-const LATENCY_BUCKETS: &[f64] = &[
+/// Upper bounds of the latency buckets in seconds, from far below the shortest target to the
+/// longest deadline.
+const LATENCY_BUCKETS_S: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
     60.0, 300.0,
 ];
 
 /// Registry of one daemon. Clones share it.
+///
+/// # Panics
+///
+/// The methods that add a metric panic if its name is invalid or already registered: names
+/// are constants of the program.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     registry: Registry,
 }
 
 impl Metrics {
-    /// Adds a counter with labels.
+    /// Adds a family of counters with `labels`.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-        let made = IntCounterVec::new(Opts::new(name, help), labels);
-        self.add(made.expect("metric names are constants"))
+        let counters = IntCounterVec::new(Opts::new(name, help), labels);
+        self.add(counters.expect("metric names are constants"))
     }
 
     /// Adds a gauge.
@@ -31,19 +37,19 @@
         self.add(IntGauge::new(name, help).expect("metric names are constants"))
     }
 
-    /// Adds a gauge with labels.
+    /// Adds a family of gauges with `labels`.
     pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
-        let made = IntGaugeVec::new(Opts::new(name, help), labels);
-        self.add(made.expect("metric names are constants"))
+        let gauges = IntGaugeVec::new(Opts::new(name, help), labels);
+        self.add(gauges.expect("metric names are constants"))
     }
 
-    /// Adds a histogram of seconds.
-    pub fn seconds(&self, name: &str, help: &str) -> Histogram {
-        let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
+    /// Adds a histogram of times in seconds, from 1 ms to 5 minutes.
+    pub fn histogram(&self, name: &str, help: &str) -> Histogram {
+        let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
         self.add(Histogram::with_opts(options).expect("metric names are constants"))
     }
 
-    /// All metrics in the text format.
+    /// All metrics in the text format of Prometheus.
     pub fn text(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,9 +1,9 @@
 //! The platform's list of live and leaving instances.
 //!
-//! The list lags, so it is only ever used to stop giving work to an instance,
-//! never to decide that one is healthy. It is read through a trait because
-//! each platform offers it in its own way; a file and an HTTP address are
-//! provided. Both hold the same JSON:
+//! The list lags behind the instances. It is therefore used only to stop sending work to an
+//! instance, never as evidence that one is healthy. Platforms publish it in different ways,
+//! so it is read through the trait [`PlatformList`]; implementations for a file and for an
+//! HTTP URL are provided. Both read the same JSON:
 //! `{"instances":[{"address":"10.0.0.7","leaving":true}]}`.
 
 use bytes::Bytes;
@@ -20,65 +20,67 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// Largest list that is read.
-const MAX_LIST: usize = 16 * 1024 * 1024;
-/// Longest wait for the list.
+/// Largest body that is accepted from an HTTP server.
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
+/// Timeout of one HTTP read, body included.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One instance as the platform lists it.
+/// One instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Instance {
-    /// Its IP number.
+    /// IP address, without a port: it covers everything on that instance.
     pub address: IpAddr,
-    /// Whether the platform is about to stop it.
+    /// Whether the platform is about to stop the instance; `false` if the key is absent.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The whole list.
+/// The whole list, the top-level JSON object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Instances {
-    /// Listed instances.
+    /// Listed instances, in no particular order.
     pub instances: Vec<Instance>,
 }
 
 impl Instances {
     /// Whether `address` is listed as leaving.
-    pub fn leaving(&self, address: IpAddr) -> bool {
+    pub fn is_leaving(&self, address: IpAddr) -> bool {
         let mut listed = self.instances.iter();
         listed.any(|instance| instance.address == address && instance.leaving)
     }
 }
 
-/// The list could not be read; the last one stays in use.
+/// The list can't be read; callers keep using the one they read last.
 #[derive(Debug, Display, Error)]
 #[display("can't read the platform's list; check `platform` in the settings")]
-pub struct ListError;
+pub struct PlatformListError;
 
-/// A list being fetched.
-pub type Fetch<'a> =
-    Pin<Box<dyn Future<Output = Result<Instances, Report<ListError>>> + Send + 'a>>;
+/// Future of [`PlatformList::fetch`].
+pub type FetchFuture<'a> = Pin<
+    Box<dyn Future<Output = Result<Instances, Report<PlatformListError>>> + Send + 'a>,
+>;
 
-/// Source of the platform's list.
+/// A source of the platform's list.
 pub trait PlatformList: Send + Sync + Debug {
-    /// Reads the list as it is now.
-    fn fetch(&self) -> Fetch<'_>;
+    /// Reads the current list. The future fails with [`PlatformListError`] if the source can't
+    /// be read or its content is not a valid list.
+    fn fetch(&self) -> FetchFuture<'_>;
 }
 
-/// A list in a file that the platform rewrites.
+/// A list in a file, which the platform rewrites.
 #[derive(Debug)]
 pub struct FileList {
-    /// Path of the file.
+    /// Path of the JSON file.
     pub path: PathBuf,
 }
 
 impl PlatformList for FileList {
-    fn fetch(&self) -> Fetch<'_> {
+    fn fetch(&self) -> FetchFuture<'_> {
         Box::pin(async {
             let text = tokio::fs::read(&self.path)
                 .await
-                .change_context(ListError)?;
-            serde_json::from_slice(&text).change_context(ListError)
+                .change_context(PlatformListError)?;
+            serde_json::from_slice(&text).change_context(PlatformListError)
         })
     }
 }
@@ -86,7 +88,7 @@
 /// A list that the platform serves over HTTP.
 #[derive(Debug)]
 pub struct HttpList {
-    /// Address of the platform's server.
+    /// Address of the HTTP server of the platform.
     pub address: SocketAddr,
     /// Path of the list, starting with a slash.
     pub path: String,
@@ -94,7 +96,7 @@
 }
 
 impl HttpList {
-    /// Reads the list at `path` of `address`.
+    /// A list at `http://{address}{path}`. No connection is made before the first fetch.
     pub fn new(address: SocketAddr, path: String) -> Self {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Self {
@@ -104,24 +106,32 @@
         }
     }
 
-    async fn get(&self) -> Result<Instances, Report<ListError>> {
+    async fn get(&self) -> Result<Instances, Report<PlatformListError>> {
         let target = format!("http://{}{}", self.address, self.path);
-        let target = target.parse().change_context(ListError)?;
-        let response = self.client.get(target).await.change_context(ListError)?;
+        let target = target.parse().change_context(PlatformListError)?;
+        let response = self
+            .client
+            .get(target)
+            .await
+            .change_context(PlatformListError)?;
         if !response.status().is_success() {
-            return Err(Report::new(ListError));
+            return Err(Report::new(PlatformListError));
         }
-        let body = Limited::new(response.into_body(), MAX_LIST);
-        let bytes = body.collect().await.map_err(|_| ListError)?.to_bytes();
-        serde_json::from_slice(&bytes).change_context(ListError)
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES);
+        let bytes = body
+            .collect()
+            .await
+            .map_err(|_| PlatformListError)?
+            .to_bytes();
+        serde_json::from_slice(&bytes).change_context(PlatformListError)
     }
 }
 
 impl PlatformList for HttpList {
-    fn fetch(&self) -> Fetch<'_> {
+    fn fetch(&self) -> FetchFuture<'_> {
         Box::pin(async {
-            let got = tokio::time::timeout(FETCH_TIMEOUT, self.get()).await;
-            got.change_context(ListError)?
+            let result = tokio::time::timeout(FETCH_TIMEOUT, self.get()).await;
+            result.change_context(PlatformListError)?
         })
     }
 }
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,7 +1,7 @@
-//! Following the settings file.
+//! Reloading of the settings file.
 //!
-//! A daemon reads its settings anew on `SIGHUP`, and when the file changed
-//! without a signal. Settings that can't be read leave the ones in force.
+//! The settings are read again on `SIGHUP` and when the modification time of the file has
+//! changed. If the new settings can't be read or are invalid, the current ones remain in use.
 
 use dogwoodhill_core::diagnostic::Diagnostics;
 use dogwoodhill_core::event::Event;
@@ -11,42 +11,43 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Interval at which the file's time of change is looked at. Settings change a
-/// few times a day, and nothing waits for them but the list of seeds.
-const INTERVAL: Duration = Duration::from_secs(3);
+/// Interval at which the modification time of the file is polled. Settings change a few
+/// times a day, and of all keys only the list of seeds is needed soon after a change.
+const POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Settings as they were read last; `None` until they changed.
-pub type Changed<S> = watch::Receiver<Option<S>>;
+/// Receives the settings read last; `None` until the first reload.
+pub type ReloadedSettings<S> = watch::Receiver<Option<S>>;
 
-/// Follows `path`, which `read` understands.
-pub fn follow<S: Send + Sync + 'static>(
+/// Watches the settings file at `path`, and parses it with `parse` after each change. `parse`
+/// gets the name of the file and its text.
+pub fn watch_settings<S: Send + Sync + 'static>(
     path: PathBuf,
-    read: fn(&str, &str) -> Result<S, Diagnostics>,
-) -> Changed<S> {
-    let (sender, changed) = watch::channel(None);
+    parse: fn(&str, &str) -> Result<S, Diagnostics>,
+) -> ReloadedSettings<S> {
+    let (sender, reloaded) = watch::channel(None);
     tokio::spawn(async move {
         let mut hangup = signal(SignalKind::hangup()).ok();
-        let mut seen = modified(&path);
+        let mut last_modified = modification_time(&path);
         loop {
             let signalled = tokio::select! {
-                () = received(&mut hangup) => true,
-                () = sleep(INTERVAL) => false,
+                () = wait_hangup(&mut hangup) => true,
+                () = sleep(POLL_INTERVAL) => false,
             };
-            let now = modified(&path);
-            if !signalled && now == seen {
+            let now = modification_time(&path);
+            if !signalled && now == last_modified {
                 continue;
             }
-            seen = now;
-            if let Some(settings) = load(&path, read, signalled) {
+            last_modified = now;
+            if let Some(settings) = load(&path, parse, signalled) {
                 sender.send_replace(Some(settings));
             }
         }
     });
-    changed
+    reloaded
 }
 
-/// Ends when the signal came; never where it can't be listened for.
-async fn received(hangup: &mut Option<Signal>) {
+/// Waits for the next `SIGHUP`; forever if no handler could be installed.
+async fn wait_hangup(hangup: &mut Option<Signal>) {
     match hangup {
         Some(hangup) => {
             hangup.recv().await;
@@ -55,13 +56,13 @@
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn modification_time(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).ok()?.modified().ok()
 }
 
 fn load<S>(
     path: &Path,
-    read: fn(&str, &str) -> Result<S, Diagnostics>,
+    parse: fn(&str, &str) -> Result<S, Diagnostics>,
     signalled: bool,
 ) -> Option<S> {
     let file = path.display().to_string();
@@ -75,7 +76,7 @@
             return None;
         }
     };
-    match read(&file, &text) {
+    match parse(&file, &text) {
         Ok(settings) => {
             Event::new("settings-reloaded")
                 .field("file", &file)
@@ -83,10 +84,10 @@
                 .info();
             Some(settings)
         }
-        Err(faults) => {
+        Err(diagnostics) => {
             Event::new("settings-refused")
                 .field("file", &file)
-                .field("faults", faults)
+                .field("faults", diagnostics)
                 .warn();
             None
         }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,8 +1,8 @@
-//! The `main` of every daemon.
+//! The `main` function of the daemons: command line, logging, runtime and signals.
 
 use crate::drain::Drain;
 use crate::log_queue::{self, LogQueue};
-use crate::reload::{self, Changed};
+use crate::reload::{self, ReloadedSettings};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use dogwoodhill_core::diagnostic::Diagnostics;
 use dogwoodhill_core::event::Event;
@@ -17,53 +17,54 @@
 pub const EXIT_USAGE: u8 = 2;
 /// Exit code for a failure at run time.
 pub const EXIT_FAILURE: u8 = 1;
-/// Environment variable that sets log levels.
+/// Environment variable with the log filter, in the syntax of `env_logger`.
 const LOG_VARIABLE: &str = "DOGWOODHILL_LOG";
-/// Log levels where the variable is not set.
-const LOG_DEFAULT: &str = "info";
+/// Log filter if the variable is not set.
+const DEFAULT_LOG_FILTER: &str = "info";
 
-/// A daemon that a program can start.
+/// A daemon that [`main`] can run.
 pub trait Daemon: Sized {
-    /// Name of the program.
+    /// Name of the program in its usage text.
     const NAME: &'static str;
     /// One line for `--help`.
     const ABOUT: &'static str;
-    /// Its settings.
+    /// Settings of the daemon, parsed from the settings file.
     type Settings: Send + Sync + 'static;
 
-    /// Reads settings from text; `file` names it in messages.
+    /// Parses `text`; diagnostics refer to it as `file`.
     ///
     /// # Errors
     ///
-    /// Every fault in the text.
-    fn settings(file: &str, text: &str) -> Result<Self::Settings, Diagnostics>;
+    /// All diagnostics of the text, not only the first.
+    fn parse_settings(file: &str, text: &str) -> Result<Self::Settings, Diagnostics>;
 
-    /// Adds arguments of its own to the command line.
+    /// Adds the daemon's own arguments to the command line.
     fn arguments(command: Command) -> Command {
         command
     }
 
-    /// Takes its own arguments into the settings.
-    fn adjust(_settings: &mut Self::Settings, _matches: &ArgMatches) {}
+    /// Applies the daemon's own arguments to the settings.
+    fn apply_arguments(_settings: &mut Self::Settings, _matches: &ArgMatches) {}
 
-    /// Runs until the drain is complete.
+    /// Runs until the drain is complete; an error is printed and ends the program with
+    /// [`EXIT_FAILURE`].
     fn run(
         settings: Self::Settings,
         drain: Drain,
     ) -> impl Future<Output = Result<(), String>> + Send;
 
-    /// Runs like [`Daemon::run`] and follows changes of the settings. A daemon
-    /// that does not override it keeps the settings it started with.
-    fn run_reloading(
+    /// Like [`Daemon::run`], and applies reloaded settings while it runs. By default the
+    /// settings at start remain in use.
+    fn run_with_reload(
         settings: Self::Settings,
         drain: Drain,
-        _changed: Changed<Self::Settings>,
+        _reloaded: ReloadedSettings<Self::Settings>,
     ) -> impl Future<Output = Result<(), String>> + Send {
         Self::run(settings, drain)
     }
 }
 
-/// Command line shared by all daemons.
+/// Arguments common to all daemons: `--settings` and `--check`.
 pub fn command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .version(env!("CARGO_PKG_VERSION"))
@@ -84,11 +85,12 @@
         )
 }
 
-/// Runs a daemon as a program.
+/// Parses the command line, reads the settings, and runs the daemon until it has drained or
+/// failed. Exits with [`EXIT_USAGE`] on faulty settings.
 pub fn main<D: Daemon>() -> ExitCode {
     start_log();
     let matches = D::arguments(command(D::NAME, D::ABOUT)).get_matches();
-    let mut settings = match read::<D>(&matches) {
+    let mut settings = match read_settings::<D>(&matches) {
         Ok(settings) => settings,
         Err(text) => {
             eprintln!("{text}");
@@ -99,11 +101,11 @@
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    D::adjust(&mut settings, &matches);
+    D::apply_arguments(&mut settings, &matches);
     let path = settings_path(&matches);
     block_on(move |drain| async move {
-        let changed = reload::follow(path, D::settings);
-        D::run_reloading(settings, drain, changed).await
+        let reloaded = reload::watch_settings(path, D::parse_settings);
+        D::run_with_reload(settings, drain, reloaded).await
     })
 }
 
@@ -112,17 +114,17 @@
     path.expect("clap requires it").clone()
 }
 
-fn read<D: Daemon>(matches: &ArgMatches) -> Result<D::Settings, String> {
+fn read_settings<D: Daemon>(matches: &ArgMatches) -> Result<D::Settings, String> {
     let path = settings_path(matches);
     let file = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|error| {
         format!("{file}: {error}; name a readable file of UTF-8 text")
     })?;
-    D::settings(&file, &text).map_err(|faults| faults.to_string())
+    D::parse_settings(&file, &text).map_err(|diagnostics| diagnostics.to_string())
 }
 
-/// A runtime with a thread for each processor. On one processor a single
-/// thread does all, which saves the switches between threads.
+/// A runtime with one worker thread per processor. On a single processor it runs on the
+/// current thread, which avoids switches between threads.
 fn runtime() -> std::io::Result<Runtime> {
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     let mut builder = match processors {
@@ -132,8 +134,8 @@
     builder.enable_all().build()
 }
 
-/// Runs `work` on a runtime with a drain that signals begin; a second signal
-/// ends the process at once.
+/// Runs `work` on a new runtime. Its drain begins on `SIGTERM` or `SIGINT`; a second signal
+/// exits the process at once. An error of `work` is printed to standard error.
 pub fn block_on<W, F, E>(work: W) -> ExitCode
 where
     W: FnOnce(Drain) -> F,
@@ -148,20 +150,20 @@
         }
     };
     let drain = Drain::default();
-    runtime.spawn(follow_signals(drain.clone()));
-    let ended = runtime.block_on(work(drain));
-    let code = match ended {
+    runtime.spawn(handle_signals(drain.clone()));
+    let result = runtime.block_on(work(drain));
+    let code = match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
             ExitCode::from(EXIT_FAILURE)
         }
     };
-    log_queue::finish();
+    log_queue::flush();
     code
 }
 
-async fn follow_signals(drain: Drain) {
+async fn handle_signals(drain: Drain) {
     let signals = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -175,7 +177,7 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        if drain.begun() {
+        if drain.has_begun() {
             Event::new("stopped-by-second-signal").warn();
             std::process::exit(EXIT_FAILURE.into());
         }
@@ -184,41 +186,41 @@
     }
 }
 
-/// Sets up logging of a daemon: one line for each event on standard output,
-/// written by a thread of its own so that nobody waits for a reader.
+/// Sets up logging of a daemon: one line per event on standard output, written by a separate
+/// thread so that a slow reader blocks no task.
 pub fn start_log() {
     log_to(std::io::stdout());
 }
 
-/// Sets up logging of a tool that prints its results: the lines go to standard
-/// error.
+/// Sets up logging of a tool that prints its results to standard output: log lines go to
+/// standard error.
 pub fn start_tool_log() {
     log_to(std::io::stderr());
 }
 
 fn log_to(out: impl Write + Send + 'static) {
-    let environment = env_logger::Env::new().filter_or(LOG_VARIABLE, LOG_DEFAULT);
+    let environment = env_logger::Env::new().filter_or(LOG_VARIABLE, DEFAULT_LOG_FILTER);
     let queue = LogQueue::start(out);
     let _ = env_logger::Builder::from_env(environment)
         .target(env_logger::Target::Pipe(Box::new(queue)))
         .write_style(env_logger::WriteStyle::Never)
         .format(|out, record| {
-            let at = std::time::SystemTime::now()
+            let time = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap_or_default();
             let level = record.level().as_str().to_ascii_lowercase();
             writeln!(
                 out,
                 "time={}.{:03} level={level} {}",
-                at.as_secs(),
-                at.subsec_millis(),
+                time.as_secs(),
+                time.subsec_millis(),
                 record.args()
             )
         })
         .try_init();
 }
 
-/// Turns an error with its causes into the line a program prints.
+/// Formats an error with its causes on one line.
 pub fn describe(error: impl Display) -> String {
     format!("{error:#}")
 }
--- a/crates/daemon/tests/daemon.rs
+++ b/crates/daemon/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! Log lines that nobody reads, and settings that change.
+//! The log queue under an output that is not read, and reloading of settings.
 
 use dogwoodhill_daemon::log_queue::LogQueue;
 use dogwoodhill_daemon::reload;
@@ -7,30 +7,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An output that blocks until it is released, as a full pipe does.
-struct Stuck {
+/// An output that blocks like a full pipe until it is released.
+struct BlockedOutput {
     release: Receiver<()>,
     text: Arc<Mutex<Vec<u8>>>,
-    free: bool,
+    released: bool,
 }
 
-impl Stuck {
+impl BlockedOutput {
     fn new() -> (Self, Sender<()>, Arc<Mutex<Vec<u8>>>) {
         let (sender, release) = channel();
         let text = Arc::new(Mutex::new(Vec::new()));
-        let stuck = Self {
+        let output = Self {
             release,
             text: Arc::clone(&text),
-            free: false,
+            released: false,
         };
-        (stuck, sender, text)
+        (output, sender, text)
     }
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.free {
-            self.free = self.release.recv().is_ok();
+        if !self.released {
+            self.released = self.release.recv().is_ok();
         }
         self.text.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -45,7 +45,7 @@
     String::from_utf8_lossy(&out.lock().unwrap()).into_owned()
 }
 
-fn until(what: &str, mut done: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(30);
     while !done() {
         assert!(Instant::now() < end, "{what}");
@@ -54,20 +54,20 @@
 }
 
 #[test]
-fn write_never_blocks_and_tells_what_was_dropped() {
-    let (stuck, release, out) = Stuck::new();
-    let mut queue = LogQueue::start(stuck);
-    // Were this to block, the test would hang: nobody releases the output.
+fn log_queue_blocked_output_drops_and_reports() {
+    let (output, release, out) = BlockedOutput::new();
+    let mut queue = LogQueue::start(output);
+    // A write that blocked would hang the test, as the output is not released yet.
     for i in 0..5_000 {
         let line = format!("time=1.000 level=info event=e number={i}\n");
         assert_eq!(queue.write(line.as_bytes()).unwrap(), line.len());
     }
     release.send(()).unwrap();
-    until("the first lines are written", || {
+    wait_until("the first lines are written", || {
         text(&out).contains("number=0\n")
     });
-    // The next second's budget has room again.
-    until("what was dropped is told", || {
+    // The budget of the next window admits lines again.
+    wait_until("the number of dropped lines is logged", || {
         let _ = queue.write(b"time=2.000 level=warn event=later\n");
         std::thread::sleep(Duration::from_millis(200));
         text(&out).contains("event=log-lines-dropped count=")
@@ -76,10 +76,10 @@
 }
 
 #[test]
-fn write_keeps_room_for_warnings() {
-    let (stuck, release, out) = Stuck::new();
+fn log_queue_reserves_budget_for_errors() {
+    let (output, release, out) = BlockedOutput::new();
     release.send(()).unwrap();
-    let mut queue = LogQueue::start(stuck);
+    let mut queue = LogQueue::start(output);
     for _ in 0..2_000 {
         queue
             .write_all(b"time=1.000 level=info event=usual\n")
@@ -88,36 +88,33 @@
     queue
         .write_all(b"time=1.000 level=error event=rare\n")
         .unwrap();
-    until("the error is written", || text(&out).contains("event=rare"));
+    wait_until("the error is written", || text(&out).contains("event=rare"));
 }
 
 #[tokio::test]
-async fn follow_takes_readable_changes_only() {
+async fn watch_settings_ignores_invalid_text() {
     let path =
         std::env::temp_dir().join(format!("dogwoodhill-reload-{}", std::process::id()));
     let write = |text: &str, second: u64| {
         std::fs::write(&path, text).unwrap();
         let file = std::fs::File::options().write(true).open(&path).unwrap();
-        // Times of change differ, however fast the writes follow.
+        // Explicit modification times, so that they differ however close the writes are.
         let time = std::time::UNIX_EPOCH + Duration::from_secs(second);
         file.set_modified(time).unwrap();
     };
     write("{\"number\": 1}", 1_000);
-    let read = |file: &str, text: &str| {
+    let parse = |file: &str, text: &str| {
         dogwoodhill_core::text::Text::read(file, text, |s| s.count("number", 0..=9, None))
     };
-    let mut changed = reload::follow(path.clone(), read);
+    let mut reloaded = reload::watch_settings(path.clone(), parse);
     write("{\"number\": broken", 2_000);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    assert!(
-        changed.borrow().is_none(),
-        "what can't be read changes nothing"
-    );
+    assert!(reloaded.borrow().is_none(), "invalid settings are ignored");
     write("{\"number\": 7}", 3_000);
-    tokio::time::timeout(Duration::from_secs(30), changed.changed())
+    tokio::time::timeout(Duration::from_secs(30), reloaded.changed())
         .await
         .expect("the change is seen")
         .unwrap();
-    assert_eq!(*changed.borrow(), Some(7));
+    assert_eq!(*reloaded.borrow(), Some(7));
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -166,7 +166,7 @@
     }
 
     /// Serves until the drain is complete; follows changes of the settings.
-    pub async fn run(self, mut changed: Changed<Settings>) {
+    pub async fn run(self, mut changed: ReloadedSettings<Settings>) {
         Event::new("entry-started")
             .field("name", &self.settings.name)
             .field("domain", &self.settings.domain)
@@ -213,7 +213,7 @@
             tokio::spawn(status.serve(health, Drain::default(), Duration::ZERO));
         let drain = shared.drain.clone();
         let stop = async {
-            drain.wait().await;
+            drain.wait_begun().await;
             let begun = Instant::now();
             let _ = shared.stopping.set(begun);
             sleep_until(begun + settings.linger).await;
@@ -221,10 +221,10 @@
         serve::accept(callers, Arc::clone(&shared), stop).await;
         let begun = shared.stopping.get().copied().unwrap_or_else(Instant::now);
         let last = begun + settings.grace.saturating_sub(RESERVE);
-        let finished = timeout_at(last, drain.idle()).await.is_ok();
+        let finished = timeout_at(last, drain.wait_idle()).await.is_ok();
         Event::new("entry-stopped")
             .field("finished", finished)
-            .field("cut", drain.busy())
+            .field("cut", drain.active())
             .field("after_ms", begun.elapsed().as_millis())
             .info();
         if let Some((counted, follower, task)) = counting {
@@ -252,7 +252,7 @@
 /// Whether the entry can serve: it has routes and endpoints, and goes on.
 fn ready(shared: &Shared) -> bool {
     let routes = shared.routes.load().is_some();
-    routes && !shared.directory.all().is_empty() && !shared.drain.begun()
+    routes && !shared.directory.all().is_empty() && !shared.drain.has_begun()
 }
 
 fn status_routes(shared: &Arc<Shared>, metrics: &Metrics, path: &str) -> Router {
@@ -271,5 +271,5 @@
             }
         }
     };
-    health::routes(&shared.drain, metrics, health_ready).route(path, get(answer))
+    health::router(&shared.drain, metrics, health_ready).route(path, get(answer))
 }
--- a/crates/direct/src/job.rs
+++ b/crates/direct/src/job.rs
@@ -83,7 +83,7 @@
     may_have_run: bool,
     /// Counts it once an endpoint has begun it.
     begun: Arc<Begun>,
-    _busy: Busy,
+    _busy: DrainGuard,
 }
 
 /// What sending led to.
@@ -100,7 +100,7 @@
         shared: Arc<Shared>,
         prepared: Prepared,
         mut record: Record,
-        busy: Busy,
+        busy: DrainGuard,
     ) -> Self {
         let Prepared {
             until,
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -242,7 +242,7 @@
 
     /// Ends when the entry is about to stop and requests can't wait any longer.
     async fn outlived(&self) {
-        self.drain.wait().await;
+        self.drain.wait_begun().await;
         let begun = Instant::now();
         let last = begun + self.grace.saturating_sub(LAST_ANSWERS);
         sleep_until(self.last_answers().unwrap_or(last)).await;
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -193,7 +193,7 @@
             let stopping = shared.drain.clone();
             let mut response = shared.answer(request).await;
             response.body_mut().hold(working);
-            if stopping.begun() {
+            if stopping.has_begun() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -60,7 +60,7 @@
                 "Streams by how they ended",
                 &["end", "cause"],
             ),
-            first: metrics.seconds(
+            first: metrics.histogram(
                 "dogwoodhill_direct_first_byte_seconds",
                 "Time from a request's head to the head of its answer",
             ),
@@ -84,7 +84,7 @@
                 "Version of the route set, endpoints known, leaving and limited, control instances",
                 &["what"],
             ),
-            list_age: metrics.seconds(
+            list_age: metrics.histogram(
                 "dogwoodhill_direct_list_age_seconds",
                 "Age of the list of endpoints in use at each choice of one",
             ),
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -120,7 +120,7 @@
         self.listener
             .serve(router(&core), drain.clone(), linger)
             .await;
-        drain.idle().await;
+        drain.wait_idle().await;
         ticking.abort();
         following.abort();
         Event::new("entry-stopped").info();
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -31,7 +31,7 @@
     core: &Arc<Core>,
     call: Call,
     arrived: Instant,
-    busy: Busy,
+    busy: DrainGuard,
 ) -> Result<Response, Refusal> {
     let Some(take) = take_of(core, &call) else {
         return run(core, call, arrived, busy).await;
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -33,7 +33,7 @@
         .route("/v1/burn", get(burn))
         .fallback(unknown_path)
         .with_state(Arc::clone(core))
-        .merge(health::routes(&core.drain, &core.metrics, ready))
+        .merge(health::router(&core.drain, &core.metrics, ready))
 }
 
 type Reader = fn(&Arc<Table>, RequestId, &Parts, Bytes) -> Result<Call, Refusal>;
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -28,7 +28,7 @@
     core: Arc<Core>,
     call: Call,
     arrived: Instant,
-    busy: Busy,
+    busy: DrainGuard,
 ) -> Result<Response, Refusal> {
     match call.class.repeat {
         Repeat::Allowed => run(&core, call, arrived, busy).await,
@@ -50,7 +50,7 @@
     core: &Arc<Core>,
     call: Call,
     arrived: Instant,
-    busy: Busy,
+    busy: DrainGuard,
 ) -> Result<Response, Refusal> {
     let done = attempt(core, &call, arrived).await;
     let Done { ran, held } = done.inspect_err(|refusal| {
@@ -131,7 +131,7 @@
     ran: Ran,
     held: Held,
     arrived: Instant,
-    busy: Busy,
+    busy: DrainGuard,
 ) -> Response {
     // A long stream need not hold what was sent.
     call.body = Bytes::new();
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -46,11 +46,11 @@
                 "Tries that an agent refused or that found no agent",
                 &["service"],
             ),
-            first: metrics.seconds(
+            first: metrics.histogram(
                 "dogwoodhill_entry_first_byte_seconds",
                 "Time from arrival to the first byte of the answer",
             ),
-            total: metrics.seconds(
+            total: metrics.histogram(
                 "dogwoodhill_entry_answer_seconds",
                 "Time from arrival to the end of the answer",
             ),
@@ -146,7 +146,7 @@
     /// Tries that may have run beside this one.
     pub wasted: u32,
     /// Keeps the drain waiting until the answer's end.
-    pub busy: Busy,
+    pub busy: DrainGuard,
     /// The workspace's count.
     pub held: Held,
 }
--- a/crates/load/src/program.rs
+++ b/crates/load/src/program.rs
@@ -24,7 +24,7 @@
         Some(("plain", sub)) => plain(sub, drain).await,
         _ => tokio::select! {
             measured = measure(matches) => measured,
-            () = drain.wait() => Err("stopped before the end".to_string()),
+            () = drain.wait_begun() => Err("stopped before the end".to_string()),
         },
     }
 }
--- a/src/bin/dogwoodhill-agent.rs
+++ b/src/bin/dogwoodhill-agent.rs
@@ -13,7 +13,7 @@
     const ABOUT: &'static str = "Starts, refuses and relays requests of one endpoint";
     type Settings = Settings;
 
-    fn settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
+    fn parse_settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
         Settings::parse(file, text)
     }
 
--- a/src/bin/dogwoodhill-control.rs
+++ b/src/bin/dogwoodhill-control.rs
@@ -15,7 +15,7 @@
     const ABOUT: &'static str = "Keeps service documents, claims and leases";
     type Settings = Settings;
 
-    fn settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
+    fn parse_settings(file: &str, text: &str) -> Result<Settings, Diagnostics> {
         Settings::parse(file, text)
     }
 
@@ -32,7 +32,7 @@
         command.arg(bootstrap).arg(join)
     }
 
-    fn adjust(settings: &mut Settings, matches: &ArgMatches) {
+    fn apply_arguments(settings: &mut Settings, matches: &ArgMatches) {
         if matches.get_flag("bootstrap") {
             settings.start = Start::Bootstrap;
         }
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -16,7 +16,7 @@
     let path = "/v1/chat/completions";
     let request = crate::support::request("POST", callers, path, &[], &body);
     let asked = tokio::spawn(crate::support::send(request));
-    while running.drain.busy() == 0 {
+    while running.drain.active() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     running.stop().await;
