--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,8 +1,8 @@
 //! A monotonic clock that advances while the machine is suspended.
 //!
-//! `CLOCK_MONOTONIC`, the clock of [`Instant`], stops during a suspension. With it, a process
-//! that was suspended for ten seconds would compute ages ten seconds too short, and report
-//! stale data to other processes as fresh.
+//! `CLOCK_MONOTONIC`, the clock of [`Instant`], stops during a suspension. With it, a
+//! process that was suspended for ten seconds would compute ages ten seconds too short,
+//! and report stale data to other processes as fresh.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::OnceLock;
--- a/crates/daemon/src/health.rs
+++ b/crates/daemon/src/health.rs
@@ -10,8 +10,8 @@
 /// Reports whether a daemon can do its work at present.
 pub type ReadinessCheck = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Router with the routes that every daemon serves. `/readyz` answers 503 if `ready` returns
-/// `false` or once the drain has begun.
+/// Router with the routes that every daemon serves. `/readyz` answers 503 if `ready`
+/// returns `false` or once the drain has begun.
 pub fn router(drain: &Drain, metrics: &Metrics, ready: ReadinessCheck) -> Router {
     let drain = drain.clone();
     let metrics = metrics.clone();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,10 @@
 //! Common parts of the daemons: command line, listener, drain, metrics and logging.
 //!
-//! Each program is a thin `main` around [`run::main`], which reads and checks the settings,
-//! sets up logging, runs the daemon, and begins a graceful drain on the first `SIGTERM` or
-//! `SIGINT`. A daemon is a library type that tests and the all-in-one program can start as
-//! well, several in one process. Apart from the log, no state is therefore global: each
-//! daemon has its own [`drain::Drain`] and [`metrics::Metrics`].
+//! Each program is a thin `main` around [`run::main`], which reads and checks the
+//! settings, sets up logging, runs the daemon, and begins a graceful drain on the first
+//! `SIGTERM` or `SIGINT`. A daemon is a library type that tests and the all-in-one
+//! program can start as well, several in one process. Apart from the log, no state is
+//! therefore global: each daemon has its own [`drain::Drain`] and [`metrics::Metrics`].
 
 pub mod clock;
 pub mod drain;
--- a/crates/daemon/src/listen.rs
+++ b/crates/daemon/src/listen.rs
@@ -1,5 +1,5 @@
-//! The HTTP listener: accepts connections, limits the size and time of request heads and the
-//! number of streams, and closes connections gracefully.
+//! The HTTP listener: accepts connections, limits the size and time of request heads and
+//! the number of streams, and closes connections gracefully.
 
 use crate::drain::Drain;
 use axum::Router;
@@ -18,13 +18,14 @@
 pub const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Time within which an HTTP/1 client must send the whole head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Delay after a failed accept. Without it the accept loop would spin while the process is
-/// out of file descriptors.
+/// Delay after a failed accept. Without it the accept loop would spin while the process
+/// is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Flow-control window of one inbound HTTP/2 stream, in bytes. It bounds how much of a large
-/// message can be queued on the link ahead of a keep-alive ping: with the library's default
-/// of 1 MiB a ping waits about 1 s on a 10 Mbit/s link, and the connection is taken for
-/// dead. 64 KiB still sustains 20 MB/s at the 3 ms round trip between failure domains.
+/// Flow-control window of one inbound HTTP/2 stream, in bytes. It bounds how much of a
+/// large message can be queued on the link ahead of a keep-alive ping: with the library's
+/// default of 1 MiB a ping waits about 1 s on a 10 Mbit/s link, and the connection is
+/// taken for dead. 64 KiB still sustains 20 MB/s at the 3 ms round trip between failure
+/// domains.
 const STREAM_WINDOW_BYTES: u32 = 64 * 1024;
 /// Most concurrent HTTP/2 streams on one connection.
 const MAX_STREAMS: u32 = 4096;
@@ -66,9 +67,9 @@
         self.address
     }
 
-    /// Serves `router` until `drain` has begun, `linger` has passed and every connection is
-    /// closed. New connections are accepted during `linger`, so that a load balancer that
-    /// has not yet polled the changed `/readyz` loses no request.
+    /// Serves `router` until `drain` has begun, `linger` has passed and every connection
+    /// is closed. New connections are accepted during `linger`, so that a load balancer
+    /// that has not yet polled the changed `/readyz` loses no request.
     pub async fn serve(self, router: Router, drain: Drain, linger: Duration) {
         let graceful = GracefulShutdown::new();
         let server = server();
--- a/crates/daemon/src/log_queue.rs
+++ b/crates/daemon/src/log_queue.rs
@@ -1,10 +1,10 @@
 //! Bounded queue between the logger and the output.
 //!
-//! A write to a pipe that is not read blocks the writer. Log lines therefore pass through a
-//! bounded queue to a writer thread, so that logging never blocks. A line that exceeds the
-//! queue or the budget of its second is dropped and counted, and the count is logged as
-//! `event=log-lines-dropped` as soon as a line fits again. A part of the budget is reserved
-//! for warnings and errors.
+//! A write to a pipe that is not read blocks the writer. Log lines therefore pass through
+//! a bounded queue to a writer thread, so that logging never blocks. A line that exceeds
+//! the queue or the budget of its second is dropped and counted, and the count is logged
+//! as `event=log-lines-dropped` as soon as a line fits again. A part of the budget is
+//! reserved for warnings and errors.
 
 use std::io::{self, Write};
 use std::sync::OnceLock;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Prometheus metrics of one daemon, in a registry of its own: several daemons can run in one
-//! process.
+//! Prometheus metrics of one daemon, in a registry of its own: several daemons can run in
+//! one process.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -7,8 +7,8 @@
     TextEncoder,
 };
 
-/// Upper bounds of the latency buckets in seconds, from far below the shortest target to the
-/// longest deadline.
+/// Upper bounds of the latency buckets in seconds, from far below the shortest target to
+/// the longest deadline.
 const LATENCY_BUCKETS_S: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
     60.0, 300.0,
@@ -18,8 +18,8 @@
 ///
 /// # Panics
 ///
-/// The methods that add a metric panic if its name is invalid or already registered: names
-/// are constants of the program.
+/// The methods that add a metric panic if its name is invalid or already registered:
+/// names are constants of the program.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     registry: Registry,
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,9 +1,9 @@
 //! The platform's list of live and leaving instances.
 //!
-//! The list lags behind the instances. It is therefore used only to stop sending work to an
-//! instance, never as evidence that one is healthy. Platforms publish it in different ways,
-//! so it is read through the trait [`PlatformList`]; implementations for a file and for an
-//! HTTP URL are provided. Both read the same JSON:
+//! The list lags behind the instances. It is therefore used only to stop sending work to
+//! an instance, never as evidence that one is healthy. Platforms publish it in different
+//! ways, so it is read through the trait [`PlatformList`]; implementations for a file and
+//! for an HTTP URL are provided. Both read the same JSON:
 //! `{"instances":[{"address":"10.0.0.7","leaving":true}]}`.
 
 use bytes::Bytes;
@@ -62,8 +62,8 @@
 
 /// A source of the platform's list.
 pub trait PlatformList: Send + Sync + Debug {
-    /// Reads the current list. The future fails with [`PlatformListError`] if the source can't
-    /// be read or its content is not a valid list.
+    /// Reads the current list. The future fails with [`PlatformListError`] if the source
+    /// can't be read or its content is not a valid list.
     fn fetch(&self) -> FetchFuture<'_>;
 }
 
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,7 +1,8 @@
 //! Reloading of the settings file.
 //!
 //! The settings are read again on `SIGHUP` and when the modification time of the file has
-//! changed. If the new settings can't be read or are invalid, the current ones remain in use.
+//! changed. If the new settings can't be read or are invalid, the current ones remain in
+//! use.
 
 use dogwoodhill_core::diagnostic::Diagnostics;
 use dogwoodhill_core::event::Event;
@@ -18,8 +19,8 @@
 /// Receives the settings read last; `None` until the first reload.
 pub type ReloadedSettings<S> = watch::Receiver<Option<S>>;
 
-/// Watches the settings file at `path`, and parses it with `parse` after each change. `parse`
-/// gets the name of the file and its text.
+/// Watches the settings file at `path`, and parses it with `parse` after each change.
+/// `parse` gets the name of the file and its text.
 pub fn watch_settings<S: Send + Sync + 'static>(
     path: PathBuf,
     parse: fn(&str, &str) -> Result<S, Diagnostics>,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -85,8 +85,8 @@
         )
 }
 
-/// Parses the command line, reads the settings, and runs the daemon until it has drained or
-/// failed. Exits with [`EXIT_USAGE`] on faulty settings.
+/// Parses the command line, reads the settings, and runs the daemon until it has drained
+/// or failed. Exits with [`EXIT_USAGE`] on faulty settings.
 pub fn main<D: Daemon>() -> ExitCode {
     start_log();
     let matches = D::arguments(command(D::NAME, D::ABOUT)).get_matches();
@@ -134,8 +134,8 @@
     builder.enable_all().build()
 }
 
-/// Runs `work` on a new runtime. Its drain begins on `SIGTERM` or `SIGINT`; a second signal
-/// exits the process at once. An error of `work` is printed to standard error.
+/// Runs `work` on a new runtime. Its drain begins on `SIGTERM` or `SIGINT`; a second
+/// signal exits the process at once. An error of `work` is printed to standard error.
 pub fn block_on<W, F, E>(work: W) -> ExitCode
 where
     W: FnOnce(Drain) -> F,
@@ -186,8 +186,8 @@
     }
 }
 
-/// Sets up logging of a daemon: one line per event on standard output, written by a separate
-/// thread so that a slow reader blocks no task.
+/// Sets up logging of a daemon: one line per event on standard output, written by a
+/// separate thread so that a slow reader blocks no task.
 pub fn start_log() {
     log_to(std::io::stdout());
 }
