--- a/crates/report/src/arguments.rs
+++ b/crates/report/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The command line's grammar.
+//! Command-line arguments of the report program.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The whole grammar.
+/// Builds the parser of the command line, including the help text.
 pub fn command() -> Command {
     Command::new("dogwoodhill-report")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,11 +1,11 @@
-//! The report on service-level burn.
+//! Report on the burn rate of service-level objectives.
 //!
-//! Entries count how requests ended, by class and minute
-//! ([`dogwoodhill_core::burn`]). The report reads the counts of all entries it
-//! is given, adds them up ([`burn`]), and shows them as a table ([`table`]),
-//! as JSON, or as one page that needs nothing else ([`page`]). Counts are
-//! added by minute, so the result does not depend on the order of reading;
-//! an entry that can't be read is named, never silently left out.
+//! Entries count the outcomes of requests by class and minute
+//! ([`dogwoodhill_core::burn`]). The report fetches the counts of all given entries
+//! ([`fetch`]), sums them ([`burn`]), and writes a table ([`table`]), JSON, or a
+//! self-contained HTML page ([`page`]). Counts are summed per minute, so the result does
+//! not depend on the order in which the entries are read. An entry that can't be read is
+//! listed as such, never omitted silently.
 
 pub mod arguments;
 pub mod burn;
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -1,10 +1,11 @@
-//! The report as a table for a terminal.
+//! Renders the report as a table for a terminal.
 
-use crate::burn::{Burn, Row, Window};
+use crate::burn::{BurnReport, Row, Window};
 use std::fmt::Write;
 
-/// Writes the table.
-pub fn table(burn: &Burn) -> String {
+/// Renders `report` with one line per class and one line per entry that could not be
+/// read.
+pub fn render_table(report: &BurnReport) -> String {
     let mut out = format!(
         "{:<14} {:<12} {:<34} {:>6} {:>16} {:>16} {:>16} {:>9} {:>9} {:>9}\n",
         "service",
@@ -18,16 +19,16 @@
         "discarded",
         "doubled"
     );
-    for row in &burn.rows {
-        out.push_str(&line(row));
+    for row in &report.rows {
+        out.push_str(&table_line(row));
     }
-    for entry in &burn.unread {
+    for entry in &report.unread {
         let _ = writeln!(out, "not read: {entry}");
     }
     out
 }
 
-fn line(row: &Row) -> String {
+fn table_line(row: &Row) -> String {
     let counts = &row.total.counts;
     format!(
         "{:<14} {:<12} {:<34} {:>6} {:>16} {:>16} {:>16} {:>9} {:>9} {:>9}\n",
@@ -35,17 +36,17 @@
         row.class,
         row.target,
         format!("{:.1}%", row.objective * 100.0),
-        cell(&row.short),
-        cell(&row.long),
-        cell(&row.total),
+        format_window(&row.short),
+        format_window(&row.long),
+        format_window(&row.total),
         counts.tokens,
         counts.discarded,
         counts.duplicated
     )
 }
 
-/// Attainment with burn, or a dash without requests.
-pub(crate) fn cell(window: &Window) -> String {
+/// Attainment in percent and burn rate, or a dash if there were no eligible requests.
+pub(crate) fn format_window(window: &Window) -> String {
     match (window.attainment, window.burn) {
         (Some(share), Some(burn)) => format!("{:.1}% ({burn:.1})", share * 100.0),
         _ => "-".to_string(),
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -1,9 +1,9 @@
-//! Merging, windows, and what the report shows.
+//! Merging of rings, windows, and the rendered report.
 
 use dogwoodhill_core::burn::{Counts, MINUTES, Ring};
-use dogwoodhill_report::burn::{Burn, merge, row};
-use dogwoodhill_report::page::page;
-use dogwoodhill_report::table::table;
+use dogwoodhill_report::burn::{BurnReport, merge, row};
+use dogwoodhill_report::page::render_page;
+use dogwoodhill_report::table::render_table;
 
 const NOW: u64 = 1_000_000;
 
@@ -26,7 +26,7 @@
     ring
 }
 
-fn sample() -> Burn {
+fn sample() -> BurnReport {
     let first = vec![ring(
         "interactive",
         &[(90, counts(5, 5)), (30, counts(80, 20))],
@@ -36,7 +36,7 @@
         ring("interactive", &[(30, counts(100, 0)), (1, counts(99, 1))]),
     ];
     let rings = merge(vec![first, second]);
-    Burn {
+    BurnReport {
         minute: NOW,
         read: vec!["127.0.0.1:1".to_string()],
         unread: vec!["127.0.0.1:2".to_string()],
@@ -46,32 +46,32 @@
 
 #[test]
 fn merge_adds_same_minutes() {
-    let burn = sample();
-    let row = &burn.rows[1];
+    let report = sample();
+    let row = &report.rows[1];
     assert_eq!(row.class, "interactive");
     assert_eq!(row.short.counts, counts(99, 1));
     assert_eq!(row.long.counts.eligible(), 300);
     assert_eq!(row.long.counts.missed, 21);
     assert_eq!(row.total.counts.eligible(), 310);
-    // 21 of 300 missed where 15 are allowed.
+    // 21 of 300 requests missed the target, and the objective of 0.95 allows 15.
     assert!((row.long.burn.unwrap() - 1.4).abs() < 1e-9);
 }
 
 #[test]
-fn merge_order_does_not_matter() {
+fn merge_ignores_order() {
     let lists = || {
         vec![
             vec![ring("a", &[(3, counts(1, 0))])],
             vec![ring("a", &[(3, counts(0, 2)), (1, counts(4, 0))])],
         ]
     };
-    let mut turned = lists();
-    turned.reverse();
-    assert_eq!(merge(lists()), merge(turned));
+    let mut reversed = lists();
+    reversed.reverse();
+    assert_eq!(merge(lists()), merge(reversed));
 }
 
 #[test]
-fn ring_forgets_beyond_an_hour() {
+fn ring_drops_buckets_beyond_an_hour() {
     let mut ring = ring("a", &[]);
     for minute in 0..200 {
         ring.add(minute, counts(1, 0));
@@ -82,15 +82,15 @@
 
 #[test]
 fn table_shows_rows_and_unread_entries() {
-    insta::assert_snapshot!(table(&sample()));
+    insta::assert_snapshot!(render_table(&sample()));
 }
 
 #[test]
-fn page_stands_alone_and_escapes() {
-    let mut burn = sample();
-    burn.rows[0].class = "<script>".to_string();
-    let page = page(&burn).unwrap();
-    assert!(page.contains("<svg"), "the plot is part of the page");
+fn page_self_contained_and_escaped() {
+    let mut report = sample();
+    report.rows[0].class = "<script>".to_string();
+    let page = render_page(&report).unwrap();
+    assert!(page.contains("<svg"), "the plot is inline");
     assert!(!page.contains("<script"), "names are escaped");
     assert!(!page.contains("http://") || page.contains("w3.org"));
     assert!(page.contains("not read: 127.0.0.1:2"));
--- a/src/bin/dogwoodhill-report.rs
+++ b/src/bin/dogwoodhill-report.rs
@@ -1,8 +1,8 @@
-//! The report on service-level burn.
+//! Prints the report on the burn rate of service-level objectives.
 
 use dogwoodhill::daemon::run::{EXIT_FAILURE, EXIT_USAGE};
 use dogwoodhill::report::arguments;
-use dogwoodhill::report::program::{Failure, run};
+use dogwoodhill::report::program::{ReportError, run};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -16,11 +16,11 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(failure) => {
-            eprintln!("{failure}");
-            ExitCode::from(match failure {
-                Failure::Faulty(_) => EXIT_USAGE,
-                Failure::Failed(_) => EXIT_FAILURE,
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(match error {
+                ReportError::InvalidInput(_) => EXIT_USAGE,
+                ReportError::Failed(_) => EXIT_FAILURE,
             })
         }
     }
