--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The command line's grammar.
+//! Command-line arguments of the operator's program.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The whole grammar.
+/// Builds the parser of the command line with its subcommands and help texts.
 pub fn command() -> Command {
     Command::new("dogwoodhill-ctl")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,6 +1,6 @@
-//! Calls to the operators' interface of the control instances.
+//! HTTP client for the operators' API of the control instances.
 
-use crate::{Exit, Failure};
+use crate::{CommandError, Exit};
 use bytes::Bytes;
 use dogwoodhill_control::operators::ErrorBody;
 use http::{Method, Request, StatusCode, header};
@@ -13,29 +13,30 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for one instance.
-const PER_INSTANCE: Duration = Duration::from_secs(4);
-/// Rounds over all instances before a command gives up.
-const ROUNDS: usize = 3;
-/// Pause between rounds.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Timeout of one call to one instance.
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Number of times that all instances are tried before a command fails.
+const MAX_ROUNDS: usize = 3;
+/// Delay between two rounds.
+const ROUND_DELAY: Duration = Duration::from_millis(500);
 
-/// The control instances, as an operator sees them.
+/// Client of the control instances, with an operator's key.
 #[derive(Debug)]
-pub struct Operator {
+pub struct OperatorClient {
     control: Vec<SocketAddr>,
     key: String,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// An answer.
-struct Answer {
+/// A response with its whole body.
+struct ControlResponse {
     status: StatusCode,
     body: Bytes,
 }
 
-impl Operator {
-    /// Calls the instances at `control` with `key`.
+impl OperatorClient {
+    /// A client of the instances at `control`, which authenticates with `key`. No
+    /// connection is made before the first call.
     pub fn new(control: Vec<SocketAddr>, key: String) -> Self {
         Self {
             control,
@@ -44,33 +45,36 @@
         }
     }
 
-    /// Calls instances in turn until one answers. All calls may be repeated.
+    /// Calls the instances in turn until one answers with a status other than 503. Calls
+    /// are idempotent, so they may be repeated after a timeout or a lost response.
     ///
     /// # Errors
     ///
-    /// [`Failure`] with the exit code of the answer.
+    /// [`CommandError`] with the exit code for the status of the response. If no response
+    /// arrives, the exit code is [`Exit::Unconfirmed`] for `PUT`, since the change may have
+    /// come into force, and [`Exit::Failed`] otherwise.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: &str,
-    ) -> Result<Bytes, Failure> {
-        let mut last = Failure::new(
+    ) -> Result<Bytes, CommandError> {
+        let mut last = CommandError::new(
             Exit::Failed,
             "no control instance answered; check --control and the network",
         );
-        for round in 0..ROUNDS {
+        for round in 0..MAX_ROUNDS {
             if round > 0 {
-                sleep(PAUSE).await;
+                sleep(ROUND_DELAY).await;
             }
             for address in &self.control {
-                let sent = self.send(*address, method.clone(), path, body);
-                match timeout(PER_INSTANCE, sent).await {
-                    Ok(Some(answer)) => match judge(answer) {
-                        Err(failure) if failure.exit == Exit::Unconfirmed => {
-                            last = failure;
+                let call = self.send(*address, method.clone(), path, body);
+                match timeout(INSTANCE_TIMEOUT, call).await {
+                    Ok(Some(response)) => match check_status(response) {
+                        Err(error) if error.exit == Exit::Unconfirmed => {
+                            last = error;
                         }
-                        judged => return judged,
+                        result => return result,
                     },
                     _ if method == Method::PUT => last.exit = Exit::Unconfirmed,
                     _ => {}
@@ -80,16 +84,17 @@
         Err(last)
     }
 
-    /// Calls, and reads the answer as JSON.
+    /// Sends a `GET` request and parses the response body as JSON.
     ///
     /// # Errors
     ///
-    /// [`Failure`].
-    pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
+    /// [`CommandError`] of [`OperatorClient::call`], or with [`Exit::Failed`] if the body
+    /// can't be parsed.
+    pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
         let body = self.call(Method::GET, path, "").await?;
         serde_json::from_slice(&body).map_err(|error| {
             let text = format!("unreadable answer: {error}; run one version everywhere");
-            Failure::new(Exit::Failed, text)
+            CommandError::new(Exit::Failed, text)
         })
     }
 
@@ -99,7 +104,7 @@
         method: Method,
         path: &str,
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<ControlResponse> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -108,27 +113,29 @@
             .ok()?;
         let (head, body) = self.client.request(request).await.ok()?.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
-        Some(Answer {
+        Some(ControlResponse {
             status: head.status,
             body,
         })
     }
 }
 
-fn judge(answer: Answer) -> Result<Bytes, Failure> {
-    if answer.status.is_success() {
-        return Ok(answer.body);
+/// Returns the body of a successful response; converts any other status to an error with
+/// its exit code.
+fn check_status(response: ControlResponse) -> Result<Bytes, CommandError> {
+    if response.status.is_success() {
+        return Ok(response.body);
     }
-    let text = match serde_json::from_slice::<ErrorBody>(&answer.body) {
+    let text = match serde_json::from_slice::<ErrorBody>(&response.body) {
         Ok(error) => error.error,
-        Err(_) => format!("the instance answered {}", answer.status),
+        Err(_) => format!("the instance answered {}", response.status),
     };
-    let exit = match answer.status {
-        StatusCode::BAD_REQUEST => Exit::Faulty,
+    let exit = match response.status {
+        StatusCode::BAD_REQUEST => Exit::InvalidInput,
         StatusCode::CONFLICT => Exit::Conflict,
         StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => Exit::Forbidden,
         StatusCode::SERVICE_UNAVAILABLE => Exit::Unconfirmed,
         _ => Exit::Failed,
     };
-    Err(Failure::new(exit, text))
+    Err(CommandError::new(exit, text))
 }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,9 +1,9 @@
-//! What each command does. Commands return what they print.
+//! Implementation of the commands. Each returns the text to print.
 
-use crate::client::Operator;
+use crate::client::OperatorClient;
 use crate::settings::Settings;
 use crate::trace::trace;
-use crate::{Exit, Failure};
+use crate::{CommandError, Exit};
 use clap::ArgMatches;
 use dogwoodhill_control::operators::{Accepted, HistoryItem, Status};
 use dogwoodhill_core::keys::KeyHash;
@@ -14,95 +14,105 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Variable that holds the operator's key.
+/// Environment variable with the operator's key.
 const KEY_VARIABLE: &str = "DOGWOODHILL_KEY";
-/// Lines of unchanged text around a change.
-const CONTEXT: usize = 3;
+/// Unchanged lines shown around each change of a diff.
+const DIFF_CONTEXT_LINES: usize = 3;
 
-/// Runs the command that `matches` names and returns what it prints.
+/// Runs the subcommand in `matches` and returns the text to print.
 ///
 /// # Errors
 ///
-/// [`Failure`] with the exit code.
-pub async fn run(matches: &ArgMatches) -> Result<String, Failure> {
+/// [`CommandError`] with the exit code of the process.
+pub async fn run(matches: &ArgMatches) -> Result<String, CommandError> {
     match matches.subcommand() {
         Some(("check", sub)) => check(sub),
         Some(("hash", _)) => hash(),
         Some(("trace", sub)) => trace_request(sub),
-        Some(("apply", sub)) => apply(&operator(matches)?, sub).await,
-        Some(("get", sub)) => get(&operator(matches)?, sub).await,
-        Some(("history", sub)) => history(&operator(matches)?, sub).await,
-        Some(("status", _)) => status(&operator(matches)?).await,
-        _ => Err(Failure::new(Exit::Faulty, "name a command; see --help")),
+        Some(("apply", sub)) => apply(&operator_client(matches)?, sub).await,
+        Some(("get", sub)) => get(&operator_client(matches)?, sub).await,
+        Some(("history", sub)) => history(&operator_client(matches)?, sub).await,
+        Some(("status", _)) => status(&operator_client(matches)?).await,
+        _ => Err(CommandError::new(
+            Exit::InvalidInput,
+            "name a command; see --help",
+        )),
     }
 }
 
-fn trace_request(sub: &ArgMatches) -> Result<String, Failure> {
+fn trace_request(sub: &ArgMatches) -> Result<String, CommandError> {
     let id = sub.get_one::<String>("request").expect("clap requires it");
     let paths = sub.get_many::<PathBuf>("log").expect("clap requires it");
-    let logs: Result<Vec<(String, String)>, Failure> = paths
-        .map(|path| Ok((path.display().to_string(), read(path)?)))
+    let logs: Result<Vec<(String, String)>, CommandError> = paths
+        .map(|path| Ok((path.display().to_string(), read_file(path)?)))
         .collect();
     trace(id, &logs?)
 }
 
-fn operator(matches: &ArgMatches) -> Result<Operator, Failure> {
+fn operator_client(matches: &ArgMatches) -> Result<OperatorClient, CommandError> {
     let mut settings = match matches.get_one::<PathBuf>("settings") {
         Some(path) => {
-            let text = read(path)?;
+            let text = read_file(path)?;
             let parsed = Settings::parse(&path.display().to_string(), &text);
-            parsed.map_err(|faults| Failure::new(Exit::Faulty, faults.to_string()))?
+            parsed.map_err(|diagnostics| {
+                CommandError::new(Exit::InvalidInput, diagnostics.to_string())
+            })?
         }
         None => Settings::default(),
     };
-    if let Some(given) = matches.get_many::<SocketAddr>("control") {
-        settings.control = given.copied().collect();
+    if let Some(addresses) = matches.get_many::<SocketAddr>("control") {
+        settings.control = addresses.copied().collect();
     }
     if settings.control.is_empty() {
         let text = "no control instance is named; use --control or --settings";
-        return Err(Failure::new(Exit::Faulty, text));
+        return Err(CommandError::new(Exit::InvalidInput, text));
     }
-    Ok(Operator::new(settings.control.clone(), key(&settings)?))
+    Ok(OperatorClient::new(
+        settings.control.clone(),
+        operator_key(&settings)?,
+    ))
 }
 
-fn key(settings: &Settings) -> Result<String, Failure> {
+fn operator_key(settings: &Settings) -> Result<String, CommandError> {
     if let Ok(key) = std::env::var(KEY_VARIABLE) {
         return Ok(key);
     }
     match &settings.key_file {
-        Some(path) => Ok(read(path)?.trim().to_string()),
+        Some(path) => Ok(read_file(path)?.trim().to_string()),
         None => {
             let text = format!("no key; set {KEY_VARIABLE} or key_file in the settings");
-            Err(Failure::new(Exit::Faulty, text))
+            Err(CommandError::new(Exit::InvalidInput, text))
         }
     }
 }
 
-fn read(path: &Path) -> Result<String, Failure> {
+fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|error| {
         let text = format!("{}: {error}; name a readable file", path.display());
-        Failure::new(Exit::Faulty, text)
+        CommandError::new(Exit::InvalidInput, text)
     })
 }
 
-fn document(path: &Path, text: &str) -> Result<ServiceDocument, Failure> {
+fn parse_document(path: &Path, text: &str) -> Result<ServiceDocument, CommandError> {
     let parsed = ServiceDocument::parse(&path.display().to_string(), text);
-    parsed.map_err(|faults| Failure::new(Exit::Faulty, faults.to_string()))
+    parsed.map_err(|diagnostics| {
+        CommandError::new(Exit::InvalidInput, diagnostics.to_string())
+    })
 }
 
-fn file(matches: &ArgMatches) -> &PathBuf {
+fn file_argument(matches: &ArgMatches) -> &PathBuf {
     matches.get_one("file").expect("clap requires it")
 }
 
-fn service(matches: &ArgMatches) -> &String {
+fn service_argument(matches: &ArgMatches) -> &String {
     matches.get_one("service").expect("clap requires it")
 }
 
-fn check(matches: &ArgMatches) -> Result<String, Failure> {
+fn check(matches: &ArgMatches) -> Result<String, CommandError> {
     let mut out = String::new();
-    let mut faults = String::new();
+    let mut errors = String::new();
     for path in matches.get_many::<PathBuf>("file").into_iter().flatten() {
-        match read(path).and_then(|text| document(path, &text)) {
+        match read_file(path).and_then(|text| parse_document(path, &text)) {
             Ok(document) => {
                 let (name, version) = (&document.service, document.version);
                 let _ = writeln!(
@@ -111,41 +121,44 @@
                     path.display()
                 );
             }
-            Err(failure) => {
-                let _ = writeln!(faults, "{failure}");
+            Err(error) => {
+                let _ = writeln!(errors, "{error}");
             }
         }
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         return Ok(out);
     }
-    Err(Failure::new(Exit::Faulty, faults.trim_end()))
+    Err(CommandError::new(Exit::InvalidInput, errors.trim_end()))
 }
 
-fn hash() -> Result<String, Failure> {
+fn hash() -> Result<String, CommandError> {
     let mut key = String::new();
     let read = std::io::stdin().read_line(&mut key);
     if read.is_err() || key.trim().is_empty() {
         let text = "no key on standard input; write one line";
-        return Err(Failure::new(Exit::Faulty, text));
+        return Err(CommandError::new(Exit::InvalidInput, text));
     }
     Ok(format!("{}\n", KeyHash::of(key.trim()).text()))
 }
 
-async fn apply(operator: &Operator, matches: &ArgMatches) -> Result<String, Failure> {
-    let path = file(matches);
-    let text = read(path)?;
-    let document = document(path, &text)?;
+async fn apply(
+    operator: &OperatorClient,
+    matches: &ArgMatches,
+) -> Result<String, CommandError> {
+    let path = file_argument(matches);
+    let text = read_file(path)?;
+    let document = parse_document(path, &text)?;
     let target = format!("/v1/services/{}", document.service);
     if matches.get_flag("dry-run") {
-        let current = current(operator, &target).await?;
+        let current = current_text(operator, &target).await?;
         return Ok(difference(&document, current.as_deref(), &text));
     }
     let body = operator.call(Method::PUT, &target, &text).await?;
     let read = serde_json::from_slice::<Accepted>(&body);
     let Accepted { accepted } = read.map_err(|error| {
         let text = format!("unreadable answer: {error}; apply again to be sure");
-        Failure::new(Exit::Unconfirmed, text)
+        CommandError::new(Exit::Unconfirmed, text)
     })?;
     Ok(format!(
         "{} version {} is in force at revision {}\n",
@@ -153,16 +166,19 @@
     ))
 }
 
-/// The text in force; `None` for a new service.
-async fn current(operator: &Operator, target: &str) -> Result<Option<String>, Failure> {
+/// Fetches the text of the document in force; `None` for a new service.
+async fn current_text(
+    operator: &OperatorClient,
+    target: &str,
+) -> Result<Option<String>, CommandError> {
     match operator.call(Method::GET, target, "").await {
         Ok(body) => Ok(Some(String::from_utf8_lossy(&body).into_owned())),
-        Err(failure) if failure.text.contains("there is no service") => Ok(None),
-        Err(failure) => Err(failure),
+        Err(error) if error.text.contains("there is no service") => Ok(None),
+        Err(error) => Err(error),
     }
 }
 
-/// What an `apply` would change.
+/// What `apply` would change, as a unified diff.
 fn difference(document: &ServiceDocument, current: Option<&str>, text: &str) -> String {
     let name = &document.service;
     let Some(current) = current else {
@@ -176,19 +192,25 @@
     let from = format!("{name} in force");
     let to = format!("{name} version {}", document.version);
     unified
-        .context_radius(CONTEXT)
+        .context_radius(DIFF_CONTEXT_LINES)
         .header(&from, &to)
         .to_string()
 }
 
-async fn get(operator: &Operator, matches: &ArgMatches) -> Result<String, Failure> {
-    let target = format!("/v1/services/{}", service(matches));
+async fn get(
+    operator: &OperatorClient,
+    matches: &ArgMatches,
+) -> Result<String, CommandError> {
+    let target = format!("/v1/services/{}", service_argument(matches));
     let body = operator.call(Method::GET, &target, "").await?;
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
-async fn history(operator: &Operator, matches: &ArgMatches) -> Result<String, Failure> {
-    let target = format!("/v1/services/{}/history", service(matches));
+async fn history(
+    operator: &OperatorClient,
+    matches: &ArgMatches,
+) -> Result<String, CommandError> {
+    let target = format!("/v1/services/{}/history", service_argument(matches));
     let past: Vec<HistoryItem> = operator.get(&target).await?;
     let mut out = String::from("version  revision  team\n");
     for HistoryItem { accepted, .. } in past {
@@ -198,7 +220,7 @@
     Ok(out)
 }
 
-async fn status(operator: &Operator) -> Result<String, Failure> {
+async fn status(operator: &OperatorClient) -> Result<String, CommandError> {
     let status: Status = operator.get("/v1/status").await?;
     let mut out = String::new();
     let contact = if status.contact {
@@ -225,10 +247,10 @@
     }
     for d in &status.duties {
         let (duty, subject) = (&d.duty, &d.subject);
-        let about = if subject.is_empty() { "all" } else { subject };
+        let subject = if subject.is_empty() { "all" } else { subject };
         let _ = writeln!(
             out,
-            "duty {duty} about {about} holder {} fence {}",
+            "duty {duty} about {subject} holder {} fence {}",
             d.holder, d.fence
         );
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,9 +1,8 @@
 //! The operator's command line.
 //!
-//! Every command ends with an exit code that a script can act on
-//! ([`Exit`]) and prints what was done with its revision. `apply` may be run
-//! again after a lost answer: the same version with the same content is the
-//! same acceptance.
+//! Every command ends with an exit code for scripts ([`Exit`]). `apply` prints the
+//! revision at which the document came into force. It may be repeated after a lost
+//! response: the same version with the same content is accepted only once.
 
 pub mod arguments;
 pub mod client;
@@ -13,41 +12,41 @@
 
 use derive_more::Display;
 
-/// How a command ended.
+/// Exit code of a command.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     #[display("done")]
     Done = 0,
-    /// The operator's machine or the network failed.
+    /// A failure of the operator's machine, the network or a control instance.
     #[display("failed")]
     Failed = 1,
-    /// The command line, the settings or a document has faults.
+    /// Invalid command line, settings or document.
     #[display("faulty")]
-    Faulty = 2,
-    /// Another document is in force.
+    InvalidInput = 2,
+    /// The change conflicts with the document in force.
     #[display("conflict")]
     Conflict = 3,
-    /// The key may not do this.
+    /// The key is unknown or lacks the permission.
     #[display("forbidden")]
     Forbidden = 4,
-    /// No majority confirmed: the change may be in force.
+    /// No majority confirmed the change, which may nevertheless come into force.
     #[display("unconfirmed")]
     Unconfirmed = 5,
 }
 
-/// Why a command did not do its work.
+/// The error of a command, as printed to standard error.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{text}")]
-pub struct Failure {
-    /// Exit code.
+pub struct CommandError {
+    /// Exit code of the process.
     pub exit: Exit,
-    /// What happened, with the remedy.
+    /// Cause and remedy.
     pub text: String,
 }
 
-impl Failure {
-    /// A failure with its text.
+impl CommandError {
+    /// An error with its exit code and text.
     pub fn new(exit: Exit, text: impl Into<String>) -> Self {
         Self {
             exit,
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,25 +1,25 @@
-//! Settings of the command line.
+//! Settings file of the operator's command line.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::text::Text;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Where the control instances are and which key to use.
+/// Addresses of the control instances and location of the operator's key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings {
-    /// Operators' addresses of the control instances.
+    /// Addresses of the control instances for operators.
     pub control: Vec<SocketAddr>,
-    /// File that holds the key; the variable `DOGWOODHILL_KEY` goes first.
+    /// File that contains the key; the variable `DOGWOODHILL_KEY` takes precedence.
     pub key_file: Option<PathBuf>,
 }
 
 impl Settings {
-    /// Reads settings from JSON with comments.
+    /// Parses JSON with comments; diagnostics refer to it as `file`.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// All diagnostics of the text, not only the first.
     pub fn parse(file: &str, source: &str) -> Result<Self, Diagnostics> {
         Text::read(file, source, |s| {
             let key_file = s.has("key_file").then(|| PathBuf::from(s.text("key_file")));
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -1,25 +1,32 @@
-//! From a request's id to its cause: the lines of several processes about one
-//! request, in order, with what each outcome means.
+//! Collects the log lines of several processes about one request, in order of
+//! time, and explains the outcomes in them.
 //!
-//! A line counts as about the request if its `request` field has the id. Of the processes
-//! that had it, what they learned of its endpoints counts too, and the list that they chose
-//! from: whether an endpoint was known to leave when the request went there. So does what
-//! became of endpoints under other attempts that asked the same. Time
-//! is that of each process's own clock, which may be off by seconds between
-//! instances; lines of one file keep their order.
+//! The result contains
+//!
+//! * every line whose `request` field is the id of the request;
+//! * of each process that logged such a line, the state changes of the endpoints in those
+//!   lines and the endpoint list in use when the request arrived: they show whether an
+//!   endpoint was known to be leaving when the request was sent to it;
+//! * of all processes, the lines about endpoints that ended while they ran other attempts
+//!   with the same content, and about the quarantine of that content.
+//!
+//! Times are those of each process's clock, which can differ by seconds between
+//! instances. Lines of one file with the same time keep their order.
 
-use crate::{Exit, Failure};
+use crate::{CommandError, Exit};
 use std::fmt::Write;
 
-/// One line of a log.
+/// One line of a log file.
 #[derive(Clone, Debug, PartialEq)]
-struct Line<'a> {
+struct LogLine<'a> {
+    /// Name of the log file.
     source: &'a str,
+    /// Seconds since the Unix epoch; 0 if the line has no valid time.
     time: f64,
     text: &'a str,
 }
 
-impl<'a> Line<'a> {
+impl<'a> LogLine<'a> {
     fn new(source: &'a str, text: &'a str) -> Self {
         let time = field(text, "time").and_then(|time| time.parse().ok());
         Self {
@@ -30,7 +37,7 @@
     }
 }
 
-/// What the causes in the lines mean, and what to look at next.
+/// Meaning of each outcome, and the events to look at next.
 const CAUSES: [(&str, &str); 21] = [
     (
         "no-routes",
@@ -103,28 +110,29 @@
     ),
 ];
 
-/// Prints what the logs say of request `id`. `logs` are names and texts.
+/// Returns the lines about request `id`, followed by the meaning of the outcomes
+/// in them. `logs` are pairs of a name and a text.
 ///
 /// # Errors
 ///
-/// [`Failure`] where no line is about the request.
-pub fn trace(id: &str, logs: &[(String, String)]) -> Result<String, Failure> {
-    let mut lines: Vec<Line<'_>> = logs
+/// [`CommandError`] if no line has the id.
+pub fn trace(id: &str, logs: &[(String, String)]) -> Result<String, CommandError> {
+    let mut lines: Vec<LogLine<'_>> = logs
         .iter()
-        .flat_map(|(source, text)| about(id, source, text))
+        .flat_map(|(source, text)| request_lines(id, source, text))
         .collect();
     if lines.is_empty() {
         let text = format!(
             "no line is about request {id}; add the logs of the other entries, and look \
              for log-lines-dropped at that time"
         );
-        return Err(Failure::new(Exit::Failed, text));
+        return Err(CommandError::new(Exit::Failed, text));
     }
     for (source, text) in logs {
-        let known = beliefs(source, text, &lines);
-        let crashes = crashes(id, source, text, &lines);
-        lines.extend(known);
-        lines.extend(crashes);
+        let endpoint_lines = endpoint_lines(source, text, &lines);
+        let crash_lines = crash_lines(id, source, text, &lines);
+        lines.extend(endpoint_lines);
+        lines.extend(crash_lines);
     }
     lines.sort_by(|a, b| a.time.total_cmp(&b.time));
     let mut out = String::new();
@@ -133,67 +141,78 @@
         let _ = writeln!(out, "{}: {}", line.source, line.text);
     }
     for (cause, meaning) in CAUSES {
-        let named = |line: &Line<'_>| {
+        let has_cause = |line: &LogLine<'_>| {
             ["cause", "result", "reason"]
                 .iter()
                 .any(|key| field(line.text, key) == Some(cause))
         };
-        if lines.iter().any(named) {
+        if lines.iter().any(has_cause) {
             let _ = writeln!(out, "{cause}: {meaning}");
         }
     }
     Ok(out)
 }
 
-fn about<'a>(
+/// Lines of `text` whose `request` field is `id`.
+fn request_lines<'a>(
     id: &'a str,
     source: &'a str,
     text: &'a str,
-) -> impl Iterator<Item = Line<'a>> {
+) -> impl Iterator<Item = LogLine<'a>> {
     let lines = text.lines().map(str::trim);
-    let ours = lines.filter(move |line| field(line, "request") == Some(id));
-    ours.map(move |text| Line::new(source, text))
+    let matching = lines.filter(move |line| field(line, "request") == Some(id));
+    matching.map(move |text| LogLine::new(source, text))
 }
 
-/// What a process that had the request learned of its endpoints, and the list that it had
-/// taken last before.
-fn beliefs<'a>(source: &'a str, text: &'a str, about: &[Line<'a>]) -> Vec<Line<'a>> {
-    let own = about.iter().filter(|line| line.source == source);
-    let Some(first) = own.clone().map(|line| line.time).min_by(f64::total_cmp) else {
+/// Of a process that logged the request: state changes of the request's endpoints, and
+/// the endpoint list adopted last before the first line about the request.
+fn endpoint_lines<'a>(
+    source: &'a str,
+    text: &'a str,
+    request_lines: &[LogLine<'a>],
+) -> Vec<LogLine<'a>> {
+    let of_source = request_lines.iter().filter(|line| line.source == source);
+    let Some(first) = of_source
+        .clone()
+        .map(|line| line.time)
+        .min_by(f64::total_cmp)
+    else {
         return Vec::new();
     };
-    let endpoints: Vec<&str> = own
+    let endpoints: Vec<&str> = of_source
         .filter_map(|line| field(line.text, "endpoint"))
         .filter(|endpoint| *endpoint != "-")
         .collect();
-    let all = || text.lines().map(|text| Line::new(source, text.trim()));
+    let all = || text.lines().map(|text| LogLine::new(source, text.trim()));
     let events = [
         "endpoint-listed",
         "endpoint-leaving",
         "endpoint-gone",
         "endpoint-replaced",
     ];
-    let learned = all().filter(|line| {
+    let changes = all().filter(|line| {
         let event =
             field(line.text, "event").is_some_and(|event| events.contains(&event));
-        let named = field(line.text, "endpoint");
-        event && named.is_some_and(|endpoint| endpoints.contains(&endpoint))
+        let endpoint = field(line.text, "endpoint");
+        event && endpoint.is_some_and(|endpoint| endpoints.contains(&endpoint))
     });
-    let mut taken = all().filter(|line| {
+    let mut lists = all().filter(|line| {
         field(line.text, "event") == Some("list-taken") && line.time <= first
     });
-    learned.chain(taken.next_back()).collect()
+    changes.chain(lists.next_back()).collect()
 }
 
-/// Endpoints that ended under other attempts that asked the same as request `id`, and what
-/// followed from that.
-fn crashes<'a>(
+/// Lines about endpoints that ended while they ran other attempts with the content of
+/// request `id`, and about the quarantine of that content.
+fn crash_lines<'a>(
     id: &str,
     source: &'a str,
     text: &'a str,
-    about: &[Line<'a>],
-) -> Vec<Line<'a>> {
-    let contents = about.iter().filter_map(|line| field(line.text, "content"));
+    request_lines: &[LogLine<'a>],
+) -> Vec<LogLine<'a>> {
+    let contents = request_lines
+        .iter()
+        .filter_map(|line| field(line.text, "content"));
     let contents: Vec<&str> = contents.filter(|content| *content != "-").collect();
     let events = ["endpoint-ended", "request-quarantined", "quarantine-told"];
     let lines = text.lines().map(str::trim).filter(|line| {
@@ -202,10 +221,11 @@
         let content = field(line, "content");
         event && !own && content.is_some_and(|content| contents.contains(&content))
     });
-    lines.map(|text| Line::new(source, text)).collect()
+    lines.map(|text| LogLine::new(source, text)).collect()
 }
 
-/// Value of a field without quotes.
+/// Value of the field `key` in a line of `key=value` pairs; values with blanks are cut at
+/// the first one.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let mut fields = line.split(' ');
     fields.find_map(|field| field.strip_prefix(key)?.strip_prefix('='))
--- a/crates/ctl/tests/trace.rs
+++ b/crates/ctl/tests/trace.rs
@@ -1,25 +1,25 @@
-//! From a request's id to its cause.
+//! Log lines and causes that `trace` collects for a request id.
 
 use dogwoodhill_ctl::trace::trace;
 
-const ENTRY: &str = "\
+const FIRST_ENTRY: &str = "\
 time=10.100 level=warn event=send-failed request=r1 service=voice endpoint=e1 result=connection-broke sends=1
 time=10.101 level=warn event=request-refused request=r1 route=cue status=502 cause=answer-lost ms=12
 time=10.200 level=info event=request-answered request=r11 status=200 cause=endpoint ms=5
 ";
-const OTHER: &str = "\
+const SECOND_ENTRY: &str = "\
 time=9.900 level=warn event=request-refused request=r1 route=cue status=503 cause=no-routes ms=0
 ";
 
 fn logs() -> Vec<(String, String)> {
     vec![
-        ("entry-1".to_string(), ENTRY.to_string()),
-        ("entry-2".to_string(), OTHER.to_string()),
+        ("entry-1".to_string(), FIRST_ENTRY.to_string()),
+        ("entry-2".to_string(), SECOND_ENTRY.to_string()),
     ]
 }
 
 #[test]
-fn trace_in_order_with_causes() {
+fn trace_sorts_lines_and_explains_causes() {
     let text = trace("r1", &logs()).expect("there are lines");
     let lines: Vec<&str> = text.lines().collect();
     assert!(lines[0].starts_with("entry-2: time=9.900"));
@@ -31,15 +31,16 @@
 }
 
 #[test]
-fn trace_unknown_id_says_what_to_do() {
-    let failure = trace("r2", &logs()).expect_err("no line");
-    assert!(failure.text.contains("log-lines-dropped"));
+fn trace_unknown_id_fails_with_remedy() {
+    let error = trace("r2", &logs()).expect_err("no line");
+    assert!(error.text.contains("log-lines-dropped"));
 }
 
-/// A request at an endpoint that was leaving: what its entry had read by then, when it
-/// learned that the endpoint leaves, and nothing of other endpoints or entries.
+/// A request sent to an endpoint that was leaving: the trace has the last list that its
+/// entry had adopted by then and the line about the endpoint's leaving, but no lines of
+/// other endpoints or entries.
 #[test]
-fn trace_shows_what_was_known_of_the_endpoint() {
+fn trace_includes_endpoint_state_of_same_process() {
     let entry = "\
 time=1.000 level=info event=list-taken mark=0a before=00 by=others endpoints=3 age_ms=90 took_ms=4
 time=2.000 level=info event=list-taken mark=0b before=0a by=itself endpoints=3 age_ms=30 took_ms=9
--- a/src/bin/dogwoodhill-ctl.rs
+++ b/src/bin/dogwoodhill-ctl.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! The operator's command line; see [`dogwoodhill::ctl`].
 
 use dogwoodhill::ctl::{Exit, arguments, commands};
 use std::process::ExitCode;
--- a/tests/all/operator.rs
+++ b/tests/all/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's command line and the report, against a running deployment.
 
 use crate::support::{Folder, Running, chat};
-use dogwoodhill::ctl::{Exit, Failure, arguments, commands};
+use dogwoodhill::ctl::{CommandError, Exit, arguments, commands};
 use dogwoodhill::local::OPERATOR_KEY;
 use dogwoodhill::report::program::collect;
 use std::path::PathBuf;
@@ -34,7 +34,7 @@
         path.display().to_string()
     }
 
-    async fn run(&self, words: &[&str]) -> Result<String, Failure> {
+    async fn run(&self, words: &[&str]) -> Result<String, CommandError> {
         let settings = self.settings.display().to_string();
         let mut line = vec!["dogwoodhill-ctl", "--settings", &settings];
         line.extend(words);
@@ -87,7 +87,7 @@
     assert_eq!(forbidden.exit, Exit::Forbidden, "{forbidden}");
     let faulty = terminal.write("{}");
     let failure = terminal.run(&["check", &faulty]).await.unwrap_err();
-    assert_eq!(failure.exit, Exit::Faulty);
+    assert_eq!(failure.exit, Exit::InvalidInput);
     assert!(failure.text.contains("service: is missing"), "{failure}");
     running.stop().await;
 }
