--- a/src/bin/dogwoodhill-agent.rs
+++ b/src/bin/dogwoodhill-agent.rs
@@ -1,4 +1,4 @@
-//! The daemon beside one endpoint.
+//! The agent daemon, which runs beside one endpoint.
 
 use dogwoodhill::agent::{Agent, Settings};
 use dogwoodhill::core::diagnostic::Diagnostics;
--- a/src/bin/dogwoodhill-control.rs
+++ b/src/bin/dogwoodhill-control.rs
@@ -1,4 +1,4 @@
-//! The daemon that keeps documents, claims and leases.
+//! The control daemon, which replicates service documents, claims and leases.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use dogwoodhill::control::settings::Start;
--- a/src/bin/dogwoodhill-entry.rs
+++ b/src/bin/dogwoodhill-entry.rs
@@ -1,4 +1,4 @@
-//! The daemon that takes callers' requests.
+//! The entry daemon, which accepts callers' requests.
 
 use dogwoodhill::core::diagnostic::Diagnostics;
 use dogwoodhill::daemon::drain::Drain;
--- a/src/bin/dogwoodhill-load.rs
+++ b/src/bin/dogwoodhill-load.rs
@@ -1,4 +1,4 @@
-//! Stand-in endpoints, load and measurements.
+//! Simulated endpoints, load generation and experiments.
 
 use dogwoodhill::daemon::run::{block_on, start_tool_log};
 use dogwoodhill::load::{arguments, program};
--- a/src/bin/dogwoodhill-local.rs
+++ b/src/bin/dogwoodhill-local.rs
@@ -1,14 +1,14 @@
-//! Every role and two stand-in endpoints in one process on loopback.
+//! All roles and two simulated endpoints in one process on loopback.
 
 use dogwoodhill::daemon::run::{EXIT_USAGE, block_on, describe, start_tool_log};
-use dogwoodhill::local::{Local, OPERATOR_KEY, Places, SAMPLE_KEY};
+use dogwoodhill::local::{LocalConfig, LocalDeployment, OPERATOR_KEY, SAMPLE_KEY};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Port for callers.
-const CALLERS: u16 = 8080;
-/// Port for operators.
-const OPERATORS: u16 = 8081;
+/// Port on which callers are served.
+const CALLER_PORT: u16 = 8080;
+/// Port on which operators are served.
+const OPERATOR_PORT: u16 = 8081;
 
 fn main() -> ExitCode {
     start_tool_log();
@@ -17,25 +17,27 @@
         .about("Runs every role and two stand-in endpoints on loopback");
     if let Err(error) = command.try_get_matches() {
         let _ = error.print();
-        let usage = error.use_stderr();
-        return ExitCode::from(if usage { EXIT_USAGE } else { 0 });
+        let is_usage_error = error.use_stderr();
+        return ExitCode::from(if is_usage_error { EXIT_USAGE } else { 0 });
     }
     let loopback = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let data = format!("dogwoodhill-local-{}", std::process::id());
-    let places = Places {
-        callers: loopback(CALLERS),
-        operators: loopback(OPERATORS),
-        data: std::env::temp_dir().join(data),
+    let name = format!("dogwoodhill-local-{}", std::process::id());
+    let config = LocalConfig {
+        caller_address: loopback(CALLER_PORT),
+        operator_address: loopback(OPERATOR_PORT),
+        data_dir: std::env::temp_dir().join(name),
     };
-    let data = places.data.clone();
+    let data_dir = config.data_dir.clone();
     let code = block_on(|drain| async move {
-        let local = Local::start(places, drain).await.map_err(describe)?;
-        print_examples(local.callers, local.operators);
+        let local = LocalDeployment::start(config, drain)
+            .await
+            .map_err(describe)?;
+        print_examples(local.caller_address, local.operator_address);
         local.finish().await;
         Ok::<(), String>(())
     });
-    // State of a sample is of no use once it stopped.
-    let _ = std::fs::remove_dir_all(data);
+    // The state of a sample deployment is not needed after it has stopped.
+    let _ = std::fs::remove_dir_all(data_dir);
     code
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,20 @@
 //! A router for language-model traffic with service levels and priorities.
 //!
-//! This package holds the command lines; the work is done by the crates under
-//! `crates/`. What a program or a test needs of them is re-exported here:
+//! This package has the programs' `main` functions and re-exports the library crates
+//! under `crates/` for them and for the tests:
 //!
-//! * [`entry`]: the daemon that takes callers' requests;
-//! * [`agent`]: the daemon beside each endpoint;
-//! * [`control`]: the daemon that keeps durable state;
+//! * [`entry`]: the daemon that accepts callers' requests;
+//! * [`agent`]: the daemon beside each endpoint, which admits and relays requests;
+//! * [`control`]: the daemon that replicates durable state;
 //! * [`ctl`]: the operator's command line;
-//! * [`load`]: load and experiments;
-//! * [`policy`]: the decisions themselves;
-//! * [`report`]: service-level burn;
-//! * [`standin`]: stand-in endpoints;
-//! * [`local`]: every role in one process.
+//! * [`load`]: load generator and experiments;
+//! * [`policy`]: the decision algorithms, without I/O;
+//! * [`report`]: report on the burn rate of service-level objectives;
+//! * [`standin`]: simulated endpoints;
+//! * [`local`]: all roles in one process;
+//! * [`core`], [`wire`] and [`daemon`]: types, protocol and process set-up that the
+//!   others
+//!   share.
 
 pub mod local;
 
--- a/src/local.rs
+++ b/src/local.rs
@@ -1,4 +1,5 @@
-//! Every role and two stand-in endpoints in one process.
+//! All roles and two simulated endpoints in one process, with sample services, for trying
+//! out the router and for tests.
 
 use derive_more::{Display, Error};
 use dogwoodhill_agent::Agent;
@@ -21,111 +22,119 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Workspace key of the sample documents.
+/// Workspace key in the sample documents.
 pub const SAMPLE_KEY: &str = "sample-key";
-/// Operators' key of the sample team.
+/// Operators' key of the team that owns the sample services.
 pub const OPERATOR_KEY: &str = "sample-operator-key";
 /// Team that owns the sample services.
 const TEAM: &str = "sample-team";
-/// Key shared by the processes of the sample.
+/// Key with which the daemons authenticate to each other.
 const CLUSTER_KEY: &str = "local";
-/// Failure domain of everything in the sample.
+/// Failure domain of the entry and of all endpoints.
 const DOMAIN: &str = "local";
-/// Time one call of the sample plain service takes.
-const PLAIN_WORK: Duration = Duration::from_millis(5);
-/// Lease of the sample's agents: short, so that a restart is quick.
-const LEASE: Duration = Duration::from_secs(3);
-/// Longest wait until the sample documents are in force.
-const START: Duration = Duration::from_secs(10);
+/// Processing time of one call to the plain sample service.
+const PLAIN_WORK_TIME: Duration = Duration::from_millis(5);
+/// Duration of the agents' leases. It is short because a restarted agent can't acquire its
+/// endpoint before the lease of its previous run has expired.
+const AGENT_LEASE: Duration = Duration::from_secs(3);
+/// Longest wait for each step that brings the sample documents into force.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where the all-in-one program listens and keeps its state.
+/// Listen addresses and data directory of the all-in-one deployment.
 #[derive(Clone, Debug)]
-pub struct Places {
-    /// For callers.
-    pub callers: SocketAddr,
-    /// For operators.
-    pub operators: SocketAddr,
-    /// Data folder of the control instance; it must hold no state yet.
-    pub data: PathBuf,
+pub struct LocalConfig {
+    /// Address on which the entry listens for callers; port 0 picks a free port.
+    pub caller_address: SocketAddr,
+    /// Address on which the control instance listens for operators; port 0 picks a free
+    /// port.
+    pub operator_address: SocketAddr,
+    /// Data directory of the control instance; it must not contain any state.
+    pub data_dir: PathBuf,
 }
 
-/// Why the all-in-one deployment did not start.
+/// The all-in-one deployment did not start.
 #[derive(Debug, Display, Error)]
 pub enum LocalError {
-    /// An address can't be bound.
+    /// An entry, an agent or a simulated endpoint can't bind its address.
     #[display("an address can't be bound")]
     Listen,
-    /// The control instance can't run.
+    /// The control instance can't bind its address or open its data directory.
     #[display("the control instance can't run")]
     Control,
-    /// The sample documents did not come into force.
+    /// A sample document is invalid, or the documents did not come into force in time.
     #[display("the sample documents did not come into force in time")]
     Documents,
 }
 
 /// A running all-in-one deployment.
 #[derive(Debug)]
-pub struct Local {
-    /// Address for callers.
-    pub callers: SocketAddr,
-    /// Address for operators.
-    pub operators: SocketAddr,
-    /// The entry's shared state.
+pub struct LocalDeployment {
+    /// Bound address of the entry for callers.
+    pub caller_address: SocketAddr,
+    /// Bound address of the control instance for operators.
+    pub operator_address: SocketAddr,
+    /// Shared state of the entry.
     pub entry: Arc<Core>,
-    /// The model endpoint's switches.
+    /// Fault injection of the simulated model endpoint.
     pub engine: Faults,
-    /// The plain endpoint's switches.
+    /// Fault injection of the simulated plain endpoint.
     pub plain: Faults,
-    /// The plain service's counts.
+    /// Counts of calls that the plain endpoint has run.
     pub calls: Calls,
     entries: JoinSet<()>,
     agents: JoinSet<()>,
     control: JoinSet<()>,
-    agents_drain: Drain,
-    behind: Drain,
+    agent_drain: Drain,
+    /// Drain of the control instance and of the simulated endpoints.
+    backend_drain: Drain,
 }
 
-impl Local {
-    /// Starts everything, and waits until the sample services can be called.
+impl LocalDeployment {
+    /// Starts all roles, and waits until the sample services can be called. `drain` is
+    /// the drain of the entry; the other roles drain in [`LocalDeployment::finish`].
     ///
     /// # Errors
     ///
-    /// [`LocalError`].
-    pub async fn start(places: Places, drain: Drain) -> Result<Self, Report<LocalError>> {
-        let free = SocketAddr::from(([127, 0, 0, 1], 0));
-        let listen = LocalError::Listen;
-        let engine = Engine::bind(free, Speed::default())
+    /// [`LocalError`] if a role can't start or a sample document is not in force in time.
+    pub async fn start(
+        config: LocalConfig,
+        drain: Drain,
+    ) -> Result<Self, Report<LocalError>> {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let listen_error = LocalError::Listen;
+        let engine = Engine::bind(any_port, Speed::default())
             .await
-            .change_context(listen)?;
-        let plain = Plain::bind(free, PLAIN_WORK)
+            .change_context(listen_error)?;
+        let plain = Plain::bind(any_port, PLAIN_WORK_TIME)
             .await
             .change_context(LocalError::Listen)?;
-        let behind = Drain::default();
-        let control = control(&places, &behind).await?;
+        let backend_drain = Drain::default();
+        let control = start_control(&config, &backend_drain).await?;
         let internal = control.internal();
-        let agents_drain = Drain::default();
+        let agent_drain = Drain::default();
         let chat =
-            agent("chat", "chat-1", engine.address(), internal, &agents_drain).await?;
-        let lookup = agent(
+            start_agent("chat", "chat-1", engine.address(), internal, &agent_drain)
+                .await?;
+        let lookup = start_agent(
             "lookup",
             "lookup-1",
             plain.address(),
             internal,
-            &agents_drain,
+            &agent_drain,
         )
         .await?;
         let texts = [
             model_document(chat.address(), engine.address()),
             plain_document(lookup.address(), plain.address()),
         ];
-        let entry = entry(&places, internal, &drain).await?;
-        let (core, callers) = (entry.core(), entry.address());
-        let (operators, service) = (control.operators(), control.service());
+        let entry = start_entry(&config, internal, &drain).await?;
+        let (core, caller_address) = (entry.core(), entry.address());
+        let (operator_address, service) = (control.operators(), control.service());
         let (engine_faults, plain_faults) = (engine.faults(), plain.faults());
         let calls = plain.calls();
         let mut local = Self {
-            callers,
-            operators,
+            caller_address,
+            operator_address,
             entry: core,
             engine: engine_faults,
             plain: plain_faults,
@@ -133,11 +142,11 @@
             entries: JoinSet::new(),
             agents: JoinSet::new(),
             control: JoinSet::new(),
-            agents_drain,
-            behind: behind.clone(),
+            agent_drain,
+            backend_drain: backend_drain.clone(),
         };
-        local.control.spawn(engine.run(behind.clone()));
-        local.control.spawn(plain.run(behind));
+        local.control.spawn(engine.run(backend_drain.clone()));
+        local.control.spawn(plain.run(backend_drain));
         local.control.spawn(async move {
             if let Err(error) = control.run().await {
                 Event::new("control-failed").field("error", error).error();
@@ -147,18 +156,18 @@
         local.agents.spawn(lookup.run());
         local.entries.spawn(entry.run());
         for text in texts {
-            put(&service, text).await?;
+            submit_document(&service, text).await?;
         }
-        local.in_force(&service).await?;
+        local.wait_in_force(&service).await?;
         Ok(local)
     }
 
-    /// Waits until the entry has the newest documents.
-    async fn in_force(&self, service: &Service) -> Result<(), Report<LocalError>> {
+    /// Waits until the entry has the newest revision of the documents.
+    async fn wait_in_force(&self, service: &Service) -> Result<(), Report<LocalError>> {
         let documents = &service.replica().documents;
-        let end = Instant::now() + START;
+        let deadline = Instant::now() + START_TIMEOUT;
         while self.entry.revision() < documents.load().revision {
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return Err(Report::new(LocalError::Documents));
             }
             sleep(Duration::from_millis(5)).await;
@@ -166,20 +175,23 @@
         Ok(())
     }
 
-    /// Waits until the drain is complete. Each role stops after those that
-    /// need it: a request that the entry took in still finds its agent.
+    /// Waits until all roles have drained. Each role is drained after those that depend
+    /// on it, so that requests already accepted by the entry still reach their agents.
     pub async fn finish(mut self) {
         while self.entries.join_next().await.is_some() {}
-        self.agents_drain.begin();
+        self.agent_drain.begin();
         while self.agents.join_next().await.is_some() {}
-        self.behind.begin();
+        self.backend_drain.begin();
         while self.control.join_next().await.is_some() {}
     }
 }
 
-async fn control(places: &Places, drain: &Drain) -> Result<Control, Report<LocalError>> {
-    let mut settings = ControlSettings::new("local".to_string(), places.data.clone());
-    settings.listen = places.operators;
+async fn start_control(
+    config: &LocalConfig,
+    drain: &Drain,
+) -> Result<Control, Report<LocalError>> {
+    let mut settings = ControlSettings::new("local".to_string(), config.data_dir.clone());
+    settings.listen = config.operator_address;
     settings.secret = CLUSTER_KEY.to_string();
     settings.linger = Duration::ZERO;
     settings.start = Start::Bootstrap;
@@ -192,13 +204,13 @@
         .change_context(LocalError::Control)
 }
 
-async fn entry(
-    places: &Places,
+async fn start_entry(
+    config: &LocalConfig,
     control: SocketAddr,
     drain: &Drain,
 ) -> Result<Entry, Report<LocalError>> {
     let mut settings = Settings::new("local".to_string(), DOMAIN.to_string());
-    settings.listen = places.callers;
+    settings.listen = config.caller_address;
     settings.control = vec![control];
     settings.secret = CLUSTER_KEY.to_string();
     settings.linger = Duration::ZERO;
@@ -207,7 +219,7 @@
         .change_context(LocalError::Listen)
 }
 
-async fn agent(
+async fn start_agent(
     service: &str,
     endpoint: &str,
     address: SocketAddr,
@@ -220,7 +232,7 @@
         address,
     );
     settings.control = vec![control];
-    settings.lease = LEASE;
+    settings.lease = AGENT_LEASE;
     settings.secret = CLUSTER_KEY.to_string();
     settings.linger = Duration::ZERO;
     Agent::bind(settings, drain.clone())
@@ -228,7 +240,10 @@
         .change_context(LocalError::Listen)
 }
 
-async fn put(service: &Service, text: String) -> Result<(), Report<LocalError>> {
+async fn submit_document(
+    service: &Service,
+    text: String,
+) -> Result<(), Report<LocalError>> {
     let document = ServiceDocument::parse("sample", &text);
     let document = document.change_context(LocalError::Documents)?;
     let action = Action::Put(Put {
@@ -236,22 +251,24 @@
         text,
         document,
     });
-    // A submission is given up after two seconds; a disk that is busy with other things takes
-    // longer for the first write of a cluster.
-    let end = Instant::now() + START;
+    // A submission times out after 2 s, and the first write of a new cluster can take
+    // longer on a busy disk.
+    let deadline = Instant::now() + START_TIMEOUT;
     while service.submit(&action).await.is_err() {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return Err(Report::new(LocalError::Documents));
         }
     }
     Ok(())
 }
 
-fn sample_key() -> String {
+/// Hash of the workspace key, as it is written in the documents.
+fn sample_key_hash() -> String {
     KeyHash::of(SAMPLE_KEY).text()
 }
 
-/// The sample model service.
+/// Document of the model service `chat`, whose endpoint at `address` is served by
+/// `agent`.
 pub fn model_document(agent: SocketAddr, address: SocketAddr) -> String {
     format!(
         r#"{{
@@ -278,11 +295,12 @@
       "domain": "{DOMAIN}" }},
   ],
 }}"#,
-        key = sample_key()
+        key = sample_key_hash()
     )
 }
 
-/// The sample plain service.
+/// Document of the plain service `lookup`, whose endpoint at `address` is served by
+/// `agent`.
 pub fn plain_document(agent: SocketAddr, address: SocketAddr) -> String {
     format!(
         r#"{{
@@ -306,6 +324,6 @@
       "domain": "{DOMAIN}" }},
   ],
 }}"#,
-        key = sample_key()
+        key = sample_key_hash()
     )
 }
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -48,7 +48,7 @@
     let running = Running::start().await;
     let mut request = crate::support::request(
         "POST",
-        running.local.callers,
+        running.local.caller_address,
         "/v1/chat/completions",
         &[],
         "",
@@ -63,8 +63,13 @@
 #[tokio::test]
 async fn key_unknown_refused() {
     let running = Running::start().await;
-    let mut request =
-        crate::support::request("GET", running.local.callers, "/v1/models", &[], "");
+    let mut request = crate::support::request(
+        "GET",
+        running.local.caller_address,
+        "/v1/models",
+        &[],
+        "",
+    );
     let wrong = http::HeaderValue::from_static("Bearer wrong");
     request.headers_mut().insert("authorization", wrong);
     let got = crate::support::send(request).await;
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -11,7 +11,7 @@
 #[tokio::test]
 async fn stream_in_flight_survives_drain() {
     let running = Running::start().await;
-    let callers = running.local.callers;
+    let callers = running.local.caller_address;
     let body = chat("long", 60, true);
     let path = "/v1/chat/completions";
     let request = crate::support::request("POST", callers, path, &[], &body);
--- a/tests/all/operator.rs
+++ b/tests/all/operator.rs
@@ -21,7 +21,7 @@
         let settings = folder.0.join("ctl.jsonc");
         let text = format!(
             r#"{{ "control": ["{}"], "key_file": "{}" }}"#,
-            running.local.operators,
+            running.local.operator_address,
             key.display()
         );
         std::fs::write(&settings, text).unwrap();
@@ -101,7 +101,7 @@
         assert_eq!(got.status(), 200);
     }
     let nobody = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let burn = collect(&[running.local.callers, nobody]).await;
+    let burn = collect(&[running.local.caller_address, nobody]).await;
     assert_eq!(burn.unread, [nobody.to_string()]);
     let row = burn
         .rows
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -93,7 +93,7 @@
     // Together far more than one connection's window, and none of it read.
     let mut unread = Vec::new();
     for _ in 0..READERS {
-        let callers = running.local.callers;
+        let callers = running.local.caller_address;
         let path = "/services/lookup/large";
         let asked = crate::support::request("PUT", callers, path, &[], &large);
         let got = client.request(asked).await.unwrap();
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -5,7 +5,9 @@
 use dogwoodhill::daemon::drain::Drain;
 use dogwoodhill::entry::table::Service;
 use dogwoodhill::entry::{Entry, Settings};
-use dogwoodhill::local::{Local, OPERATOR_KEY, Places, SAMPLE_KEY, model_document};
+use dogwoodhill::local::{
+    LocalConfig, LocalDeployment, OPERATOR_KEY, SAMPLE_KEY, model_document,
+};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -41,7 +43,7 @@
 
 /// The all-in-one deployment on free ports.
 pub(crate) struct Running {
-    pub(crate) local: Local,
+    pub(crate) local: LocalDeployment,
     pub(crate) drain: Drain,
     _folder: Folder,
 }
@@ -50,12 +52,12 @@
     pub(crate) async fn start() -> Self {
         let drain = Drain::default();
         let folder = Folder::new();
-        let places = Places {
-            callers: free(),
-            operators: free(),
-            data: folder.0.clone(),
+        let config = LocalConfig {
+            caller_address: free(),
+            operator_address: free(),
+            data_dir: folder.0.clone(),
         };
-        let local = Local::start(places, drain.clone()).await.unwrap();
+        let local = LocalDeployment::start(config, drain.clone()).await.unwrap();
         Self {
             local,
             drain,
@@ -76,7 +78,14 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Response<String> {
-        send(request(method, self.local.callers, path, headers, body)).await
+        send(request(
+            method,
+            self.local.caller_address,
+            path,
+            headers,
+            body,
+        ))
+        .await
     }
 
     /// Calls the control instance as the sample team.
@@ -86,7 +95,7 @@
         path: &str,
         body: &str,
     ) -> Response<String> {
-        let mut asked = request(method, self.local.operators, path, &[], body);
+        let mut asked = request(method, self.local.operator_address, path, &[], body);
         let key = format!("Bearer {OPERATOR_KEY}").parse().unwrap();
         asked.headers_mut().insert("authorization", key);
         send(asked).await
