--- a/src/local.rs
+++ b/src/local.rs
@@ -232,7 +232,7 @@
         address,
     );
     settings.control = vec![control];
-    settings.lease = AGENT_LEASE;
+    settings.lease_duration = AGENT_LEASE;
     settings.secret = CLUSTER_KEY.to_string();
     settings.linger = Duration::ZERO;
     Agent::bind(settings, drain.clone())
