--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -1,7 +1,7 @@
-//! What comes for each service, what it does to streams, and how fast its endpoints
-//! read: what one entry has seen, and what all of them told each other.
+//! Demand, stream disturbance and prefill rate per service, from this entry's
+//! observations and from the sums over all entries.
 
-use super::{Directory, Lane, Want};
+use super::{Directory, LatencyClass, PlacementQuery};
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::backlog::Backlog;
 use dogwoodhill_policy::interference::Interference;
@@ -10,21 +10,22 @@
 use dogwoodhill_wire::demand::{DemandReply, ServiceDemand};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Part of a second of an endpoint's time that one generated token takes: a
-/// step of 6.5 ms shared by some thirty streams.
-const TOKEN_WORK: f64 = 0.000_2;
-/// What came for one service and what is sent and not read.
+/// Endpoint time per generated token, in seconds: a decoding step of 6.5 ms shared by
+/// some thirty streams.
+const TOKEN_TIME_S: f64 = 0.000_2;
+
+/// Demand for one service, and its queue of prompts awaiting prefill.
 #[derive(Debug, Default)]
-pub(super) struct Demand {
-    pub(super) shares: Reservation,
-    pub(super) disturbance: Interference,
+pub(super) struct DemandState {
+    pub(super) reservation: Reservation,
+    pub(super) interference: Interference,
     pub(super) backlog: Arc<Mutex<Backlog>>,
     pub(super) rate: Arc<Mutex<PrefillRate>>,
 }
 
-impl Demand {
-    /// What came for a service.
-    pub(super) fn of<'a>(
+impl DemandState {
+    /// The state of a service, created on first use.
+    pub(super) fn entry<'a>(
         all: &'a mut Vec<(ServiceId, Self)>,
         service: &str,
     ) -> &'a mut Self {
@@ -38,59 +39,65 @@
 }
 
 impl Directory {
-    /// Notes a request's work, from which the size of the lanes follows.
-    pub fn note(&self, want: &Want<'_>) {
+    /// Records the work of a request, which determines how many endpoints are
+    /// reserved for latency-sensitive streams.
+    pub fn record_demand(&self, query: &PlacementQuery<'_>) {
         let now = self.start.elapsed();
-        let reading = self
-            .rate(want.service)
-            .prefill_time(f64::from(want.prompt.tokens));
-        let writing = f64::from(want.prompt.output) * TOKEN_WORK;
-        let work = reading + Duration::from_secs_f64(writing);
+        let prefill = self
+            .prefill_rate(query.service)
+            .prefill_time(f64::from(query.prompt.tokens));
+        let decode = f64::from(query.prompt.max_output) * TOKEN_TIME_S;
+        let work = prefill + Duration::from_secs_f64(decode);
         let mut all = self.demand();
-        let demand = Demand::of(&mut all, want.service);
-        let fragile = want.lane == Lane::Fragile;
-        demand.shares.record(now, fragile, work);
+        let demand = DemandState::entry(&mut all, query.service);
+        let sensitive = query.class == LatencyClass::Sensitive;
+        demand.reservation.record(now, sensitive, work);
     }
 
-    /// Whether streams of `service` that allow a pause of `shortest`, and no other
-    /// stream less, are kept apart from those that allow up to `longest`.
-    pub fn apart(&self, service: &str, shortest: Duration, longest: Duration) -> bool {
+    /// Whether streams of `service` that tolerate a pause of `shortest`, the shortest of
+    /// all, are separated from those that tolerate up to `longest`.
+    pub fn separates_classes(
+        &self,
+        service: &str,
+        shortest: Duration,
+        longest: Duration,
+    ) -> bool {
         let now = self.start.elapsed();
         let mut all = self.demand();
-        let disturbance = &mut Demand::of(&mut all, service).disturbance;
+        let interference = &mut DemandState::entry(&mut all, service).interference;
         if shortest >= longest {
             return false;
         }
-        if disturbance.decide(now, shortest) {
-            let known = disturbance.estimate(now).unwrap_or_default();
+        if interference.decide(now, shortest) {
+            let estimate = interference.estimate(now).unwrap_or_default();
             Event::new("streams-apart")
                 .field("service", service)
-                .field("apart", disturbance.separate())
+                .field("apart", interference.separate())
                 .field("pause_ms", shortest.as_millis())
-                .field("disturbed_ms", known.as_millis())
-                .field("streams", disturbance.local_estimate(now).1)
+                .field("disturbed_ms", estimate.as_millis())
+                .field("streams", interference.local_estimate(now).1)
                 .info();
         }
-        disturbance.separate()
+        interference.separate()
     }
 
-    /// A stream of a request ended whose longest pause was `longest`.
-    pub fn streamed(&self, want: &Want<'_>, longest: Duration) {
-        if want.lane == Lane::Other {
+    /// Records the longest pause of a completed stream.
+    pub fn record_stream(&self, query: &PlacementQuery<'_>, longest: Duration) {
+        if query.class == LatencyClass::Tolerant {
             let now = self.start.elapsed();
             let mut all = self.demand();
-            let demand = Demand::of(&mut all, want.service);
-            demand.disturbance.record_stream(now, longest);
+            let demand = DemandState::entry(&mut all, query.service);
+            demand.interference.record_stream(now, longest);
         }
     }
 
-    /// What came here lately, for the other entries.
-    pub fn demanded(&self) -> Vec<ServiceDemand> {
+    /// Recent demand at this entry, for the other entries.
+    pub fn demand_report(&self) -> Vec<ServiceDemand> {
         let now = self.start.elapsed();
         let all = self.demand();
         let services = all.iter().map(|(service, demand)| {
-            let (latency_sensitive, other) = demand.shares.local_work(now);
-            let (pause, streams) = demand.disturbance.local_estimate(now);
+            let (latency_sensitive, other) = demand.reservation.local_work(now);
+            let (pause, streams) = demand.interference.local_estimate(now);
             let streams = streams as f64;
             ServiceDemand {
                 service: service.clone(),
@@ -103,46 +110,46 @@
         services.collect()
     }
 
-    /// Takes in what came at all entries.
-    pub fn agree(&self, totals: &DemandReply) {
+    /// Applies the sums over all entries.
+    pub fn apply_totals(&self, totals: &DemandReply) {
         let now = self.start.elapsed();
         let mut all = self.demand();
         for total in &totals.services {
-            let demand = Demand::of(&mut all, &total.service);
+            let demand = DemandState::entry(&mut all, &total.service);
             demand
-                .shares
+                .reservation
                 .set_total(now, total.latency_sensitive, total.other);
             let pause = Duration::try_from_secs_f64(total.pauses / total.streams);
             let pause = pause.unwrap_or_default();
             demand
-                .disturbance
+                .interference
                 .set_shared_estimate(now, pause, total.streams as usize);
         }
     }
 
-    /// How many endpoints are kept free of long prompts.
-    pub(super) fn reserved(&self, want: &Want<'_>, endpoints: usize) -> usize {
-        if !want.mixed {
+    /// Number of endpoints reserved for latency-sensitive streams.
+    pub(super) fn reserved(&self, query: &PlacementQuery<'_>, endpoints: usize) -> usize {
+        if !query.separate_classes {
             return 0;
         }
         let mut all = self.demand();
         let now = self.start.elapsed();
-        let demand = Demand::of(&mut all, want.service);
-        demand.shares.reserved(now, endpoints)
+        let demand = DemandState::entry(&mut all, query.service);
+        demand.reservation.reserved(now, endpoints)
     }
 
-    /// How fast the endpoints of a service read.
-    pub(super) fn rate(&self, service: &str) -> PrefillRate {
-        let shared = self.shared_rate(service);
+    /// Prefill rate of a service's endpoints.
+    pub(super) fn prefill_rate(&self, service: &str) -> PrefillRate {
+        let shared = self.shared_prefill_rate(service);
         let rate = shared.lock().unwrap_or_else(PoisonError::into_inner);
         *rate
     }
 
-    pub(super) fn shared_rate(&self, service: &str) -> Arc<Mutex<PrefillRate>> {
-        Arc::clone(&Demand::of(&mut self.demand(), service).rate)
+    pub(super) fn shared_prefill_rate(&self, service: &str) -> Arc<Mutex<PrefillRate>> {
+        Arc::clone(&DemandState::entry(&mut self.demand(), service).rate)
     }
 
-    pub(super) fn demand(&self) -> MutexGuard<'_, Vec<(ServiceId, Demand)>> {
+    pub(super) fn demand(&self) -> MutexGuard<'_, Vec<(ServiceId, DemandState)>> {
         self.demand.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
