--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -134,8 +134,8 @@
 
 fn hash() -> Result<String, CommandError> {
     let mut key = String::new();
-    let read = std::io::stdin().read_line(&mut key);
-    if read.is_err() || key.trim().is_empty() {
+    let result = std::io::stdin().read_line(&mut key);
+    if result.is_err() || key.trim().is_empty() {
         let text = "no key on standard input; write one line";
         return Err(CommandError::new(Exit::InvalidInput, text));
     }
@@ -152,11 +152,11 @@
     let target = format!("/v1/services/{}", document.service);
     if matches.get_flag("dry-run") {
         let current = current_text(operator, &target).await?;
-        return Ok(difference(&document, current.as_deref(), &text));
+        return Ok(render_diff(&document, current.as_deref(), &text));
     }
     let body = operator.call(Method::PUT, &target, &text).await?;
-    let read = serde_json::from_slice::<Accepted>(&body);
-    let Accepted { accepted } = read.map_err(|error| {
+    let parsed = serde_json::from_slice::<Accepted>(&body);
+    let Accepted { accepted } = parsed.map_err(|error| {
         let text = format!("unreadable answer: {error}; apply again to be sure");
         CommandError::new(Exit::Unconfirmed, text)
     })?;
@@ -178,8 +178,8 @@
     }
 }
 
-/// What `apply` would change, as a unified diff.
-fn difference(document: &ServiceDocument, current: Option<&str>, text: &str) -> String {
+/// Describes what `apply` would change, as a unified diff if the service exists.
+fn render_diff(document: &ServiceDocument, current: Option<&str>, text: &str) -> String {
     let name = &document.service;
     let Some(current) = current else {
         return format!("{name} is new; version 1 would be its first\n{text}");
@@ -211,9 +211,9 @@
     matches: &ArgMatches,
 ) -> Result<String, CommandError> {
     let target = format!("/v1/services/{}/history", service_argument(matches));
-    let past: Vec<HistoryItem> = operator.get(&target).await?;
+    let items: Vec<HistoryItem> = operator.get(&target).await?;
     let mut out = String::from("version  revision  team\n");
-    for HistoryItem { accepted, .. } in past {
+    for HistoryItem { accepted, .. } in items {
         let (version, revision) = (accepted.version, accepted.revision);
         let _ = writeln!(out, "{version:>7}  {revision:>8}  {}", accepted.team);
     }
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -217,9 +217,11 @@
     let events = ["endpoint-ended", "request-quarantined", "quarantine-told"];
     let lines = text.lines().map(str::trim).filter(|line| {
         let event = field(line, "event").is_some_and(|event| events.contains(&event));
-        let own = field(line, "request") == Some(id);
+        let same_request = field(line, "request") == Some(id);
         let content = field(line, "content");
-        event && !own && content.is_some_and(|content| contents.contains(&content))
+        event
+            && !same_request
+            && content.is_some_and(|content| contents.contains(&content))
     });
     lines.map(|text| LogLine::new(source, text)).collect()
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The list can't be read; callers keep using the one they read last.
+/// The list can't be read; the list read last stays in use.
 #[derive(Debug, Display, Error)]
 #[display("can't read the platform's list; check `platform` in the settings")]
 pub struct PlatformListError;
--- a/src/local.rs
+++ b/src/local.rs
@@ -123,7 +123,7 @@
             &agent_drain,
         )
         .await?;
-        let texts = [
+        let documents = [
             model_document(chat.address(), engine.address()),
             plain_document(lookup.address(), plain.address()),
         ];
@@ -155,7 +155,7 @@
         local.agents.spawn(chat.run());
         local.agents.spawn(lookup.run());
         local.entries.spawn(entry.run());
-        for text in texts {
+        for text in documents {
             submit_document(&service, text).await?;
         }
         local.wait_in_force(&service).await?;
