--- a/tests/all/control.rs
+++ b/tests/all/control.rs
@@ -1,6 +1,6 @@
-//! Operators' changes and three control instances.
+//! Document changes by operators, and a cluster of three control instances.
 
-use crate::support::{Folder, Running, header};
+use crate::support::{TempFolder, TestDeployment, header};
 use dogwoodhill::control::settings::{Start, Team};
 use dogwoodhill::control::{Control, Settings};
 use dogwoodhill::core::keys::KeyHash;
@@ -9,29 +9,37 @@
 use std::time::Duration;
 
 #[tokio::test]
-async fn put_follows_version_rules() {
-    let running = Running::start().await;
+async fn put_enforces_version_order() {
+    let deployment = TestDeployment::start().await;
     let path = "/v1/services/chat";
-    let first = running.document("chat").await;
+    let first = deployment.document("chat").await;
     let second = first.replace("\"version\": 1", "\"version\": 2");
-    let accepted = running.operate("PUT", path, &second).await;
+    let accepted = deployment.call_control("PUT", path, &second).await;
     assert_eq!(accepted.status(), 200, "{}", accepted.body());
-    let again = running
-        .operate("PUT", path, &format!("// again\n{second}"))
+    let resent = deployment
+        .call_control("PUT", path, &format!("// again\n{second}"))
         .await;
-    assert_eq!(again.body(), accepted.body(), "a resend is answered alike");
-    let late = running.operate("PUT", path, &first).await;
-    assert_eq!(late.status(), 200, "also of an earlier version");
-    let raced = second.replace("0.95", "0.9");
-    let lost = running.operate("PUT", path, &raced).await;
-    assert_eq!(lost.status(), 409);
+    assert_eq!(
+        resent.body(),
+        accepted.body(),
+        "a resend gets the same response"
+    );
+    let earlier = deployment.call_control("PUT", path, &first).await;
+    assert_eq!(
+        earlier.status(),
+        200,
+        "a resend of an earlier version is accepted"
+    );
+    let competing = second.replace("0.95", "0.9");
+    let conflict = deployment.call_control("PUT", path, &competing).await;
+    assert_eq!(conflict.status(), 409);
     assert!(
-        lost.body().contains("sample-team"),
-        "who won: {}",
-        lost.body()
+        conflict.body().contains("sample-team"),
+        "names the team of the accepted change: {}",
+        conflict.body()
     );
     let skipping = second.replace("\"version\": 2", "\"version\": 9");
-    let refused = running.operate("PUT", path, &skipping).await;
+    let refused = deployment.call_control("PUT", path, &skipping).await;
     assert_eq!(refused.status(), 409);
     assert!(
         refused.body().contains("apply version 3"),
@@ -41,48 +49,57 @@
     let foreign = first
         .replace("sample-team", "other-team")
         .replace("chat", "talk");
-    let refused = running.operate("PUT", "/v1/services/talk", &foreign).await;
+    let refused = deployment
+        .call_control("PUT", "/v1/services/talk", &foreign)
+        .await;
     assert_eq!(refused.status(), 403, "{}", refused.body());
-    running.stop().await;
+    deployment.stop().await;
 }
 
 #[tokio::test]
 async fn retired_service_names_successor() {
-    let running = Running::start().await;
-    let text = running.document("lookup").await;
+    let deployment = TestDeployment::start().await;
+    let text = deployment.document("lookup").await;
     let retired = text.replace("\"version\": 1", "\"version\": 2").replace(
         "\"kind\"",
         "\"state\": \"retiring\", \"successor\": \"new\", \"kind\"",
     );
-    let put = running
-        .operate("PUT", "/v1/services/lookup", &retired)
+    let put = deployment
+        .call_control("PUT", "/v1/services/lookup", &retired)
         .await;
     assert_eq!(put.status(), 200, "{}", put.body());
     loop {
-        let got = running.call("GET", "/services/lookup/x", &[], "").await;
-        if got.status() == 410 {
-            assert!(got.body().contains("use the service new"));
-            assert_eq!(header(&got, "x-outcome"), "not-run");
+        let response = deployment
+            .call_entry("GET", "/services/lookup/x", &[], "")
+            .await;
+        if response.status() == 410 {
+            assert!(response.body().contains("use the service new"));
+            assert_eq!(header(&response, "x-outcome"), "not-run");
             break;
         }
     }
-    running.stop().await;
+    deployment.stop().await;
 }
 
-/// Three control instances, each stopped by its own drain.
-struct Three {
-    operators: Vec<SocketAddr>,
+/// A cluster of three control instances. The vectors are in the order in which the
+/// instances were added.
+struct TestCluster {
+    operator_addresses: Vec<SocketAddr>,
     drains: Vec<Drain>,
-    folders: Vec<Folder>,
-    internal: Vec<SocketAddr>,
+    folders: Vec<TempFolder>,
+    internal_addresses: Vec<SocketAddr>,
 }
 
-fn settings(number: usize, folder: &Folder, peers: Vec<SocketAddr>) -> Settings {
-    let mut settings = Settings::new(format!("control-{number}"), folder.0.clone());
+fn instance_settings(
+    index: usize,
+    folder: &TempFolder,
+    peers: Vec<SocketAddr>,
+) -> Settings {
+    let mut settings = Settings::new(format!("control-{index}"), folder.0.clone());
     settings.secret = "secret".to_string();
     settings.linger = Duration::ZERO;
     settings.peers = peers;
-    settings.start = match number {
+    settings.start = match index {
         0 => Start::Bootstrap,
         _ => Start::Join,
     };
@@ -93,46 +110,46 @@
     settings
 }
 
-impl Three {
+impl TestCluster {
     async fn start() -> Self {
-        let mut three = Self {
-            operators: Vec::new(),
+        let mut cluster = Self {
+            operator_addresses: Vec::new(),
             drains: Vec::new(),
             folders: Vec::new(),
-            internal: Vec::new(),
+            internal_addresses: Vec::new(),
         };
-        for number in 0..3 {
-            three.add(number).await;
+        for index in 0..3 {
+            cluster.add_instance(index).await;
         }
-        three.wait_voters(3).await;
-        three
+        cluster.wait_voters(3).await;
+        cluster
     }
 
-    async fn add(&mut self, number: usize) {
-        let folder = Folder::new();
-        let settings = settings(number, &folder, self.internal.clone());
+    async fn add_instance(&mut self, index: usize) {
+        let folder = TempFolder::new();
+        let settings = instance_settings(index, &folder, self.internal_addresses.clone());
         let drain = Drain::default();
         let control = Control::bind(settings, drain.clone()).await.unwrap();
-        self.operators.push(control.operators());
-        self.internal.push(control.internal());
+        self.operator_addresses.push(control.operators());
+        self.internal_addresses.push(control.internal());
         self.drains.push(drain);
         self.folders.push(folder);
         tokio::spawn(control.run());
     }
 
-    async fn status(&self, number: usize) -> Option<serde_json::Value> {
-        let address = self.operators[number];
+    async fn status(&self, index: usize) -> Option<serde_json::Value> {
+        let address = self.operator_addresses[index];
         let request = crate::support::request("GET", address, "/v1/status", &[], "");
-        let got = crate::support::try_send(request).await?;
-        serde_json::from_str(got.body()).ok()
+        let response = crate::support::try_send(request).await?;
+        serde_json::from_str(response.body()).ok()
     }
 
-    async fn wait_voters(&self, wanted: usize) {
+    async fn wait_voters(&self, expected: usize) {
         loop {
             if let Some(status) = self.status(0).await {
                 let members = status["members"].as_array().unwrap().iter();
                 let voters = members.filter(|member| member["voter"] == true);
-                if voters.count() == wanted {
+                if voters.count() == expected {
                     return;
                 }
             }
@@ -140,23 +157,23 @@
         }
     }
 
-    async fn put(&self, number: usize, version: u64) -> u16 {
-        let text = document(version);
-        let address = self.operators[number];
+    async fn put_document(&self, index: usize, version: u64) -> u16 {
+        let text = service_document(version);
+        let address = self.operator_addresses[index];
         let path = "/v1/services/svc";
         loop {
             let request = crate::support::request("PUT", address, path, &[], &text);
             match crate::support::try_send(request).await {
-                // Not confirmed in time: the same document is sent again.
-                Some(got) if got.status() == 503 => {}
-                Some(got) => return got.status().as_u16(),
+                // Not confirmed in time: send the same document again.
+                Some(response) if response.status() == 503 => {}
+                Some(response) => return response.status().as_u16(),
                 None => return 0,
             }
         }
     }
 }
 
-fn document(version: u64) -> String {
+fn service_document(version: u64) -> String {
     format!(
         r#"{{ "service": "svc", "version": {version}, "owner": "team", "kind": "plain",
         "workspaces": [ {{ "name": "w" }} ],
@@ -167,26 +184,36 @@
 }
 
 #[tokio::test]
-async fn three_instances_survive_leader_stop() {
-    let three = Three::start().await;
-    assert_eq!(three.put(0, 1).await, 200);
-    assert_eq!(three.put(1, 2).await, 200, "any instance takes a change");
-    three.drains[0].begin();
-    assert_eq!(three.put(1, 3).await, 200);
-    assert_eq!(three.put(2, 3).await, 200, "a resend elsewhere is the same");
-    assert_eq!(three.put(2, 5).await, 409);
-    three.drains.iter().for_each(Drain::begin);
+async fn cluster_accepts_changes_after_leader_stop() {
+    let cluster = TestCluster::start().await;
+    assert_eq!(cluster.put_document(0, 1).await, 200);
+    assert_eq!(
+        cluster.put_document(1, 2).await,
+        200,
+        "each instance accepts changes"
+    );
+    cluster.drains[0].begin();
+    assert_eq!(cluster.put_document(1, 3).await, 200);
+    assert_eq!(
+        cluster.put_document(2, 3).await,
+        200,
+        "a resend to another instance is accepted"
+    );
+    assert_eq!(cluster.put_document(2, 5).await, 409);
+    cluster.drains.iter().for_each(Drain::begin);
 }
 
 #[tokio::test]
-async fn bootstrap_beside_existing_cluster_refused() {
-    let mut three = Three::start().await;
-    let folder = Folder::new();
-    let mut second = settings(0, &folder, three.internal.clone());
-    second.name = "control-9".to_string();
-    let refused = Control::bind(second, Drain::default()).await.unwrap_err();
-    let text = format!("{refused:?}");
+async fn bootstrap_with_existing_cluster_refused() {
+    let mut cluster = TestCluster::start().await;
+    let folder = TempFolder::new();
+    let mut bootstrap = instance_settings(0, &folder, cluster.internal_addresses.clone());
+    bootstrap.name = "control-9".to_string();
+    let error = Control::bind(bootstrap, Drain::default())
+        .await
+        .unwrap_err();
+    let text = format!("{error:?}");
     assert!(text.contains("start with --join"), "{text}");
-    three.drains.iter().for_each(Drain::begin);
-    three.folders.clear();
+    cluster.drains.iter().for_each(Drain::begin);
+    cluster.folders.clear();
 }
--- a/tests/all/lease.rs
+++ b/tests/all/lease.rs
@@ -1,6 +1,6 @@
-//! Two agents of one endpoint.
+//! The lease of an endpoint with two agents.
 
-use crate::support::{Folder, free, request, send};
+use crate::support::{TempFolder, ephemeral_address, request, send};
 use dogwoodhill::agent::{Agent, Settings};
 use dogwoodhill::control::settings::Start;
 use dogwoodhill::control::{Control, Settings as ControlSettings};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-async fn agent(endpoint: SocketAddr, control: SocketAddr) -> (SocketAddr, Drain) {
+async fn start_agent(endpoint: SocketAddr, control: SocketAddr) -> (SocketAddr, Drain) {
     let mut settings = Settings::new("svc".to_string(), "e".to_string(), endpoint);
     settings.secret = "secret".to_string();
     settings.control = vec![control];
@@ -22,34 +22,36 @@
     (address, drain)
 }
 
-async fn ready(agent: SocketAddr) -> bool {
-    let got = send(request("GET", agent, "/readyz", &[], "")).await;
-    got.status() == 200
+async fn is_ready(agent: SocketAddr) -> bool {
+    let response = send(request("GET", agent, "/readyz", &[], "")).await;
+    response.status() == 200
 }
 
 #[tokio::test]
-async fn second_agent_starts_nothing_until_first_gives_back() {
-    let folder = Folder::new();
+async fn second_agent_not_ready_until_lease_released() {
+    let folder = TempFolder::new();
     let mut settings = ControlSettings::new("one".to_string(), folder.0.clone());
     settings.secret = "secret".to_string();
     settings.start = Start::Bootstrap;
     let control = Control::bind(settings, Drain::default()).await.unwrap();
     let internal = control.internal();
     tokio::spawn(control.run());
-    let engine = Engine::bind(free(), Speed::default()).await.unwrap();
-    let address = engine.address();
+    let engine = Engine::bind(ephemeral_address(), Speed::default())
+        .await
+        .unwrap();
+    let engine_address = engine.address();
     tokio::spawn(engine.run(Drain::default()));
-    let (first, drain) = agent(address, internal).await;
-    while !ready(first).await {
+    let (first, drain) = start_agent(engine_address, internal).await;
+    while !is_ready(first).await {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let (second, _) = agent(address, internal).await;
-    // The first answer it gets says that another one holds the lease.
+    let (second, _) = start_agent(engine_address, internal).await;
+    // Time for the second agent to learn that another agent holds the lease.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert!(!ready(second).await, "the lease is the first one's");
-    assert!(ready(first).await);
+    assert!(!is_ready(second).await, "the first agent holds the lease");
+    assert!(is_ready(first).await);
     drain.begin();
-    while !ready(second).await {
+    while !is_ready(second).await {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,12 +1,12 @@
-//! Tests over real sockets on loopback, by feature.
+//! Integration tests of the daemons over loopback sockets, one module per feature.
 
 mod bad_input;
-mod broken_answers;
-mod burst;
 mod control;
 mod drain;
+mod end_to_end;
+mod invalid_answers;
 mod lease;
 mod operator;
-mod path;
+mod overload;
 mod programs;
 mod support;
--- a/tests/all/burst.rs
+++ b/tests/all/overload.rs
@@ -1,4 +1,4 @@
-//! More than fits: who waits, who gives way, and that all of it ends.
+//! Overload: which requests are queued, which are shed, and that each of them ends.
 
 use crate::support::{request, send};
 use dogwoodhill::load::bench::{Bench, SERVICE, workspace_key};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One endpoint with two slots, and room for five waiting requests.
+/// One endpoint with two slots, and a queue of at most five requests.
 const SUITE: &str = r#"{
   "name": "small", "domains": 1, "endpoints": 1, "entries": 1,
   "distance": "0s", "approach": "0s", "workspaces": 1,
@@ -22,23 +22,23 @@
   "scenarios": []
 }"#;
 
-async fn call(entry: SocketAddr, class: &str, tokens: u32) -> Response<String> {
+async fn complete(entry: SocketAddr, class: &str, tokens: u32) -> Response<String> {
     let body = format!(
         r#"{{"model":"{SERVICE}","stream":true,"max_tokens":{tokens},"prompt":"x"}}"#
     );
     let headers = [("x-service-class", class)];
-    let mut asked = request("POST", entry, "/v1/completions", &headers, &body);
+    let mut request = request("POST", entry, "/v1/completions", &headers, &body);
     let key = format!("Bearer {}", workspace_key(0)).parse().unwrap();
-    asked.headers_mut().insert("authorization", key);
-    send(asked).await
+    request.headers_mut().insert("authorization", key);
+    send(request).await
 }
 
-/// Waits until the entry holds `count` requests.
-async fn waiting(entry: SocketAddr, count: usize) {
+/// Waits until exactly `count` requests are queued at the entry.
+async fn wait_until_queued(entry: SocketAddr, count: usize) {
     let line = format!("dogwoodhill_entry_waiting {count}");
     loop {
-        let got = send(request("GET", entry, "/metrics", &[], "")).await;
-        if got.body().lines().any(|have| have == line) {
+        let response = send(request("GET", entry, "/metrics", &[], "")).await;
+        if response.body().lines().any(|metric| metric == line) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -46,51 +46,52 @@
 }
 
 #[tokio::test]
-async fn urgent_never_gives_way_and_patient_ends() {
+async fn shedding_spares_urgent_class() {
     let suite = Suite::parse("small", SUITE).unwrap();
     let policy = dogwoodhill::policy::placement::Policy::Predicted;
     let bench = Bench::start(&suite, policy).await;
     let entry = bench.entries()[0];
-    // Two long ones run, five wait.
+    // Two of these run and five are queued.
     let patient: Vec<_> = (0..7)
-        .map(|_| tokio::spawn(call(entry, "patient", 40)))
+        .map(|_| tokio::spawn(complete(entry, "patient", 40)))
         .collect();
-    waiting(entry, 5).await;
-    let refused = call(entry, "patient", 1).await;
+    wait_until_queued(entry, 5).await;
+    let refused = complete(entry, "patient", 1).await;
     assert_eq!(
         refused.status(),
         429,
-        "the newest of the lowest tier gives way"
+        "the newest request of the lowest tier is shed"
     );
     assert_eq!(refused.headers()["x-outcome"], "not-run");
     assert!(refused.headers().contains_key("retry-after"));
     let urgent: Vec<_> = (0..3)
-        .map(|_| tokio::spawn(call(entry, "urgent", 2)))
+        .map(|_| tokio::spawn(complete(entry, "urgent", 2)))
         .collect();
     for task in urgent {
         assert_eq!(
             task.await.unwrap().status(),
             200,
-            "urgent ones are never shed"
+            "urgent requests are never shed"
         );
     }
-    let mut ended = [0; 2];
+    // Numbers of complete and of shed requests.
+    let mut outcomes = [0; 2];
     for task in patient {
-        let got = task.await.unwrap();
-        match got.status().as_u16() {
-            200 => ended[0] += 1,
-            429 => ended[1] += 1,
-            other => panic!("{other}: {}", got.body()),
+        let response = task.await.unwrap();
+        match response.status().as_u16() {
+            200 => outcomes[0] += 1,
+            429 => outcomes[1] += 1,
+            other => panic!("{other}: {}", response.body()),
         }
     }
     assert_eq!(
-        ended[0] + ended[1],
+        outcomes[0] + outcomes[1],
         7,
-        "each ends, and the running ones whole"
+        "each request ends, complete or shed"
     );
     assert!(
-        ended[0] >= 4,
-        "only as many gave way as urgent ones came: {ended:?}"
+        outcomes[0] >= 4,
+        "at most one patient request is shed per urgent request: {outcomes:?}"
     );
     bench.stop().await;
 }
--- a/tests/all/programs.rs
+++ b/tests/all/programs.rs
@@ -1,4 +1,5 @@
-//! Help texts, settings and examples.
+//! Help texts, diagnostics of settings and documents, and the validity of the example
+//! files.
 
 use dogwoodhill::agent::Settings as AgentSettings;
 use dogwoodhill::control::Settings as ControlSettings;
@@ -7,11 +8,11 @@
 use dogwoodhill::load::scenario::Suite;
 use std::path::PathBuf;
 
-fn example(path: &str) -> String {
-    let full = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+fn read_example(path: &str) -> String {
+    let full_path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("examples")
         .join(path);
-    std::fs::read_to_string(full).unwrap()
+    std::fs::read_to_string(full_path).unwrap()
 }
 
 #[test]
@@ -37,28 +38,28 @@
 fn examples_are_valid() {
     for number in 1..=3 {
         let name = format!("loopback/control-{number}.jsonc");
-        ControlSettings::parse(&name, &example(&name)).unwrap();
+        ControlSettings::parse(&name, &read_example(&name)).unwrap();
     }
     for number in 1..=2 {
         let name = format!("loopback/entry-{number}.jsonc");
-        EntrySettings::parse(&name, &example(&name)).unwrap();
+        EntrySettings::parse(&name, &read_example(&name)).unwrap();
     }
     for name in ["chat-1", "chat-2", "lookup-1"] {
         let name = format!("loopback/agent-{name}.jsonc");
-        AgentSettings::parse(&name, &example(&name)).unwrap();
+        AgentSettings::parse(&name, &read_example(&name)).unwrap();
     }
     for name in ["chat", "lookup"] {
         let name = format!("loopback/{name}.jsonc");
-        ServiceDocument::parse(&name, &example(&name)).unwrap();
+        ServiceDocument::parse(&name, &read_example(&name)).unwrap();
     }
     for name in ["narration", "booking"] {
         let name = format!("scenarios/{name}.jsonc");
-        Suite::parse(&name, &example(&name)).unwrap();
+        Suite::parse(&name, &read_example(&name)).unwrap();
     }
 }
 
 #[test]
-fn settings_faults_listed_at_once() {
+fn settings_diagnostics_listed_together() {
     let text = r#"{
   "name": "entry one",
   "listen": "localhost:80",
@@ -68,12 +69,12 @@
   "colour": "blue",
   "linger": "soon"
 }"#;
-    let faults = EntrySettings::parse("entry.jsonc", text).unwrap_err();
-    insta::assert_snapshot!(faults.to_string());
+    let diagnostics = EntrySettings::parse("entry.jsonc", text).unwrap_err();
+    insta::assert_snapshot!(diagnostics.to_string());
 }
 
 #[test]
-fn document_faults_listed_at_once() {
+fn document_diagnostics_listed_together() {
     let text = r#"{
   "service": "chat", "version": 0, "owner": "team", "kind": "plain",
   "workspaces": [ { "name": "a", "weight": 0 }, { "name": "a" } ],
@@ -87,13 +88,13 @@
     { "name": "one", "agent": "127.0.0.1:1", "address": "127.0.0.1:3", "domain": "d" }
   ]
 }"#;
-    let faults = ServiceDocument::parse("chat.jsonc", text).unwrap_err();
-    insta::assert_snapshot!(faults.to_string());
+    let diagnostics = ServiceDocument::parse("chat.jsonc", text).unwrap_err();
+    insta::assert_snapshot!(diagnostics.to_string());
 }
 
 #[test]
-fn settings_broken_text_names_line() {
-    let faults =
+fn settings_syntax_error_names_line() {
+    let diagnostics =
         EntrySettings::parse("entry.jsonc", "{\n  \"name\" \"x\"\n}").unwrap_err();
-    insta::assert_snapshot!(faults.to_string());
+    insta::assert_snapshot!(diagnostics.to_string());
 }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! What tests over sockets share.
+//! Fixtures and request helpers shared by the tests over sockets.
 
 use bytes::Bytes;
 use dogwoodhill::core::document::ServiceDocument;
@@ -16,10 +16,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// A folder of its own for one test, removed when it is dropped.
-pub(crate) struct Folder(pub(crate) PathBuf);
+/// The unique path of a temporary folder. The folder is not created here; it is removed
+/// on drop.
+pub(crate) struct TempFolder(pub(crate) PathBuf);
 
-impl Folder {
+impl TempFolder {
     pub(crate) fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -28,38 +29,38 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// An address with a free port.
-pub(crate) fn free() -> SocketAddr {
+/// Returns a loopback address with port 0, for which the system selects a free port.
+pub(crate) fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The all-in-one deployment on free ports.
-pub(crate) struct Running {
+/// The all-in-one deployment on ephemeral ports.
+pub(crate) struct TestDeployment {
     pub(crate) local: Local,
     pub(crate) drain: Drain,
-    _folder: Folder,
+    _data_folder: TempFolder,
 }
 
-impl Running {
+impl TestDeployment {
     pub(crate) async fn start() -> Self {
         let drain = Drain::default();
-        let folder = Folder::new();
+        let data_folder = TempFolder::new();
         let places = Places {
-            callers: free(),
-            operators: free(),
-            data: folder.0.clone(),
+            callers: ephemeral_address(),
+            operators: ephemeral_address(),
+            data: data_folder.0.clone(),
         };
         let local = Local::start(places, drain.clone()).await.unwrap();
         Self {
             local,
             drain,
-            _folder: folder,
+            _data_folder: data_folder,
         }
     }
 
@@ -68,8 +69,8 @@
         self.local.finish().await;
     }
 
-    /// Calls the entry.
-    pub(crate) async fn call(
+    /// Sends a request to the entry and returns the complete response.
+    pub(crate) async fn call_entry(
         &self,
         method: &str,
         path: &str,
@@ -79,44 +80,46 @@
         send(request(method, self.local.callers, path, headers, body)).await
     }
 
-    /// Calls the control instance as the sample team.
-    pub(crate) async fn operate(
+    /// Sends a request to the operators' address of the control instance, with the key of
+    /// the sample team.
+    pub(crate) async fn call_control(
         &self,
         method: &str,
         path: &str,
         body: &str,
     ) -> Response<String> {
-        let mut asked = request(method, self.local.operators, path, &[], body);
+        let mut request = request(method, self.local.operators, path, &[], body);
         let key = format!("Bearer {OPERATOR_KEY}").parse().unwrap();
-        asked.headers_mut().insert("authorization", key);
-        send(asked).await
+        request.headers_mut().insert("authorization", key);
+        send(request).await
     }
 
-    /// The document in force.
+    /// Returns the text of the document in force for `service`.
     pub(crate) async fn document(&self, service: &str) -> String {
         let path = format!("/v1/services/{service}");
-        self.operate("GET", &path, "").await.into_body()
+        self.call_control("GET", &path, "").await.into_body()
     }
 
-    /// Sends a chat request.
+    /// Sends a chat request to the entry and returns the complete response.
     pub(crate) async fn chat(
         &self,
         headers: &[(&str, &str)],
         body: &str,
     ) -> Response<String> {
-        self.call("POST", "/v1/chat/completions", headers, body)
+        self.call_entry("POST", "/v1/chat/completions", headers, body)
             .await
     }
 }
 
-/// An entry alone, with the sample model service on the agent at `agent`.
-pub(crate) struct Alone {
-    pub(crate) callers: SocketAddr,
+/// An entry without control instances. It serves the sample model service, whose only
+/// endpoint is behind the agent at `agent`.
+pub(crate) struct StandaloneEntry {
+    pub(crate) caller_address: SocketAddr,
     drain: Drain,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Alone {
+impl StandaloneEntry {
     pub(crate) async fn start(agent: SocketAddr) -> Self {
         let drain = Drain::default();
         let mut settings = Settings::new("alone".to_string(), "local".to_string());
@@ -129,7 +132,7 @@
         };
         entry.core().install(1, vec![service]);
         Self {
-            callers: entry.address(),
+            caller_address: entry.address(),
             drain,
             task: tokio::spawn(entry.run()),
         }
@@ -141,7 +144,7 @@
         body: &str,
     ) -> Response<String> {
         let path = "/v1/chat/completions";
-        send(request("POST", self.callers, path, headers, body)).await
+        send(request("POST", self.caller_address, path, headers, body)).await
     }
 
     pub(crate) async fn stop(self) {
@@ -150,7 +153,7 @@
     }
 }
 
-/// A request to `address` with the sample key.
+/// Builds a request to `address` that is authorized with the sample workspace key.
 pub(crate) fn request(
     method: &str,
     address: SocketAddr,
@@ -168,12 +171,13 @@
     builder.body(Full::from(body.to_string())).unwrap()
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends `request` and returns the response with its complete body.
 pub(crate) async fn send(request: Request<Full<Bytes>>) -> Response<String> {
-    try_send(request).await.expect("an answer")
+    try_send(request).await.expect("a complete response")
 }
 
-/// The same where there may be no answer.
+/// Sends `request` and returns the response, or `None` if the connection fails, the body
+/// is cut short or the body is not UTF-8.
 pub(crate) async fn try_send(request: Request<Full<Bytes>>) -> Option<Response<String>> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let (head, body) = client.request(request).await.ok()?.into_parts();
@@ -184,27 +188,27 @@
     ))
 }
 
-/// A header of an answer, or an empty text.
+/// Returns a header of `response`, or an empty string if the header is absent.
 pub(crate) fn header<'r, B>(response: &'r Response<B>, name: &str) -> &'r str {
     let value = response.headers().get(name);
     value.map_or("", |value| value.to_str().unwrap())
 }
 
-/// Body of a chat request.
-pub(crate) fn chat(prompt: &str, tokens: u32, stream: bool) -> String {
+/// Builds the body of a chat request with at most `max_tokens` tokens of output.
+pub(crate) fn chat_body(prompt: &str, max_tokens: u32, stream: bool) -> String {
     format!(
-        r#"{{"model":"chat","stream":{stream},"max_tokens":{tokens},
+        r#"{{"model":"chat","stream":{stream},"max_tokens":{max_tokens},
         "messages":[{{"role":"user","content":"{prompt}"}}]}}"#
     )
 }
 
-/// The text a streamed answer carries.
+/// Returns the text that the events of a streamed response contain.
 pub(crate) fn streamed_text(body: &str) -> String {
     let mut text = String::new();
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if let Ok(event) = serde_json::from_str::<serde_json::Value>(line) {
-            let piece = event["choices"][0]["delta"]["content"].as_str();
-            text.push_str(piece.unwrap_or(""));
+            let content = event["choices"][0]["delta"]["content"].as_str();
+            text.push_str(content.unwrap_or(""));
         }
     }
     text
