--- a/crates/direct/src/directory/snapshot.rs
+++ b/crates/direct/src/directory/snapshot.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one list, arranged for choosing among them.
+//! Endpoints of one list, indexed for placement.
 
 use super::endpoint::Endpoint;
 use dogwoodhill_core::prelude::*;
@@ -6,21 +6,21 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Endpoints that one decision looks at closely. Every look takes a lock and
-/// some 150 ns, and sixteen are as good to choose from as a thousand.
-const MOST: usize = 16;
+/// Candidates per placement. Evaluating one takes a lock and some 150 ns, and a choice
+/// among sixteen is as good as among a thousand.
+const MAX_CANDIDATES: usize = 16;
 
-/// A list as it was taken in.
+/// An applied list.
 #[derive(Debug, Default)]
 pub(super) struct Snapshot {
-    /// Sorted by identity.
+    /// Sorted by name.
     pub(super) all: Arc<Vec<Arc<Endpoint>>>,
     /// Sorted by service.
     services: Vec<(ServiceId, Group)>,
 }
 
-/// Endpoints of one service that were not leaving, in the order that all
-/// entries share.
+/// Endpoints of one service that were not leaving, in an order that is the same at all
+/// entries.
 #[derive(Debug, Default)]
 pub(super) struct Group {
     hashes: Vec<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl Snapshot {
-    /// Arranges endpoints that are sorted by identity.
+    /// Indexes endpoints that are sorted by name.
     pub(super) fn new(all: Vec<Arc<Endpoint>>) -> Self {
         let mut services: Vec<(ServiceId, Group)> = Vec::new();
         for endpoint in all.iter().filter(|endpoint| !endpoint.leaving()) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The endpoints of a service, if there are any.
+    /// Endpoints of a service, if there are any.
     pub(super) fn group(&self, service: &str) -> Option<&Group> {
         let found = self
             .services
@@ -66,52 +66,53 @@
         self.endpoints.len()
     }
 
-    /// All endpoints.
+    /// All endpoints, in the order of the group.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         self.endpoints.iter()
     }
 
-    /// Of the endpoints in `range`, those that `key` ranks first, in their order.
-    /// All entries find the same ones.
+    /// The endpoints in `range` that rendezvous hashing ranks highest for `key`, in group
+    /// order. All entries get the same ones.
     pub(super) fn ranked(
         &self,
         range: Range<usize>,
         key: u64,
     ) -> impl Iterator<Item = &Arc<Endpoint>> {
-        let mut first: Vec<(u64, usize)> = Vec::with_capacity(MOST + 1);
+        let mut first: Vec<(u64, usize)> = Vec::with_capacity(MAX_CANDIDATES + 1);
         for (at, hash) in range.clone().zip(&self.hashes[range]) {
             let rank = (mix(key ^ hash), at);
-            if first.len() < MOST {
+            if first.len() < MAX_CANDIDATES {
                 first.push(rank);
-                if first.len() == MOST {
+                if first.len() == MAX_CANDIDATES {
                     first.sort_unstable_by(|a, b| b.cmp(a));
                 }
-            } else if rank > first[MOST - 1] {
-                let place = first.partition_point(|other| *other > rank);
-                first.insert(place, rank);
-                first.truncate(MOST);
+            } else if rank > first[MAX_CANDIDATES - 1] {
+                let position = first.partition_point(|other| *other > rank);
+                first.insert(position, rank);
+                first.truncate(MAX_CANDIDATES);
             }
         }
-        let mut places: Vec<usize> = first.into_iter().map(|(_, at)| at).collect();
-        places.sort_unstable();
-        places.into_iter().map(|at| &self.endpoints[at])
+        let mut indices: Vec<usize> = first.into_iter().map(|(_, at)| at).collect();
+        indices.sort_unstable();
+        indices.into_iter().map(|at| &self.endpoints[at])
     }
 
-    /// Of the endpoints in `range`, some that lie side by side. Where there are
-    /// more than one decision looks at, `spread` tells which: it differs between
-    /// entries, so that they use all.
+    /// A contiguous window of the endpoints in `range`. If there are more than one
+    /// placement evaluates, `spread` selects the window; it differs between entries, so
+    /// that together they use all endpoints.
     pub(super) fn window(
         &self,
         range: Range<usize>,
         spread: u64,
     ) -> impl Iterator<Item = &Arc<Endpoint>> {
         let count = range.len();
-        let from = if count > MOST {
+        let start = if count > MAX_CANDIDATES {
             (spread % count as u64) as usize
         } else {
             0
         };
-        let places = (0..count.min(MOST)).map(move |i| range.start + (from + i) % count);
-        places.map(|at| &self.endpoints[at])
+        let indices = (0..count.min(MAX_CANDIDATES))
+            .map(move |i| range.start + (start + i) % count);
+        indices.map(|at| &self.endpoints[at])
     }
 }
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -1,48 +1,47 @@
-//! What an entry tells operators: counters, histograms, and one line for each
-//! request.
+//! Metrics of an entry, and the log line of each request.
 
-use crate::answer::Cause;
 use crate::dialect::EventId;
-use crate::directory::{Hold, Placed};
+use crate::directory::{AdmissionError, Placement};
+use crate::response::RefusalCause;
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_daemon::prelude::*;
 use prometheus::{Histogram, IntCounterVec, IntGauge, IntGaugeVec};
 use std::time::Instant;
 
-/// Counters and histograms of one entry. Clones share them. Labels come from
-/// the route set and from fixed words, never from callers.
+/// Metrics of one entry; clones share them. Label values come from the route set and from
+/// fixed sets, never from callers.
 #[derive(Clone, Debug)]
 pub struct Stats {
-    /// Requests by service, status class and cause.
+    /// By service, status and cause.
     requests: IntCounterVec,
-    /// Second sends by service and reason.
-    seconds: IntCounterVec,
-    /// Streams by how they ended.
+    /// Resends, by service and reason.
+    resends: IntCounterVec,
+    /// By how the stream ended.
     streams: IntCounterVec,
-    /// Time to the first byte of an answer.
+    /// Time from a request's head to the head of its response.
     first: Histogram,
-    /// Own reads of the list of endpoints, by whether they were used.
+    /// Reads of the endpoint list by this entry, by result.
     pub list_reads: IntCounterVec,
-    /// Entries of the list that were left out, by cause.
+    /// Skipped entries of the endpoint list, by cause.
     pub list_flaws: IntCounterVec,
-    /// Pieces of route sets that did not come, by reason.
+    /// Failed fetches of route set pieces, by reason.
     pub missed_pieces: IntCounterVec,
-    /// What the entry believes.
-    pub beliefs: IntGaugeVec,
-    /// Age of the list in use at each choice of an endpoint.
+    /// Version of the route set, and numbers of endpoints.
+    pub gauges: IntGaugeVec,
+    /// Age of the endpoint list at each placement.
     list_age: Histogram,
-    /// Requests that are not sent on.
+    /// Quarantined requests.
     pub quarantined: IntGauge,
-    /// Requests that were lost with an endpoint that ended, by service.
+    /// Requests lost to an endpoint that ended, by service.
     pub crashes: IntCounterVec,
-    /// Requests that endpoints began, by whether they were counted.
+    /// Requests started at endpoints, by whether usage counted them.
     usage: IntCounterVec,
-    /// Requests that were not sent to the endpoint chosen for them, by reason.
-    held: IntCounterVec,
+    /// Requests not admitted to the endpoint chosen for them, by reason.
+    not_admitted: IntCounterVec,
 }
 
 impl Stats {
-    /// Adds the metrics to a registry.
+    /// Registers the metrics.
     pub fn new(metrics: &Metrics) -> Self {
         Self {
             requests: metrics.counters(
@@ -50,7 +49,7 @@
                 "Requests by service, status and cause",
                 &["service", "status", "cause"],
             ),
-            seconds: metrics.counters(
+            resends: metrics.counters(
                 "dogwoodhill_direct_second_sends_total",
                 "Requests sent to a further endpoint, by service and reason",
                 &["service", "reason"],
@@ -60,7 +59,7 @@
                 "Streams by how they ended",
                 &["end", "cause"],
             ),
-            first: metrics.seconds(
+            first: metrics.histogram(
                 "dogwoodhill_direct_first_byte_seconds",
                 "Time from a request's head to the head of its answer",
             ),
@@ -79,12 +78,12 @@
                 "Pieces of route sets that did not come, by reason",
                 &["reason"],
             ),
-            beliefs: metrics.gauges(
+            gauges: metrics.gauges(
                 "dogwoodhill_direct_beliefs",
                 "Version of the route set, endpoints known, leaving and limited, control instances",
                 &["what"],
             ),
-            list_age: metrics.seconds(
+            list_age: metrics.histogram(
                 "dogwoodhill_direct_list_age_seconds",
                 "Age of the list of endpoints in use at each choice of one",
             ),
@@ -102,7 +101,7 @@
                 "Requests that endpoints began, by whether usage has them",
                 &["outcome"],
             ),
-            held: metrics.counters(
+            not_admitted: metrics.counters(
                 "dogwoodhill_direct_held_total",
                 "Requests that were not sent to the endpoint chosen for them, by reason",
                 &["service", "reason"],
@@ -110,73 +109,73 @@
         }
     }
 
-    /// Counts a request that was not sent to the endpoint chosen for it.
-    pub fn held(&self, service: &str, hold: Hold) {
-        let labels = [service, &hold.to_string()];
-        self.held.with_label_values(&labels).inc();
+    /// Counts a request that was not admitted to the endpoint chosen for it.
+    pub fn not_admitted(&self, service: &str, reason: AdmissionError) {
+        let labels = [service, &reason.to_string()];
+        self.not_admitted.with_label_values(&labels).inc();
     }
 
-    /// Counts a request that an endpoint began.
+    /// Counts a request started at an endpoint, by the result of usage counting.
     pub fn usage(&self, outcome: &str) {
         self.usage.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts a second send.
-    pub fn second(&self, service: &str, reason: &str) {
-        self.seconds.with_label_values(&[service, reason]).inc();
+    /// Counts a resend.
+    pub fn resend(&self, service: &str, reason: &str) {
+        self.resends.with_label_values(&[service, reason]).inc();
     }
 }
 
-/// What is told of one request at its end.
+/// Log line of one request, written when it ends.
 #[derive(Debug)]
-pub struct Record {
+pub struct RequestRecord {
     stats: Stats,
     id: RequestId,
-    since: Instant,
-    /// Beginning of its fingerprint, once it is known: attempts of one request share it.
-    pub content: String,
-    /// Route, once it is known.
+    started: Instant,
+    /// Abbreviated fingerprint, shared by all attempts of one request; `-` until known.
+    pub fingerprint: String,
+    /// Route name; `-` until known.
     pub route: String,
-    /// Service, once it is chosen.
+    /// Service; `-` until chosen.
     pub service: ServiceId,
-    /// Urgency.
+    /// Tier of the request.
     pub tier: Tier,
-    /// Tokens of its prompt.
-    pub prompt: u32,
-    /// Most tokens it may generate.
-    pub output: u32,
-    /// Version of the route set that decided.
-    pub version: Version,
-    /// Predicted wait until its prompt would be read.
-    pub wait: Duration,
-    /// Whether it was sent as one that yields to all others.
+    /// Length of the prompt, in tokens.
+    pub prompt_tokens: u32,
+    /// Upper bound on generated tokens.
+    pub max_output: u32,
+    /// Version of the route set that was applied.
+    pub routes_version: Version,
+    /// Predicted wait until prefill of the prompt begins.
+    pub predicted_wait: Duration,
+    /// Whether the request was sent with background priority.
     pub background: bool,
-    /// Endpoint it was sent to last, with its start.
+    /// Endpoint of the last placement, with its start.
     pub endpoint: String,
-    /// Endpoints it was sent to.
+    /// Number of sends, including the current one.
     pub sends: usize,
-    /// Trust in the endpoint chosen last, endpoints known, endpoints kept free
-    /// of long prompts.
+    /// Health of the last chosen endpoint, number of known endpoints, and number of those
+    /// reserved for latency-sensitive streams.
     choice: String,
-    /// Age of the list that the choice was made from.
+    /// Age of the endpoint list at the last placement.
     list_age: Option<Duration>,
 }
 
-impl Record {
-    /// A record that begins now.
+impl RequestRecord {
+    /// Starts a record; its clock starts now.
     pub fn new(stats: Stats, id: RequestId) -> Self {
         Self {
             stats,
             id,
-            since: Instant::now(),
-            content: String::from("-"),
+            started: Instant::now(),
+            fingerprint: String::from("-"),
             route: String::from("-"),
             service: String::from("-"),
             tier: 0,
-            prompt: 0,
-            output: 0,
-            version: 0,
-            wait: Duration::ZERO,
+            prompt_tokens: 0,
+            max_output: 0,
+            routes_version: 0,
+            predicted_wait: Duration::ZERO,
             background: false,
             endpoint: String::from("-"),
             sends: 0,
@@ -185,68 +184,80 @@
         }
     }
 
-    /// Notes what decided where the request goes.
-    pub fn placed(&mut self, placed: &Placed, sends: usize, list_age: Option<Duration>) {
+    /// Records a placement and its inputs.
+    pub fn placed(
+        &mut self,
+        placed: &Placement,
+        sends: usize,
+        list_age: Option<Duration>,
+    ) {
         self.endpoint = placed.endpoint.run().to_string();
         self.sends = sends;
         self.list_age = list_age;
         if let Some(age) = list_age {
             self.stats.list_age.observe(age.as_secs_f64());
         }
-        let trust = format!("{:?}", placed.trust).to_lowercase();
+        let trust = format!("{:?}", placed.health).to_lowercase();
         self.choice = format!("{trust}/{}/{}", placed.known, placed.reserved);
     }
 
-    /// Age of the list that the last choice was made from, in milliseconds; -1 before
-    /// any choice.
-    pub fn list_ms(&self) -> i64 {
+    /// Age of the endpoint list at the last placement, in milliseconds; -1 before any.
+    pub fn list_age_ms(&self) -> i64 {
         self.list_age.map_or(-1, |age| age.as_millis() as i64)
     }
 
-    /// Counters.
+    /// Metrics in which the record is counted.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// The endpoint's answer goes to the caller.
+    /// Logs that the endpoint's response is forwarded to the caller.
     pub fn answered(&self, status: u16) {
-        self.stats.first.observe(self.since.elapsed().as_secs_f64());
+        self.stats
+            .first
+            .observe(self.started.elapsed().as_secs_f64());
         self.count(status, "endpoint");
-        self.line("request-answered", status, "endpoint")
-            .field("prompt_tokens", self.prompt)
-            .field("output_tokens", self.output)
+        self.event("request-answered", status, "endpoint")
+            .field("prompt_tokens", self.prompt_tokens)
+            .field("output_tokens", self.max_output)
             .info();
     }
 
-    /// The router answers itself.
-    pub fn refused(&self, cause: Cause, again: Option<Duration>) {
+    /// Logs that the router responds itself.
+    pub fn refused(&self, cause: RefusalCause, retry_after: Option<Duration>) {
         let status = cause.status().as_u16();
         let cause = cause.to_string();
         self.count(status, &cause);
-        let again = again.unwrap_or_default().as_millis();
-        self.line("request-refused", status, &cause)
-            .field("retry_after_ms", again)
+        let retry_after = retry_after.unwrap_or_default().as_millis();
+        self.event("request-refused", status, &cause)
+            .field("retry_after_ms", retry_after)
             .warn();
     }
 
-    /// A stream is over.
-    pub fn stream(&self, end: &str, cause: &str, last: Option<EventId>, pause: Duration) {
+    /// Logs the end of a stream.
+    pub fn stream_ended(
+        &self,
+        end: &str,
+        cause: &str,
+        last: Option<EventId>,
+        pause: Duration,
+    ) {
         self.stats.streams.with_label_values(&[end, cause]).inc();
-        let event = self
-            .line("stream-ended", 200, cause)
+        let line = self
+            .event("stream-ended", 200, cause)
             .field("end", end)
             .field("last_event", last.map_or(-1, |last| last as i64))
             .field("longest_pause_ms", pause.as_millis());
         match end {
-            "complete" => event.info(),
-            _ => event.warn(),
+            "complete" => line.info(),
+            _ => line.warn(),
         }
     }
 
-    /// The caller went before there was an answer.
+    /// Logs that the caller disconnected before there was a response.
     pub fn abandoned(&self) {
         self.count(0, "caller-gone");
-        self.line("request-abandoned", 0, "caller-gone").info();
+        self.event("request-abandoned", 0, "caller-gone").info();
     }
 
     fn count(&self, status: u16, cause: &str) {
@@ -255,22 +266,22 @@
         self.stats.requests.with_label_values(&labels).inc();
     }
 
-    fn line(&self, event: &str, status: u16, cause: &str) -> Event {
+    fn event(&self, event: &str, status: u16, cause: &str) -> Event {
         Event::new(event)
             .field("request", &self.id)
-            .field("content", &self.content)
+            .field("content", &self.fingerprint)
             .field("route", &self.route)
             .field("service", &self.service)
             .field("tier", self.tier)
-            .field("routes_version", self.version)
+            .field("routes_version", self.routes_version)
             .field("endpoint", &self.endpoint)
             .field("choice", &self.choice)
-            .field("list_ms", self.list_ms())
-            .field("wait_ms", self.wait.as_millis())
+            .field("list_ms", self.list_age_ms())
+            .field("wait_ms", self.predicted_wait.as_millis())
             .field("background", self.background)
             .field("sends", self.sends)
             .field("status", status)
             .field("cause", cause)
-            .field("ms", self.since.elapsed().as_millis())
+            .field("ms", self.started.elapsed().as_millis())
     }
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -1,122 +1,132 @@
-//! Relaying a stream, and going on with it at another endpoint.
+//! Relaying a stream, and resuming it at another endpoint.
 //!
-//! A task reads the endpoint and hands whole events to the caller's connection
-//! through a short channel, so a slow caller slows its endpoint and holds no
-//! memory here. The task ends with [`Part::End`] only if the endpoint ended
-//! its answer properly after a whole event; whatever else ends it breaks the
-//! caller's connection off.
+//! A task reads from the endpoint and passes complete events to the caller's connection
+//! through a short channel, so a slow caller applies backpressure to its endpoint and no
+//! memory builds up. The task sends [`Part::End`] only if the endpoint ended its response
+//! properly after a complete event; in all other cases the caller's connection is
+//! aborted.
 
-use crate::answer::Part;
 use crate::dialect::EventId;
 use crate::directory::Endpoint;
+use crate::dispatch::{Dispatch, DispatchResult};
 use crate::events::{Events, Splitter};
-use crate::exchange::{Answer, Loss};
-use crate::first::{First, answer_first};
-use crate::job::{Job, Next};
-use crate::stats::Record;
+use crate::exchange::{EndpointResponse, Loss};
+use crate::race::{Winner, race_response};
+use crate::response::Part;
+use crate::stats::RequestRecord;
 use dogwoodhill_core::prelude::*;
 use http_body_util::BodyExt;
 use std::sync::Arc;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Parts that wait for a caller's connection.
-pub const PARTS: usize = 4;
-/// Interval at which a stream without events is looked after.
-pub const CHECK: Duration = Duration::from_millis(250);
+/// Capacity of the channel to a caller's connection, in parts.
+pub const CHANNEL_CAPACITY: usize = 4;
+/// Interval at which the endpoint of a silent request is checked.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An endpoint's stream.
+/// Stream of an endpoint, read event by event.
 #[derive(Debug)]
-pub struct Source {
-    answer: Answer,
+pub struct EventSource {
+    response: EndpointResponse,
     splitter: Splitter,
 }
 
-/// What came from an endpoint's stream.
+/// Result of reading from an endpoint's stream.
 #[derive(Debug)]
-pub enum Piece {
-    /// Whole events.
+pub enum StreamItem {
+    /// Complete events.
     Events(Events),
-    /// Its proper end.
+    /// The stream ended properly.
     End,
-    /// Anything else.
+    /// The stream ended early.
     Broken(Loss),
 }
 
-impl Source {
-    /// The stream that an answer begins.
-    pub fn new(answer: Answer) -> Self {
+impl EventSource {
+    /// Starts reading the body of `response`.
+    pub fn new(response: EndpointResponse) -> Self {
         Self {
-            answer,
+            response,
             splitter: Splitter::default(),
         }
     }
 
-    /// The answer's head.
-    pub fn answer(&self) -> &Answer {
-        &self.answer
+    /// Head of the endpoint's response.
+    pub fn response(&self) -> &EndpointResponse {
+        &self.response
     }
 
-    /// The endpoint.
+    /// The endpoint that sends the stream.
     pub fn endpoint(&self) -> &Arc<Endpoint> {
-        self.answer.sent.endpoint()
+        self.response.in_flight.endpoint()
     }
 
-    /// Waits for the next piece. May be dropped and called again without loss.
-    pub async fn next(&mut self) -> Piece {
+    /// Waits for the next piece. Cancel safe.
+    pub async fn next(&mut self) -> StreamItem {
         loop {
-            let Some(frame) = self.answer.body.frame().await else {
-                let whole = !self.splitter.torn();
-                return if whole { Piece::End } else { self.broken() };
+            let Some(frame) = self.response.body.frame().await else {
+                let complete = !self.splitter.has_partial();
+                return if complete {
+                    StreamItem::End
+                } else {
+                    self.broken()
+                };
             };
             let Ok(frame) = frame else {
                 return self.broken();
             };
-            self.endpoint().heard();
+            self.endpoint().record_activity();
             let Some(bytes) = frame.data_ref() else {
                 continue;
             };
             if let Some(events) = self.splitter.push(bytes) {
-                return Piece::Events(events);
+                return StreamItem::Events(events);
             }
         }
     }
 
-    fn broken(&self) -> Piece {
-        self.endpoint().judged(true);
-        Piece::Broken(Loss::Broke)
+    fn broken(&self) -> StreamItem {
+        self.endpoint().record_outcome(true);
+        StreamItem::Broken(Loss::ConnectionBroken)
     }
 
-    /// Gives the connection of a stream back that ended properly.
-    pub fn finish(self) {
-        let Answer {
-            said, line, sent, ..
-        } = self.answer;
-        line.answered();
-        if said.keeps {
-            sent.endpoint().pool.give(line, said.idle);
+    /// Returns the connection of a properly ended stream to the pool.
+    pub fn release(self) {
+        let EndpointResponse {
+            meta,
+            connection,
+            in_flight,
+            ..
+        } = self.response;
+        connection.response_completed();
+        if meta.reusable {
+            in_flight
+                .endpoint()
+                .pool
+                .release(connection, meta.idle_timeout);
         }
     }
 }
 
-/// A stream on its way to a caller.
+/// A stream being relayed to a caller.
 #[derive(Debug)]
 pub struct Relay {
     /// The request.
-    pub job: Job,
-    /// The endpoint's stream; `None` between two endpoints.
-    pub source: Option<Source>,
-    /// Last event that the caller has been sent.
+    pub dispatch: Dispatch,
+    /// The endpoint's stream; `None` while the relay moves between endpoints.
+    pub source: Option<EventSource>,
+    /// Last event sent to the caller.
     pub last: Option<EventId>,
-    /// Where the caller's parts go.
+    /// Sender to the caller's connection.
     pub parts: mpsc::Sender<Part>,
-    /// The line that tells how the request ended.
-    pub record: Record,
-    /// Pauses between its events.
+    /// Log line of the request.
+    pub record: RequestRecord,
+    /// Pauses between the stream's events.
     pub pauses: Pauses,
 }
 
-/// The pauses of one stream.
+/// Pauses between the events of one stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Pauses {
     last: Instant,
@@ -124,16 +134,16 @@
 }
 
 impl Pauses {
-    /// Begins with the first event.
-    pub fn begin() -> Self {
+    /// Starts the clock at the first event.
+    pub fn start() -> Self {
         Self {
             last: Instant::now(),
             longest: Duration::ZERO,
         }
     }
 
-    /// Notes events; returns the pause before them.
-    fn event(&mut self) -> Duration {
+    /// Records an event; returns the pause before it.
+    fn record(&mut self) -> Duration {
         let now = Instant::now();
         let pause = now.duration_since(self.last);
         self.longest = self.longest.max(pause);
@@ -141,7 +151,7 @@
         pause
     }
 
-    /// The longest one.
+    /// The longest pause so far.
     pub fn longest(&self) -> Duration {
         self.longest
     }
@@ -149,7 +159,7 @@
 
 /// How a relay ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
+enum RelayEnd {
     Complete,
     CallerGone,
     TimedOut,
@@ -157,109 +167,117 @@
 }
 
 impl Relay {
-    /// Relays until the stream is over.
+    /// Relays until the stream ends.
     pub async fn run(mut self, first: Events) {
-        let over = match self.pass_on(first).await {
-            Some(over) => over,
-            None => self.follow().await,
+        let end = match self.forward(first).await {
+            Some(end) => end,
+            None => self.relay_events().await,
         };
-        let (status, cause) = match over {
-            Over::Complete => ("complete", "-"),
-            Over::CallerGone => ("cut", "caller-gone"),
-            Over::TimedOut => ("cut", "timeout"),
-            Over::Broken => ("cut", "endpoint-lost"),
+        let (status, cause) = match end {
+            RelayEnd::Complete => ("complete", "-"),
+            RelayEnd::CallerGone => ("cut", "caller-gone"),
+            RelayEnd::TimedOut => ("cut", "timeout"),
+            RelayEnd::Broken => ("cut", "endpoint-lost"),
         };
         self.record
-            .stream(status, cause, self.last, self.pauses.longest());
-        if over == Over::Complete {
-            self.job.streamed(self.pauses.longest());
-            // A caller that has gone needs no end.
+            .stream_ended(status, cause, self.last, self.pauses.longest());
+        if end == RelayEnd::Complete {
+            self.dispatch.stream_completed(self.pauses.longest());
+            // Fails only if the caller has disconnected.
             let _ = self.parts.send(Part::End).await;
             if let Some(source) = self.source {
-                source.finish();
+                source.release();
             }
         }
     }
 
-    async fn follow(&mut self) -> Over {
+    async fn relay_events(&mut self) -> RelayEnd {
         loop {
-            let until = self.job.until;
+            let deadline = self.dispatch.deadline;
             let Some(source) = self.source.as_mut() else {
-                return Over::Broken;
+                return RelayEnd::Broken;
             };
-            let look = answer_first(source.next(), sleep(CHECK));
+            let polled = race_response(source.next(), sleep(CHECK_INTERVAL));
             let next = tokio::select! {
                 biased;
-                () = self.parts.closed() => return Over::CallerGone,
-                next = look => next,
-                () = sleep_until(until) => return Over::TimedOut,
+                () = self.parts.closed() => return RelayEnd::CallerGone,
+                next = polled => next,
+                () = sleep_until(deadline) => return RelayEnd::TimedOut,
             };
-            let over = match next {
-                First::Answer(Piece::Events(events)) => self.pass_on(events).await,
-                First::Answer(Piece::End) => return Over::Complete,
-                First::Answer(Piece::Broken(loss)) => self.go_on(loss).await,
-                First::Leave(()) => {
+            let end = match next {
+                Winner::Response(StreamItem::Events(events)) => {
+                    self.forward(events).await
+                }
+                Winner::Response(StreamItem::End) => return RelayEnd::Complete,
+                Winner::Response(StreamItem::Broken(loss)) => self.try_resume(loss).await,
+                Winner::Abandon(()) => {
                     let since_last = self.pauses.last.elapsed();
-                    if source.endpoint().deserted(since_last) {
-                        self.go_on(Loss::Timeout).await
+                    if source.endpoint().should_abandon(since_last) {
+                        self.try_resume(Loss::Timeout).await
                     } else {
                         None
                     }
                 }
             };
-            if let Some(over) = over {
-                return over;
+            if let Some(end) = end {
+                return end;
             }
         }
     }
 
-    async fn pass_on(&mut self, events: Events) -> Option<Over> {
+    async fn forward(&mut self, events: Events) -> Option<RelayEnd> {
         self.last = events.last.or(self.last);
-        let pause = self.pauses.event();
-        if let Some(source) = self.source.as_ref().filter(|_| self.job.fragile()) {
-            source.endpoint().paced(pause);
+        let pause = self.pauses.record();
+        if let Some(source) = self
+            .source
+            .as_ref()
+            .filter(|_| self.dispatch.is_sensitive())
+        {
+            source.endpoint().record_event_gap(pause);
         }
         let sending = self.parts.send(Part::Events(events.bytes));
         tokio::select! {
-            sent = sending => sent.is_err().then_some(Over::CallerGone),
-            () = sleep_until(self.job.until) => Some(Over::TimedOut),
+            sent = sending => sent.is_err().then_some(RelayEnd::CallerGone),
+            () = sleep_until(self.dispatch.deadline) => Some(RelayEnd::TimedOut),
         }
     }
 
-    /// Goes on at another endpoint after the last whole event, where that is
-    /// allowed and there is one.
-    async fn go_on(&mut self, loss: Loss) -> Option<Over> {
+    /// Resumes at another endpoint after the last complete event, if that is allowed and
+    /// one is available.
+    async fn try_resume(&mut self, loss: Loss) -> Option<RelayEnd> {
         let silent = loss == Loss::Timeout;
         if let Some(source) = &self.source {
             let endpoint = Arc::clone(source.endpoint());
-            self.job.note_lost(&endpoint, loss).await;
+            self.dispatch.record_loss(&endpoint, loss).await;
         }
-        if !self.job.may_go_on() {
-            // One that is only silent may speak again.
-            return (!silent).then_some(Over::Broken);
+        if !self.dispatch.prepare_resume() {
+            // An endpoint that is only silent may continue.
+            return (!silent).then_some(RelayEnd::Broken);
         }
         let Some(source) = self.source.take() else {
-            return Some(Over::Broken);
+            return Some(RelayEnd::Broken);
         };
         if silent {
-            source.endpoint().unreached();
+            source.endpoint().mark_unreachable();
         }
-        self.job.resume = self.last.or(self.job.resume);
-        self.job.left_behind(source.endpoint(), loss);
-        // The earlier connection closes before the request goes out again, so
-        // that two endpoints never work on it.
+        self.dispatch.resume_after = self.last.or(self.dispatch.resume_after);
+        self.dispatch.log_endpoint_left(source.endpoint(), loss);
+        // The previous connection is closed before the request is resent, so that no two
+        // endpoints work on it at the same time.
         drop(source);
         let parts = self.parts.clone();
         let next = tokio::select! {
-            next = self.job.again() => next,
-            () = parts.closed() => return Some(Over::CallerGone),
+            next = self.dispatch.send_until_response() => next,
+            () = parts.closed() => return Some(RelayEnd::CallerGone),
         };
         match next {
-            Next::Answer(answer) if answer.status.is_success() => {
-                self.source = Some(Source::new(*answer));
+            DispatchResult::Response(response) if response.status.is_success() => {
+                self.source = Some(EventSource::new(*response));
                 None
             }
-            Next::Answer(_) | Next::Refuse(_) => Some(Over::Broken),
+            DispatchResult::Response(_) | DispatchResult::Refuse(_) => {
+                Some(RelayEnd::Broken)
+            }
         }
     }
 }
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -1,14 +1,14 @@
-//! What an entry knows of requests that crash the endpoints that run them
-//! ([`dogwoodhill_policy::quarantine`]): what it met itself, and what all entries together
-//! found.
+//! Requests suspected of crashing the endpoints that run them
+//! ([`dogwoodhill_policy::quarantine`]): the entry's own observations, and those of all
+//! entries together.
 //!
-//! An entry alone blames no request: of those that were lost with the same endpoint it knows
-//! its own only, and the culprit may have come to another entry. It does so where it has heard
-//! nothing from control for long.
+//! An entry alone blames no request: of the requests lost with an endpoint, it has only
+//! its own, and the culprit may have come to another entry. It relies on its own
+//! observations only after control has been unreachable for some time.
 //!
-//! What it met is kept here and told to each control instance once, so that the next one
-//! knows as much as the one before. What is quarantined stays so until its end, whatever an
-//! instance says that has forgotten it.
+//! Observations are kept here and reported to each control instance once, so that a new
+//! instance catches up with the previous one. A quarantine lasts until its end, even if
+//! an instance that has lost its state no longer reports it.
 
 use crate::directory::Endpoint;
 use crate::stats::Stats;
@@ -20,162 +20,168 @@
     CRASH_RETENTION, EntryHash, LostRequest, Quarantine, SuspectStatus, outlived,
 };
 use dogwoodhill_policy::served::ServedRequests;
-use dogwoodhill_wire::demand::{RequestLoss, RequestServed, Suspects as Told};
+use dogwoodhill_wire::demand::{
+    RequestLoss, RequestServed, Suspects as ReportedSuspects,
+};
 use std::pin::pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Own losses that are kept, the oldest out first: what is under way at the endpoints that
-/// end while a control instance can't be reached.
-const MOST_OWN: usize = 1_024;
-/// Time without control after which an entry goes by what it met itself.
-const ALONE: Duration = Duration::from_secs(10);
-/// Longest wait of a suspected request for what control knows by now.
-const REFRESH: Duration = Duration::from_millis(150);
-/// Requests that were served and are to be told.
-const MOST_SERVED: usize = 256;
+/// Upper bound on own losses kept; the oldest is dropped first. Covers the requests in
+/// flight at the endpoints that end while control is unreachable.
+const MAX_LOSSES: usize = 1_024;
+/// Time without control after which an entry relies on its own observations.
+const AUTONOMY_DELAY: Duration = Duration::from_secs(10);
+/// Longest wait of a suspected request for control's current state.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(150);
+/// Upper bound on served requests waiting to be reported.
+const MAX_SERVED: usize = 256;
 
-/// Requests that this entry knows of.
+/// Requests suspected of crashing endpoints.
 #[derive(Debug)]
 pub struct Suspects {
-    teller: EntryHash,
+    entry_hash: EntryHash,
     stats: Stats,
     state: Mutex<State>,
-    /// Told when a request is quarantined.
-    found: Notify,
-    /// Told when control is to be asked at once.
-    pub asked: Notify,
-    /// Told when control has answered, or has not.
-    answered: Notify,
+    /// Notified when a request is quarantined.
+    quarantine_added: Notify,
+    /// Notified when control is to be called at once.
+    pub refresh_requested: Notify,
+    /// Notified when control has responded or failed to.
+    refresh_done: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     quarantine: Quarantine,
-    own: Vec<Own>,
-    /// Suspected requests as control told them, sorted, with their crashes.
-    told: Vec<(Fingerprint, usize)>,
+    losses: Vec<OwnLoss>,
+    /// Suspected requests reported by control, sorted, with their number of crashes.
+    reported: Vec<(Fingerprint, usize)>,
     mark: u64,
-    /// When control answered last, or the first time that it did not.
-    answered: Option<Duration>,
+    /// When control responded last, or when it first failed to.
+    last_contact: Option<Duration>,
     served: ServedRequests,
-    /// Suspected requests that were served, and when, until that is told.
-    harmless: Vec<(Fingerprint, Duration)>,
+    /// Suspected requests that were served, with the time, until they are reported.
+    exonerated: Vec<(Fingerprint, Duration)>,
 }
 
-/// A loss that this entry met.
+/// A request that this entry lost with its endpoint.
 #[derive(Debug)]
-struct Own {
+struct OwnLoss {
     loss: LostRequest,
     endpoint: Arc<Endpoint>,
-    /// Run of the control instance that was told of it; 0 for none.
-    told: u64,
-    /// Whether the message that is under way has it.
-    pending: bool,
+    /// Run of the control instance that acknowledged it; 0 for none.
+    acknowledged_by: u64,
+    /// Whether it is part of the report in flight.
+    in_flight: bool,
 }
 
-/// What an entry tells.
+/// Observations to report to control.
 #[derive(Debug)]
-pub struct News {
-    /// Requests that it lost with their endpoints.
+pub struct Report {
+    /// Requests lost with their endpoints.
     pub losses: Vec<RequestLoss>,
-    /// Suspected requests that it served.
+    /// Suspected requests that were served.
     pub served: Vec<RequestServed>,
-    /// Mark of the suspected requests that it knows.
+    /// Mark of the last list of suspects received from control.
     pub mark: u64,
 }
 
 impl Suspects {
-    /// Nothing is known yet; `name` is the entry's.
+    /// Creates an empty state for the entry called `name`.
     pub fn new(name: &str, stats: Stats) -> Self {
         Self {
-            teller: hash(name.as_bytes()),
+            entry_hash: hash(name.as_bytes()),
             stats,
             state: Mutex::default(),
-            found: Notify::new(),
-            asked: Notify::new(),
-            answered: Notify::new(),
+            quarantine_added: Notify::new(),
+            refresh_requested: Notify::new(),
+            refresh_done: Notify::new(),
         }
     }
 
-    /// What is known of a request.
-    pub fn standing(&self, request: Fingerprint) -> SuspectStatus {
+    /// Known crashes of a request, and the rest of its quarantine.
+    pub fn status(&self, request: Fingerprint) -> SuspectStatus {
         let state = self.state();
         let own = state.quarantine.status(uptime(), request);
-        let found = state.told.binary_search_by_key(&request, |told| told.0);
-        let told = found.map_or(0, |at| state.told[at].1);
+        let found = state
+            .reported
+            .binary_search_by_key(&request, |suspect| suspect.0);
+        let shared = found.map_or(0, |at| state.reported[at].1);
         SuspectStatus {
-            crashes: own.crashes.max(told),
+            crashes: own.crashes.max(shared),
             remaining: own.remaining,
         }
     }
 
-    /// Asks control what is known by now, before a suspected request is sent: each moment
-    /// counts there, and what was told may be half a second old.
+    /// Requests control's current state before a suspected request is sent. Otherwise the
+    /// state may be half a second old, and in that time the request may crash further
+    /// endpoints.
     pub async fn refresh(&self) {
-        let mut answered = pin!(self.answered.notified());
-        answered.as_mut().enable();
-        self.asked.notify_one();
-        // Without an answer it goes on by what it was told.
-        let _ = timeout(REFRESH, answered).await;
+        let mut refreshed = pin!(self.refresh_done.notified());
+        refreshed.as_mut().enable();
+        self.refresh_requested.notify_one();
+        // Without a response, the last known state applies.
+        let _ = timeout(REFRESH_TIMEOUT, refreshed).await;
     }
 
-    /// Control has answered, or not in time.
-    pub fn refreshed(&self) {
-        self.answered.notify_waiters();
+    /// Called when control has responded or has failed to in time.
+    pub fn notify_refreshed(&self) {
+        self.refresh_done.notify_waiters();
     }
 
-    /// Ends when a request is quarantined.
-    pub async fn quarantined(&self, request: Fingerprint) {
+    /// Completes when a request is quarantined.
+    pub async fn wait_quarantined(&self, request: Fingerprint) {
         loop {
-            let mut found = pin!(self.found.notified());
-            found.as_mut().enable();
-            if self.standing(request).remaining.is_some() {
+            let mut added = pin!(self.quarantine_added.notified());
+            added.as_mut().enable();
+            if self.status(request).remaining.is_some() {
                 return;
             }
-            found.await;
+            added.await;
         }
     }
 
-    /// A request was lost with its endpoint, which is gone. Returns the crashes under it.
-    pub fn lost(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
+    /// Records a request that was lost with an ended endpoint. Returns the number of its
+    /// crashes.
+    pub fn record_loss(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
         let mut state = self.state();
         let now = uptime();
         if state.served.recently_served(now, loss.request).is_some() {
             return 0;
         }
-        state.quarantine.record_loss(now, self.teller, &loss);
+        state.quarantine.record_loss(now, self.entry_hash, &loss);
         let request = loss.request;
-        if state.own.len() >= MOST_OWN {
-            state.own.remove(0);
+        if state.losses.len() >= MAX_LOSSES {
+            state.losses.remove(0);
         }
-        state.own.push(Own {
+        state.losses.push(OwnLoss {
             loss,
             endpoint: Arc::clone(endpoint),
-            told: 0,
-            pending: false,
+            acknowledged_by: 0,
+            in_flight: false,
         });
         state.quarantine.status(now, request).crashes
     }
 
-    /// An endpoint outlived a request, and answered it.
-    pub fn served(&self, request: Fingerprint) {
+    /// Records that an endpoint survived a request and responded.
+    pub fn record_served(&self, request: Fingerprint) {
         let now = uptime();
         let mut state = self.state();
         state.served.record(now, request);
         state.exonerate(request, now);
     }
 
-    /// What control is to be told, whose instance's run is `run`.
-    pub fn news(&self, run: u64) -> News {
+    /// What to report to a control instance whose run is `run`.
+    pub fn report(&self, run: u64) -> Report {
         let now = uptime();
         let mut state = self.state();
-        state.forget(now);
+        state.expire(now);
         let mut losses = Vec::new();
-        for own in &mut state.own {
-            own.pending = own.told != run || run == 0;
-            if own.pending {
+        for own in &mut state.losses {
+            own.in_flight = own.acknowledged_by != run || run == 0;
+            if own.in_flight {
                 losses.push(RequestLoss {
                     request: own.loss.request,
                     workspace: own.loss.workspace,
@@ -186,61 +192,68 @@
                 });
             }
         }
-        let served = state.harmless.iter();
+        let served = state.exonerated.iter();
         let served = served.map(|(request, at)| RequestServed {
             request: *request,
             age: now.saturating_sub(*at),
         });
-        News {
+        Report {
             losses,
             served: served.collect(),
             mark: state.mark,
         }
     }
 
-    /// The instance that runs as `run` has taken in `news`.
-    pub fn acknowledged(&self, run: u64, news: &News) {
+    /// Called when the instance with this run has processed `report`.
+    pub fn acknowledged(&self, run: u64, report: &Report) {
         let mut state = self.state();
-        for own in state.own.iter_mut().filter(|own| own.pending) {
-            own.told = run;
-            own.pending = false;
+        for own in state.losses.iter_mut().filter(|own| own.in_flight) {
+            own.acknowledged_by = run;
+            own.in_flight = false;
         }
-        let told = news.served.len().min(state.harmless.len());
-        state.harmless.drain(..told);
+        let acknowledged = report.served.len().min(state.exonerated.len());
+        state.exonerated.drain(..acknowledged);
     }
 
-    /// Control answered: takes in what all entries together found, where that has changed.
-    pub fn heard(&self, told: Option<Told>) {
+    /// Applies a response of control; `reported` has what all entries found, if that
+    /// changed.
+    pub fn apply_control(&self, reported: Option<ReportedSuspects>) {
         let now = uptime();
         let mut state = self.state();
         let before = state.quarantine.quarantined_count();
-        state.answered = Some(now);
-        if let Some(told) = told {
-            state.take(now, &told);
+        state.last_contact = Some(now);
+        if let Some(reported) = reported {
+            state.take(now, &reported);
         }
-        self.settle(state, now, before);
+        self.finish_update(state, now, before);
     }
 
-    /// Control did not answer.
-    pub fn unheard(&self) {
+    /// Called when control did not respond.
+    pub fn control_failed(&self) {
         let now = uptime();
         let mut state = self.state();
         let before = state.quarantine.quarantined_count();
-        let since = *state.answered.get_or_insert(now);
-        if now.saturating_sub(since) >= ALONE {
-            state.judge(now);
+        let since = *state.last_contact.get_or_insert(now);
+        if now.saturating_sub(since) >= AUTONOMY_DELAY {
+            state.blame(now);
         }
-        self.settle(state, now, before);
+        self.finish_update(state, now, before);
     }
 
-    /// Forgets what is over, and tells who waits if more is quarantined than before.
-    fn settle(&self, mut state: MutexGuard<'_, State>, now: Duration, before: usize) {
-        state.forget(now);
-        let held = state.quarantine.quarantined_count();
-        self.stats.quarantined.set(held as i64);
+    /// Drops what has expired, and notifies waiting requests if more are quarantined than
+    /// before.
+    fn finish_update(
+        &self,
+        mut state: MutexGuard<'_, State>,
+        now: Duration,
+        before: usize,
+    ) {
+        state.expire(now);
+        let quarantined = state.quarantine.quarantined_count();
+        self.stats.quarantined.set(quarantined as i64);
         drop(state);
-        if held > before {
-            self.found.notify_waiters();
+        if quarantined > before {
+            self.quarantine_added.notify_waiters();
         }
     }
 
@@ -250,18 +263,19 @@
 }
 
 impl State {
-    fn take(&mut self, now: Duration, told: &Told) {
-        self.mark = told.mark;
-        let suspected = told.requests.iter();
-        let suspected = suspected.map(|told| (told.request, told.crashes as usize));
-        self.told = suspected.collect();
-        self.told.sort_unstable();
-        for request in &told.requests {
+    fn take(&mut self, now: Duration, reported: &ReportedSuspects) {
+        self.mark = reported.mark;
+        let suspected = reported.requests.iter();
+        let suspected =
+            suspected.map(|suspect| (suspect.request, suspect.crashes as usize));
+        self.reported = suspected.collect();
+        self.reported.sort_unstable();
+        for request in &reported.requests {
             if let Some(at) = self.served.recently_served(now, request.request) {
                 self.exonerate(request.request, at);
             }
-            let held = self.quarantine.status(now, request.request).remaining;
-            if let Some(left) = request.remaining.filter(|_| held.is_none()) {
+            let own = self.quarantine.status(now, request.request).remaining;
+            if let Some(left) = request.remaining.filter(|_| own.is_none()) {
                 Event::new("quarantine-told")
                     .field("content", short_form(request.request))
                     .field("crashes", request.crashes)
@@ -272,41 +286,45 @@
         }
     }
 
-    /// Blames requests for what this entry met.
-    fn judge(&mut self, now: Duration) {
+    /// Blames requests by this entry's own observations.
+    fn blame(&mut self, now: Duration) {
         for found in self.quarantine.evaluate(now) {
             found.event().warn();
         }
     }
 
-    /// A request was served at `at`: it is told so, if anybody suspects it.
+    /// Clears a request that was served at `at`, and queues the report if the request is
+    /// suspected.
     fn exonerate(&mut self, request: Fingerprint, at: Duration) {
-        let known = self.told.binary_search_by_key(&request, |told| told.0);
-        let own = self.own.iter().any(|own| own.loss.request == request);
+        let known = self
+            .reported
+            .binary_search_by_key(&request, |suspect| suspect.0);
+        let own = self.losses.iter().any(|own| own.loss.request == request);
         if known.is_err() && !own {
             return;
         }
-        self.own.retain(|own| own.loss.request != request);
+        self.losses.retain(|own| own.loss.request != request);
         self.quarantine.record_served(request, at);
-        if self.harmless.len() < MOST_SERVED {
-            self.harmless.push((request, at));
+        if self.exonerated.len() < MAX_SERVED {
+            self.exonerated.push((request, at));
         }
     }
 
-    /// Forgets losses that are old, or whose endpoint was heard from since.
-    fn forget(&mut self, now: Duration) {
+    /// Drops losses that have expired, or whose endpoint was active afterwards.
+    fn expire(&mut self, now: Duration) {
         let Self {
-            own, quarantine, ..
+            losses, quarantine, ..
         } = self;
         quarantine.expire(now);
-        own.retain(|own| {
+        losses.retain(|own| {
             let silence = own.endpoint.silence();
-            let heard = silence.and_then(|silence| now.checked_sub(silence));
-            let alive = heard.is_some_and(|heard| outlived(own.loss.at, heard));
-            if alive {
-                quarantine.record_alive(&own.loss.run, heard.unwrap_or_default());
+            let last_activity = silence.and_then(|silence| now.checked_sub(silence));
+            let survived = last_activity
+                .is_some_and(|last_activity| outlived(own.loss.at, last_activity));
+            if survived {
+                quarantine.record_alive(&own.loss.run, last_activity.unwrap_or_default());
             }
-            !alive && now.saturating_sub(own.loss.at) < CRASH_RETENTION
+            !survived && now.saturating_sub(own.loss.at) < CRASH_RETENTION
         });
     }
 }
--- a/crates/entry/src/non_idempotent.rs
+++ b/crates/entry/src/non_idempotent.rs
@@ -31,7 +31,7 @@
     core: &Arc<Core>,
     call: Call,
     arrived: Instant,
-    drain_guard: Busy,
+    drain_guard: DrainGuard,
 ) -> Result<Response, Refusal> {
     let Some(take) = claim_request(core, &call) else {
         return run(core, call, arrived, drain_guard).await;
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -48,7 +48,7 @@
     let deployment = TestDeployment::start().await;
     let mut request = crate::support::request(
         "POST",
-        deployment.local.callers,
+        deployment.local.caller_address,
         "/v1/chat/completions",
         &[],
         "",
@@ -63,8 +63,13 @@
 #[tokio::test]
 async fn key_unknown_refused() {
     let deployment = TestDeployment::start().await;
-    let mut request =
-        crate::support::request("GET", deployment.local.callers, "/v1/models", &[], "");
+    let mut request = crate::support::request(
+        "GET",
+        deployment.local.caller_address,
+        "/v1/models",
+        &[],
+        "",
+    );
     let wrong_key = http::HeaderValue::from_static("Bearer wrong");
     request.headers_mut().insert("authorization", wrong_key);
     let response = crate::support::send(request).await;
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -13,12 +13,12 @@
 #[tokio::test]
 async fn drain_completes_stream_in_flight() {
     let deployment = TestDeployment::start().await;
-    let address = deployment.local.callers;
+    let address = deployment.local.caller_address;
     let body = chat_body("long", 60, true);
     let path = "/v1/chat/completions";
     let request = crate::support::request("POST", address, path, &[], &body);
     let task = tokio::spawn(crate::support::send(request));
-    while deployment.drain.busy() == 0 {
+    while deployment.drain.active() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     deployment.stop().await;
--- a/tests/all/end_to_end.rs
+++ b/tests/all/end_to_end.rs
@@ -106,7 +106,7 @@
     // which must not stall other requests.
     let mut unread = Vec::new();
     for _ in 0..READERS {
-        let address = deployment.local.callers;
+        let address = deployment.local.caller_address;
         let path = "/services/lookup/large";
         let request = crate::support::request("PUT", address, path, &[], &large);
         let response = client.request(request).await.unwrap();
--- a/tests/all/operator.rs
+++ b/tests/all/operator.rs
@@ -2,7 +2,7 @@
 //! running deployment.
 
 use crate::support::{TempFolder, TestDeployment, chat_body};
-use dogwoodhill::ctl::{Exit, Failure, arguments, commands};
+use dogwoodhill::ctl::{CommandError, Exit, arguments, commands};
 use dogwoodhill::local::OPERATOR_KEY;
 use dogwoodhill::report::program::collect;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
         let settings_path = folder.0.join("ctl.jsonc");
         let text = format!(
             r#"{{ "control": ["{}"], "key_file": "{}" }}"#,
-            deployment.local.operators,
+            deployment.local.operator_address,
             key_path.display()
         );
         std::fs::write(&settings_path, text).unwrap();
@@ -38,7 +38,7 @@
         path.display().to_string()
     }
 
-    async fn run(&self, args: &[&str]) -> Result<String, Failure> {
+    async fn run(&self, args: &[&str]) -> Result<String, CommandError> {
         let settings = self.settings_path.display().to_string();
         let mut command_line = vec!["dogwoodhill-ctl", "--settings", &settings];
         command_line.extend(args);
@@ -91,7 +91,7 @@
     assert_eq!(forbidden.exit, Exit::Forbidden, "{forbidden}");
     let invalid = ctl.write_document("{}");
     let failure = ctl.run(&["check", &invalid]).await.unwrap_err();
-    assert_eq!(failure.exit, Exit::Faulty);
+    assert_eq!(failure.exit, Exit::InvalidInput);
     assert!(failure.text.contains("service: is missing"), "{failure}");
     deployment.stop().await;
 }
@@ -105,7 +105,7 @@
         assert_eq!(response.status(), 200);
     }
     let unused_address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let report = collect(&[deployment.local.callers, unused_address]).await;
+    let report = collect(&[deployment.local.caller_address, unused_address]).await;
     assert_eq!(report.unread, [unused_address.to_string()]);
     let row = report
         .rows
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -5,7 +5,9 @@
 use dogwoodhill::daemon::drain::Drain;
 use dogwoodhill::entry::table::Service;
 use dogwoodhill::entry::{Entry, Settings};
-use dogwoodhill::local::{Local, OPERATOR_KEY, Places, SAMPLE_KEY, model_document};
+use dogwoodhill::local::{
+    LocalConfig, LocalDeployment, OPERATOR_KEY, SAMPLE_KEY, model_document,
+};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -42,7 +44,7 @@
 
 /// The all-in-one deployment on ephemeral ports.
 pub(crate) struct TestDeployment {
-    pub(crate) local: Local,
+    pub(crate) local: LocalDeployment,
     pub(crate) drain: Drain,
     _data_folder: TempFolder,
 }
@@ -51,12 +53,12 @@
     pub(crate) async fn start() -> Self {
         let drain = Drain::default();
         let data_folder = TempFolder::new();
-        let places = Places {
-            callers: ephemeral_address(),
-            operators: ephemeral_address(),
-            data: data_folder.0.clone(),
+        let config = LocalConfig {
+            caller_address: ephemeral_address(),
+            operator_address: ephemeral_address(),
+            data_dir: data_folder.0.clone(),
         };
-        let local = Local::start(places, drain.clone()).await.unwrap();
+        let local = LocalDeployment::start(config, drain.clone()).await.unwrap();
         Self {
             local,
             drain,
@@ -77,7 +79,14 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Response<String> {
-        send(request(method, self.local.callers, path, headers, body)).await
+        send(request(
+            method,
+            self.local.caller_address,
+            path,
+            headers,
+            body,
+        ))
+        .await
     }
 
     /// Sends a request to the operators' address of the control instance, with the key of
@@ -88,7 +97,7 @@
         path: &str,
         body: &str,
     ) -> Response<String> {
-        let mut request = request(method, self.local.operators, path, &[], body);
+        let mut request = request(method, self.local.operator_address, path, &[], body);
         let key = format!("Bearer {OPERATOR_KEY}").parse().unwrap();
         request.headers_mut().insert("authorization", key);
         send(request).await
