--- a/crates/agent/src/watch.rs
+++ b/crates/agent/src/watch.rs
@@ -99,11 +99,11 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = core.drain.wait(), if !core.leaving_flags.is_leaving() => {
+            () = core.drain.wait_begun(), if !core.leaving_flags.is_leaving() => {
                 core.set_leaving(Source::Agent, true);
             }
         }
-        if core.drain.begun() {
+        if core.drain.has_begun() {
             core.set_leaving(Source::Agent, true);
         }
         if let Some(report) = core.endpoint.load().await {
@@ -119,7 +119,7 @@
 async fn apply_platform_list(core: &Core, platform: &dyn PlatformList) {
     match platform.fetch().await {
         Ok(list) => {
-            let leaving = list.leaving(core.settings.address.ip());
+            let leaving = list.is_leaving(core.settings.address.ip());
             core.set_leaving(Source::Platform, leaving);
         }
         Err(error) => {
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -166,7 +166,7 @@
     }
 
     /// Serves until the drain is complete, and applies changed settings meanwhile.
-    pub async fn run(self, mut changed: Changed<Settings>) {
+    pub async fn run(self, mut changed: ReloadedSettings<Settings>) {
         Event::new("entry-started")
             .field("name", &self.settings.name)
             .field("domain", &self.settings.domain)
@@ -216,7 +216,7 @@
             tokio::spawn(status.serve(health, Drain::default(), Duration::ZERO));
         let drain = shared.drain.clone();
         let stop = async {
-            drain.wait().await;
+            drain.wait_begun().await;
             let drain_start = Instant::now();
             let _ = shared.drain_started.set(drain_start);
             sleep_until(drain_start + settings.linger).await;
@@ -228,10 +228,10 @@
             .copied()
             .unwrap_or_else(Instant::now);
         let last = drain_start + settings.grace.saturating_sub(EXIT_RESERVE);
-        let finished = timeout_at(last, drain.idle()).await.is_ok();
+        let finished = timeout_at(last, drain.wait_idle()).await.is_ok();
         Event::new("entry-stopped")
             .field("finished", finished)
-            .field("cut", drain.busy())
+            .field("cut", drain.active())
             .field("after_ms", drain_start.elapsed().as_millis())
             .info();
         if let Some((usage, follower, task)) = usage_task {
@@ -263,7 +263,7 @@
 /// Whether the entry can serve: it has routes and endpoints and is not draining.
 fn ready(shared: &SharedState) -> bool {
     let routes = shared.routes.load().is_some();
-    routes && !shared.directory.all().is_empty() && !shared.drain.begun()
+    routes && !shared.directory.all().is_empty() && !shared.drain.has_begun()
 }
 
 fn status_routes(shared: &Arc<SharedState>, metrics: &Metrics, path: &str) -> Router {
@@ -282,5 +282,5 @@
             }
         }
     };
-    health::routes(&shared.drain, metrics, health_ready).route(path, get(handler))
+    health::router(&shared.drain, metrics, health_ready).route(path, get(handler))
 }
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -88,7 +88,7 @@
     may_have_run: bool,
     /// Counts its usage once an endpoint has started it.
     start_counter: Arc<StartCounter>,
-    _drain_guard: Busy,
+    _drain_guard: DrainGuard,
 }
 
 /// Result of sending a request.
@@ -105,7 +105,7 @@
         shared: Arc<SharedState>,
         request: AdmittedRequest,
         mut record: RequestRecord,
-        drain_guard: Busy,
+        drain_guard: DrainGuard,
     ) -> Self {
         let AdmittedRequest {
             deadline,
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -193,7 +193,7 @@
             let stopping = shared.drain.clone();
             let mut response = shared.handle(request).await;
             response.body_mut().attach(guard);
-            if stopping.begun() {
+            if stopping.has_begun() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -47,11 +47,11 @@
                 "Tries that an agent refused or that found no agent",
                 &["service"],
             ),
-            first: metrics.seconds(
+            first: metrics.histogram(
                 "dogwoodhill_entry_first_byte_seconds",
                 "Time from arrival to the first byte of the answer",
             ),
-            total: metrics.seconds(
+            total: metrics.histogram(
                 "dogwoodhill_entry_answer_seconds",
                 "Time from arrival to the end of the answer",
             ),
@@ -147,7 +147,7 @@
     /// Other attempts of the request that may have run.
     pub wasted: u32,
     /// Keeps the drain from completing before the answer ends.
-    pub drain_guard: Busy,
+    pub drain_guard: DrainGuard,
     /// Guard of the workspace's quota, held until the answer ends.
     pub quota: QuotaGuard,
 }
