--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -247,9 +247,7 @@
 /// A response whose body fails at once, which closes the connection without a response
 /// head.
 fn closed_connection() -> Response {
-    let broken = stream::iter([Err::<Bytes, _>(io::Error::other(
-        "connection closed by fault injection",
-    ))]);
+    let broken = stream::iter([Err::<Bytes, _>(io::Error::other("closed"))]);
     Body::from_stream(broken).into_response()
 }
 
@@ -299,9 +297,7 @@
         if fault == Fault::CloseMiddle && self.sent >= TOKENS_BEFORE_CLOSE {
             self.slot = None;
             self.sent = u32::MAX;
-            return Some(Err(io::Error::other(
-                "connection closed by fault injection",
-            )));
+            return Some(Err(io::Error::other("closed")));
         }
         if self.sent == self.tokens {
             self.slot = None;
@@ -366,10 +362,7 @@
     }
     if fault == Fault::CloseMiddle {
         let half = Bytes::from(body.split_off(body.len() / 2));
-        let parts = [
-            Ok(half),
-            Err(io::Error::other("connection closed by fault injection")),
-        ];
+        let parts = [Ok(half), Err(io::Error::other("closed"))];
         return Body::from_stream(stream::iter(parts)).into_response();
     }
     let mut response = body.into_response();
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -159,10 +159,7 @@
     let mut response = match fault {
         Fault::CloseMiddle | Fault::CloseEarly | Fault::Truncated => {
             let half = Bytes::from(echo[..echo.len() / 2].to_string());
-            let parts = [
-                Ok(half),
-                Err(io::Error::other("connection closed by fault injection")),
-            ];
+            let parts = [Ok(half), Err(io::Error::other("closed"))];
             Body::from_stream(stream::iter(parts)).into_response()
         }
         _ => echo.into_response(),
