--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -247,7 +247,7 @@
 
     /// Completes when the entry drains and pending requests cannot wait any longer.
     async fn wait_response_deadline(&self) {
-        self.drain.wait().await;
+        self.drain.wait_begun().await;
         let drain_start = Instant::now();
         let last = drain_start + self.grace.saturating_sub(RESPONSE_RESERVE);
         sleep_until(self.response_deadline().unwrap_or(last)).await;
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -121,7 +121,7 @@
         self.listener
             .serve(router(&core), drain.clone(), linger)
             .await;
-        drain.idle().await;
+        drain.wait_idle().await;
         ticker.abort();
         watching.abort();
         Event::new("entry-stopped").info();
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -28,7 +28,7 @@
     core: Arc<Core>,
     call: Call,
     arrived: Instant,
-    drain_guard: Busy,
+    drain_guard: DrainGuard,
 ) -> Result<Response, Refusal> {
     match call.class.repeat {
         Repeat::Allowed => run(&core, call, arrived, drain_guard).await,
@@ -51,7 +51,7 @@
     core: &Arc<Core>,
     call: Call,
     arrived: Instant,
-    drain_guard: Busy,
+    drain_guard: DrainGuard,
 ) -> Result<Response, Refusal> {
     let result = execute(core, &call, arrived).await;
     let CompletedCall { answered, quota } = result.inspect_err(|refusal| {
@@ -146,7 +146,7 @@
     answered: Answered,
     quota: QuotaGuard,
     arrived: Instant,
-    drain_guard: Busy,
+    drain_guard: DrainGuard,
 ) -> Response {
     // The request is not needed any more and need not stay in memory during a long
     // stream.
