--- a/tests/all/invalid_answers.rs
+++ b/tests/all/invalid_answers.rs
@@ -364,7 +364,7 @@
         frame(
             attempt.attempt,
             0,
-            FrameBody::Broken("the connection broke".to_string()),
+            FrameBody::Broken("it broke off".to_string()),
         )
     };
     let (address, calls) = start_fake_agent(script).await;
