--- a/src/local.rs
+++ b/src/local.rs
@@ -12,9 +12,9 @@
 use dogwoodhill_daemon::prelude::*;
 use dogwoodhill_entry::entry::Core;
 use dogwoodhill_entry::{Entry, Settings};
-use dogwoodhill_standin::engine::{Engine, Speed};
-use dogwoodhill_standin::faults::Faults;
-use dogwoodhill_standin::plain::{Calls, Plain};
+use dogwoodhill_standin::engine::{Engine, EngineConfig};
+use dogwoodhill_standin::faults::FaultInjector;
+use dogwoodhill_standin::plain::{CallCounts, PlainService};
 use error_stack::{Report, ResultExt};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -76,11 +76,11 @@
     /// Shared state of the entry.
     pub entry: Arc<Core>,
     /// Fault injection of the simulated model endpoint.
-    pub engine: Faults,
+    pub engine: FaultInjector,
     /// Fault injection of the simulated plain endpoint.
-    pub plain: Faults,
+    pub plain: FaultInjector,
     /// Counts of calls that the plain endpoint has run.
-    pub calls: Calls,
+    pub calls: CallCounts,
     entries: JoinSet<()>,
     agents: JoinSet<()>,
     control: JoinSet<()>,
@@ -102,10 +102,10 @@
     ) -> Result<Self, Report<LocalError>> {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let listen_error = LocalError::Listen;
-        let engine = Engine::bind(any_port, Speed::default())
+        let engine = Engine::bind(any_port, EngineConfig::default())
             .await
             .change_context(listen_error)?;
-        let plain = Plain::bind(any_port, PLAIN_WORK_TIME)
+        let plain = PlainService::bind(any_port, PLAIN_WORK_TIME)
             .await
             .change_context(LocalError::Listen)?;
         let backend_drain = Drain::default();
@@ -123,7 +123,7 @@
             &agent_drain,
         )
         .await?;
-        let texts = [
+        let documents = [
             model_document(chat.address(), engine.address()),
             plain_document(lookup.address(), plain.address()),
         ];
@@ -155,7 +155,7 @@
         local.agents.spawn(chat.run());
         local.agents.spawn(lookup.run());
         local.entries.spawn(entry.run());
-        for text in texts {
+        for text in documents {
             submit_document(&service, text).await?;
         }
         local.wait_in_force(&service).await?;
--- a/tests/all/drain.rs
+++ b/tests/all/drain.rs
@@ -6,7 +6,7 @@
 use dogwoodhill::agent::settings::Platform;
 use dogwoodhill::agent::{Agent, Settings};
 use dogwoodhill::daemon::drain::Drain;
-use dogwoodhill::standin::engine::{Engine, Speed};
+use dogwoodhill::standin::engine::{Engine, EngineConfig};
 use dogwoodhill::standin::text::answer;
 use std::time::Duration;
 
@@ -29,14 +29,14 @@
 
 /// An agent in front of a stand-in engine.
 struct AgentFixture {
-    engine_faults: dogwoodhill::standin::faults::Faults,
+    engine_faults: dogwoodhill::standin::faults::FaultInjector,
     agent_address: std::net::SocketAddr,
     drain: Drain,
 }
 
 impl AgentFixture {
     async fn start(adjust: impl FnOnce(&mut Settings)) -> Self {
-        let engine = Engine::bind(ephemeral_address(), Speed::default())
+        let engine = Engine::bind(ephemeral_address(), EngineConfig::default())
             .await
             .unwrap();
         let faults = engine.faults();
@@ -76,9 +76,9 @@
 async fn leaving_set_by_endpoint() {
     let fixture = AgentFixture::start(|_| {}).await;
     assert!(!fixture.is_leaving().await);
-    fixture.engine_faults.leave(true);
+    fixture.engine_faults.set_leaving(true);
     fixture.wait_leaving_state(true).await;
-    fixture.engine_faults.leave(false);
+    fixture.engine_faults.set_leaving(false);
     fixture.wait_leaving_state(false).await;
 }
 
--- a/tests/all/end_to_end.rs
+++ b/tests/all/end_to_end.rs
@@ -70,7 +70,7 @@
         .await;
     assert_eq!(reused.status(), 422);
     assert_eq!(header(&reused, "x-outcome"), "not-run");
-    assert_eq!(deployment.local.calls.of("seat-1"), 1);
+    assert_eq!(deployment.local.calls.count("seat-1"), 1);
     deployment.stop().await;
 }
 
@@ -89,7 +89,7 @@
         assert_ne!(header(&resent, "x-outcome"), "not-run");
         assert_ne!(resent.status(), 200);
     }
-    assert_eq!(deployment.local.calls.of("seat-2"), 1);
+    assert_eq!(deployment.local.calls.count("seat-2"), 1);
     deployment.stop().await;
 }
 
--- a/tests/all/overload.rs
+++ b/tests/all/overload.rs
@@ -1,7 +1,7 @@
 //! Overload: which requests are queued, which are shed, and that each of them ends.
 
 use crate::support::{request, send};
-use dogwoodhill::load::bench::{Bench, SERVICE, workspace_key};
+use dogwoodhill::load::deployment::{Deployment, SERVICE, workspace_key};
 use dogwoodhill::load::scenario::Suite;
 use http::Response;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 async fn shedding_spares_urgent_class() {
     let suite = Suite::parse("small", SUITE).unwrap();
     let policy = dogwoodhill::policy::placement::Policy::Predicted;
-    let bench = Bench::start(&suite, policy).await;
+    let bench = Deployment::start(&suite, policy).await;
     let entry = bench.entries()[0];
     // Two of these run and five are queued.
     let patient: Vec<_> = (0..7)
