--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -6,10 +6,10 @@
 //! ([`dogwoodhill_daemon::clock`]).
 //!
 //! Nothing here is durable and nothing blocks on it: an entry that receives no recent
-//! read fetches the list itself. Two entries are asked to fetch it for all, namely the
-//! first two by name among those that succeeded recently. A reader that dies, hangs or
-//! loses access to the list is therefore replaced as soon as another entry had to fetch
-//! the list itself.
+//! read reads the list itself. Two entries, the readers, read it for all: the first two by
+//! name among those with a read within 3 s and, if there are fewer, the first others by
+//! name. A reader that stops reporting is replaced after 2 s; one that still reports but
+//! no longer reads, after 3 s and once another entry has read the list itself.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
@@ -20,11 +20,12 @@
 use dogwoodhill_wire::list::{EndpointRecord, ListHistory, ListRead, Mark};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Entries that are asked to fetch the list; two, since one may fail at any time.
+/// Entries that read the list for all; two, since one may fail at any time.
 const READERS: usize = 2;
-/// How long an entry counts after its last report; four reporting intervals.
+/// How long an entry is tracked after its last report; four reporting intervals.
 const ENTRY_TTL: Duration = Duration::from_secs(2);
-/// How long an entry counts as able to fetch the list; three intervals of a reader.
+/// How long an entry counts as able to read the list after a read; three read intervals of
+/// a reader.
 const READER_TTL: Duration = Duration::from_secs(3);
 /// How long computed verdicts are reused; a tenth of an entry's reporting interval.
 const VERDICT_CACHE_TTL: Duration = Duration::from_millis(50);
@@ -32,9 +33,9 @@
 /// entries, so that whatever still applies is reported again.
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
 /// Rate limit for full lists, in bytes per second. A control instance has a link of 100
-/// Mbit/s. If hundreds of entries that start together were all served at once, they would
-/// share the link, and none would receive its list before its time-out and retry. Served
-/// one after the other, each has its list within some 100 ms of its turn.
+/// Mbit/s. If hundreds of entries that start together were all sent the list at once, they
+/// would share the link, and none would receive its list before its time-out and retry. At
+/// this rate, an entry receives its list within some 100 ms from the start of its transfer.
 const FULL_LIST_BYTES_PER_S: f64 = 10_000_000.0;
 /// Bytes of full lists that may be sent at once: what the link carries within the polling
 /// interval of entries without a list.
@@ -49,7 +50,7 @@
 struct TrackedEntry {
     name: String,
     last_report: Duration,
-    /// When it requested the list that it reported last.
+    /// When the newest read that it reported was requested.
     last_read: Option<Duration>,
 }
 
@@ -85,7 +86,7 @@
     last_report: Duration,
     /// The newest list and some previous ones.
     history: ListHistory,
-    /// When the newest list was requested, and how long the request took.
+    /// When the newest read was requested, and how long it took.
     read: Option<(Duration, Duration)>,
     full_lists: RateLimiter,
     shared_health: SharedHealth,
@@ -114,9 +115,10 @@
 /// Reply to an entry's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Whether the entry is asked to fetch the list for the others.
+    /// Whether the entry reads the list for the others.
     pub reader: bool,
-    /// The newest list, if one is known and its turn has come.
+    /// The newest list. `None` if no list is known or the rate limit for full lists is
+    /// exhausted.
     pub newest: Option<ListRead>,
 }
 
@@ -156,13 +158,13 @@
         })
     }
 
-    /// Records the report of `entry`, with the list if it fetched one; `held` is the
-    /// content hash of the list that it has.
+    /// Records the report of `entry`, with its own newest read, if any; `known` is the mark
+    /// of the list that the entry uses.
     pub fn report(
         &self,
         now: Duration,
         entry: &str,
-        held: Mark,
+        known: Mark,
         list: Option<ListRead>,
     ) -> ListUpdate {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -173,7 +175,7 @@
             state.take(&list, read, entry);
         }
         let reader = state.is_reader(now, entry);
-        let newest = state.newest(now, held);
+        let newest = state.newest(now, known);
         ListUpdate { reader, newest }
     }
 
@@ -186,7 +188,7 @@
         }
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.read.is_none() || state.history.newest().mark != report.list_mark {
-            // The positions refer to another list; the entry will report again.
+            // The indices refer to another list; the entry will report again.
             return;
         }
         let observed = report.observations.iter().map(|observed| {
@@ -285,7 +287,7 @@
         .info();
 }
 
-/// Positions of the set bits, lowest bit of the first byte first.
+/// Indices of the set bits, lowest bit of the first byte first.
 fn set_bits(bytes: &[u8]) -> impl Iterator<Item = EndpointIndex> {
     (0..).zip(bytes).flat_map(|(at, byte)| {
         let set = (0..8).filter(move |bit| byte & (1 << bit) != 0);
@@ -294,18 +296,18 @@
 }
 
 impl State {
-    /// The newest list for an entry that has the list with the hash `held`. `None` also
-    /// if the rate limit for full lists is exhausted.
-    fn newest(&mut self, now: Duration, held: Mark) -> Option<ListRead> {
+    /// The newest list for an entry that uses the list with the mark `known`. `None` if no
+    /// list is known or the rate limit for full lists is exhausted.
+    fn newest(&mut self, now: Duration, known: Mark) -> Option<ListRead> {
         let (read, took) = self.read?;
-        let update = self.history.read_for(held, now.saturating_sub(read), took);
+        let update = self.history.read_for(known, now.saturating_sub(read), took);
         let bytes = update.whole.as_ref().map_or(0, |whole| whole.size());
         (bytes == 0 || self.full_lists.take(now, bytes)).then_some(update)
     }
 
-    /// Removes entries that stopped reporting. If no entry at all was heard for that
-    /// long, it was this instance that was suspended or cut off, and their deadlines are
-    /// extended. Otherwise every reporting entry would be asked to fetch the list until
+    /// Removes entries that have not reported for [`ENTRY_TTL`]. If no entry reported for
+    /// that long, this instance was probably suspended or disconnected, and all deadlines
+    /// are extended by that time. Without that, each entry would be made a reader until
     /// two that precede it by name have reported.
     fn expire_entries(&mut self, now: Duration) {
         let idle = now.saturating_sub(self.last_report);
@@ -342,10 +344,10 @@
         }
     }
 
-    /// Stores a list if it is newer than the current one. A report without content counts
-    /// if its hash is that of the current content.
+    /// Stores a read if it is newer than the current one. A read without content only
+    /// renews the time of the current list, if its mark is the same.
     fn take(&mut self, list: &ListRead, read: Duration, entry: &str) {
-        if self.read.is_some_and(|(held, _)| held >= read) {
+        if self.read.is_some_and(|(current, _)| current >= read) {
             return;
         }
         let read = Some((read, list.took));
@@ -382,13 +384,16 @@
 
     /// Whether `entry` is among the readers.
     fn is_reader(&self, now: Duration, entry: &str) -> bool {
-        let can_read = |tracked: &&TrackedEntry| {
+        let read_recently = |tracked: &&TrackedEntry| {
             let read = tracked.last_read.map(|read| now.saturating_sub(read));
             read.is_some_and(|age| age < READER_TTL)
         };
-        let capable = self.entries.iter().filter(can_read);
-        let others = self.entries.iter().filter(|tracked| !can_read(tracked));
-        let mut readers = capable.chain(others).take(READERS);
+        let recent = self.entries.iter().filter(read_recently);
+        let others = self
+            .entries
+            .iter()
+            .filter(|tracked| !read_recently(tracked));
+        let mut readers = recent.chain(others).take(READERS);
         readers.any(|tracked| tracked.name == entry)
     }
 }
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -1,14 +1,15 @@
 //! Usage reporting, a duty that one instance holds at a time.
 //!
 //! Any instance that receives usage from entries may hold the duty. It commits the counts
-//! of a closed window to the log with the same command that acquires or renews the lease,
-//! and sends the committed windows, oldest first, until they are accepted. While no
-//! window is due, it neither writes to the log nor calls the platform.
+//! of a complete window to the log with the same command that acquires or renews the
+//! lease, and sends the committed windows, oldest first, until they are accepted. While
+//! no window is complete or committed and unreported, it neither writes to the log nor
+//! calls the platform.
 //!
 //! Before each call, the holder checks its lease against a clock that keeps running while
 //! the machine is suspended. A call that was already in flight carries the old fencing
-//! token. Where the platform does not check tokens, the lease passes on only after such a
-//! call has ended.
+//! token. Where the platform does not check tokens, another instance can acquire the lease
+//! only after such a call has ended.
 
 mod metrics;
 mod sink;
@@ -35,13 +36,13 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Time-out of a report.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Delay after a rejected report; doubles up to [`MAX_BACKOFF`].
+/// Delay after a failed report; doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 /// Longest delay between two reports of one window.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// Time without an accepted report after which the lease is released. Another instance
-/// may still reach the platform.
-const RELEASE_AFTER: Duration = Duration::from_secs(3);
+/// Time since the first of consecutive failed reports after which the lease is released.
+/// Another instance may still reach the platform.
+const RELEASE_AFTER_FAILING: Duration = Duration::from_secs(3);
 
 /// Settings of the usage reporting duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,20 +57,20 @@
     pub deadline: Duration,
     /// Time for which a holder may act without renewing its lease.
     pub lease: Duration,
-    /// Additional time during which no other instance acquires the lease. It covers
-    /// actions of a holder that was suspended and, where fencing tokens are not checked,
-    /// calls that are in flight.
+    /// Time after the lease's end during which no other instance acquires it, so that
+    /// actions of a suspended holder and, where fencing tokens are not checked, calls in
+    /// flight have ended.
     pub slack: Duration,
-    /// Shortest time between two calls.
+    /// Delay after an accepted report.
     pub call_interval: Duration,
 }
 
 impl UsageSettings {
-    /// When windows are closed. A window is closed without missing entries after two
-    /// fifths of the reporting time; the rest allows for the commit and for a lost call.
-    /// If only a few entries report to this instance, it waits twice as long, so that the
-    /// instance with the others closes first.
-    pub fn closing(&self) -> CloseRules {
+    /// When windows are closed. A window with missing reports is closed after two fifths of
+    /// `deadline`; the rest allows for the commit and for a lost call. If fewer than half
+    /// of the entries report to this instance, it waits four fifths, so that an instance
+    /// to which at least half report closes the window first.
+    pub fn close_rules(&self) -> CloseRules {
         CloseRules {
             windows: self.windows,
             majority_wait: self.deadline * 2 / 5,
@@ -93,13 +94,13 @@
     pending: VecDeque<WindowCounts>,
     /// Windows before this one have been reported.
     reported_before: Window,
-    /// Start of the current series of rejected reports.
+    /// When the first of consecutive failed reports failed.
     failing_since: Option<Duration>,
     backoff: Duration,
 }
 
 impl Reporter {
-    /// A reporter for the control instance at `machine`.
+    /// A reporter on the machine with the internal address `machine`.
     pub fn new(
         settings: UsageSettings,
         machine: SocketAddr,
@@ -142,20 +143,20 @@
             self.check(now).await;
             self.duty_lease.end_turn(uptime());
         }
-        self.usage.set_inactive(true);
+        self.usage.set_redirect_entries(true);
         self.release("stop").await;
     }
 
     async fn check(&mut self, now: Duration) {
         self.usage
-            .set_inactive(self.duty_lease.is_standing_down(now));
+            .set_redirect_entries(self.duty_lease.is_standing_down(now));
         self.update_metrics();
         if !self.usage.accepts_reports() || !self.duty_lease.may_request(now) {
             return;
         }
         let open = self.open_windows();
-        // Nothing is reported before the first commit: the first window is the one in
-        // which the deployment starts.
+        // The first commit contains no counts; it fixes the window from which usage is
+        // counted.
         let first = self.next_window() == 0 && open.entries > 0;
         if first || !open.complete.is_empty() {
             self.commit(open).await;
@@ -174,8 +175,8 @@
     fn open_windows(&self) -> OpenWindows {
         let expected = *self.entries.borrow() as usize;
         let next_window = self.next_window();
-        let closing = self.settings.closing();
-        let mut open = self.usage.open_windows(next_window, &closing, expected);
+        let close_rules = self.settings.close_rules();
+        let mut open = self.usage.open_windows(next_window, &close_rules, expected);
         if next_window == 0 || !self.duty_lease.may_close(uptime()) {
             open.complete.clear();
         }
@@ -242,11 +243,11 @@
                 .info();
         }
         let reported_before = self.reported_before;
-        let due = pending
+        let unreported = pending
             .pending
             .into_iter()
             .filter(|counts| counts.window >= reported_before);
-        self.pending = due.collect();
+        self.pending = unreported.collect();
     }
 
     fn on_lease_refused(&mut self, left: Duration) {
@@ -260,7 +261,8 @@
         self.pending.clear();
     }
 
-    /// Sends a window. Returns whether the next one may be sent immediately.
+    /// Renews the lease if it has expired, sends a window and, if the report is accepted,
+    /// waits for `call_interval`. Returns whether the report was accepted.
     async fn report(&mut self, counts: WindowCounts) -> bool {
         if self.duty_lease.active_fence(uptime()).is_none() {
             let mut open = self.open_windows();
@@ -273,13 +275,13 @@
             return false;
         };
         let report = UsageReport {
-            holder: self.settings.reporter.clone(),
+            reporter: self.settings.reporter.clone(),
             fence,
             counts,
         };
         let result = timeout(CALL_TIMEOUT, self.sink.report(&report)).await;
         let result = result.unwrap_or_else(|_| {
-            let problem = "no answer in time".to_string();
+            let problem = "no response within 1.5 s".to_string();
             Err(ReportError::Failed { problem })
         });
         self.log_report(window, requests, fence, result.as_ref().err());
@@ -294,8 +296,8 @@
                 self.pending.clear();
                 false
             }
-            Err(ReportError::Busy | ReportError::Failed { .. }) => {
-                self.on_rejected().await;
+            Err(ReportError::RateLimited | ReportError::Failed { .. }) => {
+                self.on_report_failed().await;
                 false
             }
         }
@@ -308,13 +310,13 @@
         self.backoff = INITIAL_BACKOFF;
     }
 
-    async fn on_rejected(&mut self) {
+    async fn on_report_failed(&mut self) {
         let now = uptime();
         let since = *self.failing_since.get_or_insert(now);
-        if now.saturating_sub(since) >= RELEASE_AFTER {
+        if now.saturating_sub(since) >= RELEASE_AFTER_FAILING {
             self.failing_since = None;
             self.duty_lease.stand_down(now);
-            self.usage.set_inactive(true);
+            self.usage.set_redirect_entries(true);
             self.backoff = INITIAL_BACKOFF;
             return self.release("unable").await;
         }
@@ -350,7 +352,7 @@
         let outcome = match error {
             None => "accepted",
             Some(ReportError::Fenced) => "fenced",
-            Some(ReportError::Busy) => "busy",
+            Some(ReportError::RateLimited) => "busy",
             Some(ReportError::Failed { .. }) => "failed",
         };
         self.metrics.count_report(outcome);
--- a/crates/control/src/reporter/metrics.rs
+++ b/crates/control/src/reporter/metrics.rs
@@ -33,7 +33,8 @@
         self.reports.with_label_values(&[outcome]).inc();
     }
 
-    /// Updates the gauges.
+    /// Updates the gauges: whether this instance holds the lease, the number of committed
+    /// windows that are not yet reported, and that of windows discarded unreported.
     pub(super) fn update(&self, holds: bool, view: &DutyView) {
         let values = [
             ("holds", i64::from(holds)),
--- a/crates/control/src/reporter/sink.rs
+++ b/crates/control/src/reporter/sink.rs
@@ -18,9 +18,9 @@
 /// The usage of one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Name of the instance that holds the duty.
-    pub holder: String,
-    /// Fencing token of its lease.
+    /// Name under which the instance reports.
+    pub reporter: String,
+    /// Fencing token of the instance's lease.
     pub fence: Fence,
     /// Counts per workspace.
     pub counts: WindowCounts,
@@ -29,12 +29,12 @@
 /// Why a report was not accepted.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Error)]
 pub enum ReportError {
-    /// The receiver has already seen a higher fencing token.
+    /// The receiver has already received a higher fencing token.
     #[display("a higher fencing number was seen")]
     Fenced,
     /// The receiver's rate limit is exceeded.
     #[display("more calls than are allowed")]
-    Busy,
+    RateLimited,
     /// No response, or a response that does not confirm acceptance.
     #[display("{problem}")]
     #[error(ignore)]
--- a/crates/control/src/usage.rs
+++ b/crates/control/src/usage.rs
@@ -1,9 +1,9 @@
-//! Usage that entries report: the requests that endpoints began.
+//! Usage that entries report: the requests that endpoints started.
 //!
 //! Entries report to the instance that holds the reporting duty ([`crate::reporter`]) or,
-//! if there is none, to the first one that answers. Reports are held in memory only:
-//! entries retain their counts until these are committed to the log, and repeat them in
-//! full to the next instance.
+//! if no instance holds it, to the first one that responds. Reports are stored in memory
+//! only: entries retain their counts until these are committed to the log, and report all
+//! of the retained counts again to the next instance.
 
 use crate::replica::Replica;
 use crate::reporter::DUTY;
@@ -30,9 +30,9 @@
     /// Id of this run of the instance.
     run: u64,
     replica: Replica,
-    /// Whether entries should report elsewhere because this instance stops or can't reach
-    /// the platform.
-    inactive: Arc<AtomicBool>,
+    /// Whether entries should report to another instance, because this one stops or can't
+    /// reach the platform.
+    redirect_entries: Arc<AtomicBool>,
     state: Arc<Mutex<State>>,
 }
 
@@ -53,7 +53,7 @@
         Self {
             run: rand::random::<u64>().max(1),
             replica,
-            inactive: Arc::default(),
+            redirect_entries: Arc::default(),
             state: Arc::default(),
         }
     }
@@ -64,8 +64,9 @@
     }
 
     /// Sets whether entries should report to another instance.
-    pub fn set_inactive(&self, inactive: bool) {
-        self.inactive.store(inactive, Ordering::Relaxed);
+    pub fn set_redirect_entries(&self, redirect_entries: bool) {
+        self.redirect_entries
+            .store(redirect_entries, Ordering::Relaxed);
     }
 
     /// Records the report of an entry.
@@ -99,7 +100,7 @@
     pub fn open_windows(
         &self,
         next: Window,
-        closing: &CloseRules,
+        close_rules: &CloseRules,
         expected: usize,
     ) -> OpenWindows {
         let now = uptime();
@@ -110,7 +111,7 @@
         let complete = time.map_or_else(Vec::new, |time| {
             let windows = (next..).take(MAX_WINDOWS);
             let complete = windows
-                .take_while(|w| tally.is_complete(now, time, *w, closing, expected));
+                .take_while(|w| tally.is_complete(now, time, *w, close_rules, expected));
             complete.map(|window| tally.sum(window)).collect()
         });
         OpenWindows {
@@ -120,10 +121,11 @@
         }
     }
 
-    /// Whether this instance is in contact with a majority and accepts reports.
+    /// Whether entries may report to this instance: it is in contact with a majority and
+    /// does not redirect entries.
     pub fn accepts_reports(&self) -> bool {
         let contact = self.replica.status.borrow().contact;
-        contact && !self.inactive.load(Ordering::Relaxed)
+        contact && !self.redirect_entries.load(Ordering::Relaxed)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/crates/control/tests/reporter.rs
+++ b/crates/control/tests/reporter.rs
@@ -60,7 +60,7 @@
             .expect("not poisoned")
             .push(report.clone());
         if take(&self.busy) {
-            return Err(ReportError::Busy);
+            return Err(ReportError::RateLimited);
         }
         if take(&self.fenced) {
             return Err(ReportError::Fenced);
@@ -391,7 +391,7 @@
     for round in 0..3 {
         count = platform.wait_for_windows(count).await.len();
         let last = platform.accepted().pop().expect("some were accepted");
-        let is_holder = |instance: &Instance| instance.settings.name == last.holder;
+        let is_holder = |instance: &Instance| instance.settings.name == last.reporter;
         let at = instances
             .iter()
             .position(is_holder)
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -21,7 +21,7 @@
     let settings = parse(&format!(r#""duties": ["usage"], {USAGE}"#));
     let usage = settings.expect("valid settings").usage.expect("a duty");
     assert_eq!(usage.windows, Windows::new(Duration::from_secs(5)));
-    assert_eq!(usage.closing().majority_wait, Duration::from_secs(4));
+    assert_eq!(usage.close_rules().majority_wait, Duration::from_secs(4));
     assert_eq!(usage.slack, Duration::from_millis(300));
     assert_eq!(usage.call_interval, Duration::from_millis(20));
 }
--- a/crates/direct/src/control_sync.rs
+++ b/crates/direct/src/control_sync.rs
@@ -124,7 +124,7 @@
     stamps: &mut Stamps,
 ) -> Result<DemandReply, SyncError> {
     let (list_mark, list) = shared.list_tracker.report();
-    let (observations, responding) = shared.list_tracker.observations();
+    let (observations, responding) = shared.list_tracker.take_observations();
     let (limits, limits_mark) = shared.directory.limit_report();
     let mut report = DemandReport {
         entry: follower.name.clone(),
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -298,11 +298,13 @@
 
     /// Time until an endpoint of a service is expected to admit a request; `None` if the
     /// service has none.
-    pub fn admits_in(&self, service: &str) -> Option<Duration> {
+    pub fn time_until_admission(&self, service: &str) -> Option<Duration> {
         let snapshot = self.snapshot.load();
         let group = snapshot.group(service)?;
         let remaining = group.iter().filter(|endpoint| !endpoint.leaving());
-        remaining.map(|endpoint| endpoint.admits_in()).min()
+        remaining
+            .map(|endpoint| endpoint.time_until_admission())
+            .min()
     }
 
     /// Evaluates the usable endpoints of a range.
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -127,7 +127,7 @@
     }
 
     /// Time until the endpoint is expected to admit a request.
-    pub(super) fn admits_in(&self) -> Duration {
+    pub(super) fn time_until_admission(&self) -> Duration {
         let backoff = self.remaining_backoff().unwrap_or_default();
         let permitted = !self.is_limited() || self.permits().is_available(uptime());
         backoff.max(if permitted {
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -254,29 +254,29 @@
         self.estimates().record.idle_time(now)
     }
 
-    /// Whether the process has ended since `broke`, when a connection to it broke, so
+    /// Whether the process has exited since a connection to it broke at `broken_at`, so
     /// that new connections are refused. False for an endpoint that was shutting down
-    /// anyway.
-    pub async fn has_ended(&self, broke: Instant) -> bool {
+    /// anyway, and if the connection attempt times out.
+    pub async fn has_exited(&self, broken_at: Instant) -> bool {
         if self.leaving() {
             return false;
         }
         // Connections that break together are checked together.
         let mut last = self.last_check.lock().await;
-        if let Some((at, ended)) = *last
-            && at >= broke
+        if let Some((at, exited)) = *last
+            && at >= broken_at
         {
-            return ended;
+            return exited;
         }
         let at = Instant::now();
-        // A process that ends closes its sockets one after the other, and may have
+        // A process that exits closes its sockets one after the other, and may have
         // accepted the new connection before it closed its listener.
-        let ended = match self.refuses_connections().await {
-            Some(ended) => ended,
+        let exited = match self.refuses_connections().await {
+            Some(exited) => exited,
             None => self.refuses_connections().await.unwrap_or(false),
         };
-        *last = Some((at, ended));
-        ended
+        *last = Some((at, exited));
+        exited
     }
 
     /// Whether new connections are refused; `None` if one was made but closed again.
@@ -357,7 +357,7 @@
     }
 
     /// Observations since the last report to control, if any.
-    pub(crate) fn take_sighting(&self) -> Option<HealthReport> {
+    pub(crate) fn take_health_report(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
         self.estimates().record.take_report(now)
     }
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -1,9 +1,9 @@
 //! Sending a request to endpoints until one responds.
 //!
-//! The order of events determines which outcome may be reported. Once a send may have
-//! run, no later refusal may report "not run". A non-idempotent request is resent only
-//! after an endpoint's own refusal or if no byte was sent. Resends are covered by the
-//! service's resend budget. A request that has crashed endpoints is not resent
+//! What happened so far determines which outcome may be reported. Once an endpoint may
+//! have run the request, no later refusal may report "not run". A non-idempotent request
+//! is resent only if an endpoint refused it or if no byte was sent. Resends are debited
+//! from the service's resend budget. A request that has crashed endpoints is not resent
 //! (`dispatch::crash`).
 
 mod crash;
@@ -41,15 +41,16 @@
 /// No byte was sent, so they do not count as sends.
 const MAX_CONNECT_FAILURES: usize = 3;
 /// Time without a response after which an idempotent request is sent to another endpoint,
-/// as a multiple of its objective. Callers of streams give up after four.
+/// as a multiple of its response-time objective. Callers of streams time out after four
+/// times the objective.
 const MOVE_AFTER_OBJECTIVES: f64 = 2.5;
 
 /// An admitted request.
 #[derive(Debug)]
 pub(crate) struct AdmittedRequest {
-    /// Deadline.
+    /// When the caller must have the response.
     pub(crate) deadline: Instant,
-    /// Route set that was applied.
+    /// Route set by which the request was admitted.
     pub(crate) table: Arc<RouteTable>,
     pub(crate) outbound: OutboundRequest,
     pub(crate) meta: RequestMeta,
@@ -61,7 +62,7 @@
 /// A request being sent to endpoints.
 #[derive(Debug)]
 pub struct Dispatch {
-    /// Deadline.
+    /// When the caller must have the response.
     pub deadline: Instant,
     /// Last event received by the caller.
     pub resume_after: Option<EventId>,
@@ -76,17 +77,17 @@
     class: LatencyClass,
     position: QueuePosition,
     tried: Vec<Incarnation>,
-    /// Whether it is suspected of crashing endpoints.
+    /// Whether the request is suspected of crashing endpoints.
     suspected: bool,
     sends: usize,
     /// Start of the last send.
     sent_at: Duration,
-    /// Number of connections that broke during its sends.
+    /// Number of sends whose connection broke.
     broken_connections: usize,
     /// Whether the next send is already debited from the budget.
     prepaid: bool,
     may_have_run: bool,
-    /// Counts its usage once an endpoint has started it.
+    /// Counts the request as usage once an endpoint has started it.
     start_counter: Arc<StartCounter>,
     _drain_guard: DrainGuard,
 }
@@ -96,7 +97,7 @@
 pub enum DispatchResult {
     /// A response arrived.
     Response(Box<EndpointResponse>),
-    /// No response arrived; the router responds itself.
+    /// No usable response; the entry responds itself.
     Refuse(RefusalCause),
 }
 
@@ -124,13 +125,14 @@
         record.routes_version = table.version();
         record.fingerprint = short_form(fingerprint);
         shared.credit_resend(&service);
-        let (shortest, longest) = table.pauses(&service).unwrap_or_default();
-        let separate_classes = shared
-            .directory
-            .separates_classes(&service, shortest, longest);
+        let (shortest_pause, longest_pause) = table.pauses(&service).unwrap_or_default();
+        let separate_classes =
+            shared
+                .directory
+                .separates_classes(&service, shortest_pause, longest_pause);
         let events = admitted.route.events;
-        let sensitive =
-            separate_classes && events.is_some_and(|events| events.pause <= shortest);
+        let sensitive = separate_classes
+            && events.is_some_and(|events| events.pause <= shortest_pause);
         let usage = shared.usage.clone();
         let start_counter =
             Arc::new(StartCounter::new(usage, admitted.workspace.clone()));
@@ -191,36 +193,38 @@
         }
     }
 
-    /// Records that its stream is complete, with the longest pause.
+    /// Records that the request's stream is complete, with its longest pause.
     pub fn stream_completed(&self, longest: Duration) {
         self.shared.suspects.record_served(self.fingerprint);
         self.shared.directory.record_stream(&self.query(), longest);
     }
 
-    /// Whether its stream is sensitive to pauses.
+    /// Whether the request is in the latency-sensitive class.
     pub fn is_sensitive(&self) -> bool {
         self.class == LatencyClass::Sensitive
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     fn is_idempotent(&self) -> bool {
         self.admitted.route.repeat == Repeat::Allowed
     }
 
-    /// Whether its stream may resume at another endpoint.
+    /// Whether the request's stream may resume at another endpoint.
     pub fn is_resumable(&self) -> bool {
         let events = self.admitted.route.events;
         events.is_some_and(|events| events.resumable)
     }
 
-    /// Its log line; present until taken.
+    /// The request's record. Panics if the record was already taken.
     fn record(&mut self) -> &mut RequestRecord {
-        self.record.as_mut().expect("a request ends once")
+        self.record
+            .as_mut()
+            .expect("request record was already taken")
     }
 
     /// Sends the request and responds to the caller.
     pub(crate) async fn run(mut self) -> Response<ResponseBody> {
-        if let Some(remaining) = self.quarantine_left().await {
+        if let Some(remaining) = self.quarantine_remaining().await {
             return self.refuse_with_delay(RefusalCause::Quarantined, Some(remaining));
         }
         loop {
@@ -235,23 +239,26 @@
                 DispatchResult::Response(response) => {
                     let endpoint = Arc::clone(response.in_flight.endpoint());
                     match response.read_body(self.deadline).await {
-                        Ok(complete) if self.may_succeed_elsewhere(complete.status) => {
-                            self.log_endpoint_left(
+                        Ok(complete) if self.may_resend_after_status(complete.status) => {
+                            self.log_endpoint_abandoned(
                                 &endpoint,
                                 format!("status-{}", complete.status.as_u16()),
                             );
                             match self.send_until_response().await {
-                                DispatchResult::Response(second)
-                                    if !second.status.is_server_error() =>
+                                DispatchResult::Response(retry)
+                                    if !retry.status.is_server_error() =>
                                 {
-                                    let other = Arc::clone(second.in_flight.endpoint());
-                                    match second.read_body(self.deadline).await {
-                                        Ok(second_complete) => {
-                                            return self.deliver(second_complete);
+                                    let retry_endpoint =
+                                        Arc::clone(retry.in_flight.endpoint());
+                                    match retry.read_body(self.deadline).await {
+                                        Ok(retry_complete) => {
+                                            return self.deliver(retry_complete);
+                                        }
+                                        Err(loss) => {
+                                            self.record_loss(&retry_endpoint, loss).await
                                         }
-                                        Err(loss) => self.record_loss(&other, loss).await,
                                     }
-                                    other.record_outcome(true);
+                                    retry_endpoint.record_outcome(true);
                                     return self.deliver(complete);
                                 }
                                 _ => return self.deliver(complete),
@@ -260,7 +267,7 @@
                         Ok(complete) => return self.deliver(complete),
                         Err(loss) => {
                             self.may_have_run = true;
-                            self.log_endpoint_left(&endpoint, loss);
+                            self.log_endpoint_abandoned(&endpoint, loss);
                             self.record_loss(&endpoint, loss).await;
                             if !self.is_idempotent() {
                                 return self.refuse(loss_cause(loss));
@@ -276,15 +283,16 @@
         self.admitted.route.events.is_some() && response.status.is_success()
     }
 
-    /// Whether another endpoint may succeed where this one failed.
-    fn may_succeed_elsewhere(&self, status: StatusCode) -> bool {
+    /// Whether a response with this status may be replaced by that of another endpoint: it
+    /// is a server error, and the request is idempotent and has sends left.
+    fn may_resend_after_status(&self, status: StatusCode) -> bool {
         status.is_server_error()
             && self.is_idempotent()
             && self.sends < self.admitted.route.tries
     }
 
-    /// Logs that an endpoint is not tried again.
-    pub fn log_endpoint_left(&mut self, endpoint: &Endpoint, reason: impl Display) {
+    /// Logs that the request is given up at this endpoint after its response had begun.
+    pub fn log_endpoint_abandoned(&mut self, endpoint: &Endpoint, reason: impl Display) {
         Event::new("endpoint-left")
             .field("request", &self.meta.id)
             .field("content", short_form(self.fingerprint))
@@ -295,17 +303,17 @@
             .info();
     }
 
-    /// Sends the request until an endpoint responds or none is left.
+    /// Sends the request until an endpoint responds or no further send is allowed.
     pub async fn send_until_response(&mut self) -> DispatchResult {
         let mut connect_failures = 0;
         loop {
             if Instant::now() >= self.deadline {
                 return DispatchResult::Refuse(self.deadline_cause());
             }
-            if self.sends > 0 && !self.allow_resend() {
+            if self.sends > 0 && !self.try_begin_resend() {
                 return DispatchResult::Refuse(self.exhausted_cause());
             }
-            self.shared.list_tracker.await_current().await;
+            self.shared.list_tracker.await_unexpired().await;
             let placement = self.shared.directory.place(&self.query());
             let Some(placement) = placement else {
                 return DispatchResult::Refuse(self.exhausted_cause());
@@ -330,9 +338,9 @@
                     self.sends += 1;
                     self.log_failed_send(&endpoint, &reason.to_string());
                 }
-                SendOutcome::NotAdmitted(denied) => {
-                    self.shared.stats.not_admitted(&self.service, denied);
-                    self.log_failed_send(&endpoint, &denied.to_string());
+                SendOutcome::NotAdmitted(error) => {
+                    self.shared.stats.not_admitted(&self.service, error);
+                    self.log_failed_send(&endpoint, &error.to_string());
                 }
                 SendOutcome::Unsent => {
                     connect_failures += 1;
@@ -376,14 +384,16 @@
             exchange::send(endpoint, dialect, &self.outbound, &forward, context);
         let abandon = async {
             tokio::select! {
-                () = self.wait_better_elsewhere(endpoint, started) => Loss::Timeout,
-                // A request still queued at an endpoint has not crashed it.
+                () = self.wait_until_move(endpoint, started) => Loss::Timeout,
+                // Requests with this content crash endpoints. This one may still be
+                // queued: cancelling it now can prevent another crash.
                 () = self.shared.suspects.wait_quarantined(self.fingerprint) => Loss::Withdrawn,
             }
         };
         let outcome = match race_response(exchange, abandon).await {
             Winner::Response(outcome) => outcome,
             Winner::Abandon(loss) => {
+                // `wait_until_move` has debited the resend.
                 self.prepaid = loss == Loss::Timeout;
                 SendOutcome::Lost(loss)
             }
@@ -395,10 +405,10 @@
     }
 
     /// Completes when a request that was sent at `started` should move to another
-    /// endpoint. It does so only if the resend is allowed and, at this point, debited
-    /// from the budget: otherwise a response that may still arrive, and the work done for
-    /// it, would be given up for nothing.
-    async fn wait_better_elsewhere(&self, endpoint: &Endpoint, started: Instant) {
+    /// endpoint. Before that, it debits the resend from the budget: if no resend were
+    /// possible, abandoning the response, which may still arrive, would waste the work
+    /// done for it.
+    async fn wait_until_move(&self, endpoint: &Endpoint, started: Instant) {
         let last = self.sends + 1 >= self.admitted.route.tries;
         if !self.is_idempotent() || last || self.suspected {
             return std::future::pending().await;
@@ -431,12 +441,13 @@
     }
 
     /// How long an idempotent request waits for the first byte before it moves to another
-    /// endpoint. `None` for a long prompt, which stays: it may be next in the queue, and
-    /// another endpoint would have to repeat the prefill.
+    /// endpoint. `None` for a stream that is not latency-sensitive: it is not moved, since
+    /// it may be next in the queue, and another endpoint would have to repeat the prefill.
     fn move_delay(&self) -> Option<Duration> {
         let route = &self.admitted.route;
-        let stays = route.events.is_some() && self.class == LatencyClass::Tolerant;
-        (!stays).then(|| route.objective.mul_f64(MOVE_AFTER_OBJECTIVES))
+        let keeps_endpoint =
+            route.events.is_some() && self.class == LatencyClass::Tolerant;
+        (!keeps_endpoint).then(|| route.objective.mul_f64(MOVE_AFTER_OBJECTIVES))
     }
 
     /// Whether a broken stream may resume and an endpoint is available for it. If so, the
@@ -447,8 +458,9 @@
         self.prepaid
     }
 
-    /// Whether another send is allowed by the route and by the service's budget.
-    fn allow_resend(&mut self) -> bool {
+    /// Debits a resend from the budget, unless it is already debited. Returns whether
+    /// another send is allowed by the route, the crash limit and the budget.
+    fn try_begin_resend(&mut self) -> bool {
         let prepaid = std::mem::take(&mut self.prepaid);
         let allowed = self.sends < self.admitted.route.tries;
         let allowed = allowed && (!self.may_have_run || self.below_crash_limit());
@@ -459,7 +471,8 @@
         allowed
     }
 
-    /// Records a send without a response, in the log and for the other entries.
+    /// Logs a send that did not lead to a usable response, and triggers an early report to
+    /// control.
     fn log_failed_send(&self, endpoint: &Endpoint, result: &str) {
         self.shared.list_tracker.endpoint_lost.notify_one();
         Event::new("send-failed")
@@ -493,7 +506,7 @@
         let events = match first {
             Err(_) => return StreamStart::Responded(self.refuse(RefusalCause::Timeout)),
             Ok(StreamItem::Broken(loss)) => {
-                self.log_endpoint_left(source.endpoint(), loss);
+                self.log_endpoint_abandoned(source.endpoint(), loss);
                 let endpoint = Arc::clone(source.endpoint());
                 self.record_loss(&endpoint, loss).await;
                 if !self.is_idempotent() {
@@ -517,13 +530,16 @@
         self.start_counter.count();
         let (status, headers) = response_head(&source);
         self.record().answered(status.as_u16());
-        let (parts, queue) = mpsc::channel(CHANNEL_CAPACITY);
-        let record = self.record.take().expect("a request ends once");
+        let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
+        let record = self
+            .record
+            .take()
+            .expect("request record was already taken");
         let relay = Relay {
             last: None,
             dispatch: self,
             source: Some(source),
-            parts,
+            sender,
             record,
             pauses: Pauses::start(),
         };
@@ -531,7 +547,7 @@
         StreamStart::Responded(build_response(
             status,
             headers,
-            ResponseBody::stream(queue),
+            ResponseBody::stream(receiver),
         ))
     }
 }
@@ -548,7 +564,7 @@
     }
 }
 
-/// Result of starting a stream.
+/// Result of waiting for the first event of a stream.
 enum StreamStart {
     /// A response for the caller.
     Responded(Response<ResponseBody>),
--- a/crates/direct/src/dispatch/crash.rs
+++ b/crates/direct/src/dispatch/crash.rs
@@ -1,7 +1,8 @@
-//! Detecting whether an endpoint ended when a connection to it broke.
+//! Detecting whether an endpoint's process exited when a connection to it broke.
 //!
 //! A connection also breaks if it alone is reset, if the network loses the response, or
-//! if the endpoint closes it early. An endpoint that has ended refuses new connections.
+//! if the endpoint closes it early. An endpoint whose process has exited refuses new
+//! connections.
 
 use super::Dispatch;
 use crate::directory::Endpoint;
@@ -18,19 +19,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Longest wait for the check whether an endpoint has ended before the request is resent:
+/// Longest wait for the check whether an endpoint has exited before the request is resent:
 /// some round trips plus the time in which a process exits.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl Dispatch {
-    /// Number of endpoints that ended under requests with the same content.
+    /// Number of endpoints that crashed while running requests with the same content.
     pub(super) fn crash_count(&self) -> usize {
         self.shared.suspects.status(self.fingerprint).crashes
     }
 
-    /// Remaining quarantine, if any. A suspected request first waits for the current
-    /// state of control.
-    pub(super) async fn quarantine_left(&self) -> Option<Duration> {
+    /// Remaining time of the content's quarantine, if any. For a suspected request, the
+    /// state is first refreshed from control.
+    pub(super) async fn quarantine_remaining(&self) -> Option<Duration> {
         let suspects = &self.shared.suspects;
         let remaining = suspects.status(self.fingerprint).remaining;
         if remaining.is_some() || !self.suspected {
@@ -40,15 +41,15 @@
         suspects.status(self.fingerprint).remaining
     }
 
-    /// Whether it may be resent after it may have run. After two crashes, another send
+    /// Whether a request that may have run may be resent. After two crashes, another send
     /// would most likely crash one more endpoint and serve nobody. The same holds after
     /// two broken connections, which may not be known as crashes yet.
     pub(super) fn below_crash_limit(&self) -> bool {
         self.broken_connections < SUSPECT_CRASHES && self.crash_count() < SUSPECT_CRASHES
     }
 
-    /// Checks in the background whether the endpoint that broke its connection has ended,
-    /// and records that.
+    /// Checks in the background whether the endpoint of a broken connection has exited,
+    /// and if so records the crash.
     fn check_endpoint(&self, endpoint: &Arc<Endpoint>) -> JoinHandle<()> {
         let broken = BrokenSend {
             shared: Arc::clone(&self.shared),
@@ -77,7 +78,7 @@
     pub async fn record_loss(&mut self, endpoint: &Arc<Endpoint>, loss: Loss) {
         match loss {
             Loss::ConnectionBroken => {}
-            // The endpoint sent some response, so it had started the request.
+            // A response was received, so the request is assumed to have started.
             Loss::Mismatched | Loss::Invalid => return self.start_counter.count(),
             Loss::Timeout | Loss::Withdrawn => return,
         }
@@ -100,12 +101,12 @@
 }
 
 impl BrokenSend {
-    /// Checks whether `endpoint` has ended since `broke`, when the connection broke, and
-    /// if so records the loss.
-    async fn check(self, endpoint: Arc<Endpoint>, broke: Instant) {
-        if !endpoint.has_ended(broke).await {
-            // An endpoint that is still up has run the request; only the response was
-            // lost.
+    /// Checks whether `endpoint` has exited since the connection broke at `broken_at`, and
+    /// if so records the crash.
+    async fn check(self, endpoint: Arc<Endpoint>, broken_at: Instant) {
+        if !endpoint.has_exited(broken_at).await {
+            // The endpoint did not crash. The request is assumed to have run, and is
+            // counted.
             return self.start_counter.count();
         }
         let Self {
--- a/crates/direct/src/dispatch/refusal.rs
+++ b/crates/direct/src/dispatch/refusal.rs
@@ -1,4 +1,4 @@
-//! Responses to requests that get none from an endpoint.
+//! Responses of the entry itself to requests that received none from an endpoint.
 
 use super::Dispatch;
 use crate::request::retry_delay;
@@ -7,14 +7,19 @@
 use http::Response;
 use rand::RngExt;
 
-/// Share of a retry delay over which returning callers are spread.
+/// Largest jitter added to a retry delay, as a fraction of the delay.
 const JITTER: f64 = 0.25;
 
 impl Dispatch {
     /// Cause of a refusal when no endpoint is left to try.
     pub(super) fn exhausted_cause(&self) -> RefusalCause {
-        let admits_in = self.shared.directory.admits_in(&self.service);
-        match (self.may_have_run, self.tried.is_empty(), admits_in) {
+        let time_until_admission =
+            self.shared.directory.time_until_admission(&self.service);
+        match (
+            self.may_have_run,
+            self.tried.is_empty(),
+            time_until_admission,
+        ) {
             (true, _, _) => RefusalCause::Lost,
             (false, true, None) => RefusalCause::NoEndpoint,
             (false, _, Some(wait)) if !wait.is_zero() => RefusalCause::NotAdmitted,
@@ -37,11 +42,12 @@
         self.refuse_with_delay(cause, retry_after)
     }
 
-    /// Retry delay of the caller: until an endpoint admits requests again, plus jitter so
-    /// that callers do not return together.
+    /// Retry delay for the caller: until an endpoint admits requests again, plus jitter so
+    /// that callers do not retry at the same moment.
     pub(super) fn retry_after(&self) -> Duration {
-        let admits_in = self.shared.directory.admits_in(&self.service);
-        let wait = admits_in.unwrap_or_default();
+        let time_until_admission =
+            self.shared.directory.time_until_admission(&self.service);
+        let wait = time_until_admission.unwrap_or_default();
         let jitter = rand::rng().random_range(0.0..JITTER);
         wait + wait.mul_f64(jitter) + retry_delay()
     }
--- a/crates/direct/src/list_tracker.rs
+++ b/crates/direct/src/list_tracker.rs
@@ -16,9 +16,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Longest wait of requests for a newer list after the one in use was found to be too
-/// old. An entry that was suspended for seconds has read a new one by then. If the source
-/// is unavailable, requests wait no longer, and the previous list is used.
+/// After the first request finds the list in use expired, requests wait at most this long
+/// for a newer one. An entry that was suspended for seconds has usually read one by then.
+/// After that, for example if the source is unavailable, the old list is used.
 const NEWER_LIST_WAIT: Duration = Duration::from_millis(100);
 
 /// The list in use, and the reads that the entry has received.
@@ -29,19 +29,20 @@
     start: Duration,
     state: Mutex<State>,
     /// When the read in use was requested, on the clock of reads, in microseconds; 0
-    /// without one. Requests read it without waiting for an update of the list.
+    /// without a read. Atomic, so that requests need not wait for an update of the list.
     newest_read: AtomicU64,
     /// How long leaving endpoints may still be sent requests.
     leaving_within: Duration,
-    /// When a request found the list in use too old; reset by a newer one.
-    overdue_since: Mutex<Option<tokio::time::Instant>>,
+    /// When a request first found the list in use expired; reset by a newer list.
+    expired_since: Mutex<Option<tokio::time::Instant>>,
     /// Notified when this entry has read a list.
     pub list_read: Notify,
-    /// Notified when a send to an endpoint failed, or the endpoint has ended.
+    /// Notified when a send to an endpoint failed or the endpoint crashed; wakes the
+    /// report to control.
     pub endpoint_lost: Notify,
     /// Notified when this entry is appointed to read on behalf of the others.
     pub appointed: Notify,
-    /// Notified when a list is first in use, and after each newer read of it.
+    /// Notified when the list in use may have become newer; waiters check again.
     updated: Notify,
 }
 
@@ -90,7 +91,7 @@
             state: Mutex::new(state),
             newest_read: AtomicU64::new(0),
             leaving_within,
-            overdue_since: Mutex::default(),
+            expired_since: Mutex::default(),
             appointed: Notify::new(),
             updated: Notify::new(),
             list_read: Notify::new(),
@@ -195,29 +196,29 @@
         }
     }
 
-    /// Observations at endpoints since the last call: events by index in the list in use,
-    /// and a bitmap of the indices with recent activity.
-    pub fn observations(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
+    /// Takes the observations at endpoints since the last call: events by index in the
+    /// list in use, and a bitmap of the indices with recent activity.
+    pub fn take_observations(&self) -> (Vec<EndpointObservation>, Vec<u8>) {
         let state = self.state();
         let mut observations = Vec::new();
         let mut alive = vec![0; state.endpoints.len().div_ceil(8)];
         for (index, endpoint) in state.endpoints.iter().enumerate() {
-            let Some(sighting) = endpoint
+            let Some(report) = endpoint
                 .as_ref()
-                .and_then(|endpoint| endpoint.take_sighting())
+                .and_then(|endpoint| endpoint.take_health_report())
             else {
                 continue;
             };
-            if sighting.alive {
+            if report.alive {
                 alive[index / 8] |= 1 << (index % 8);
             }
-            if sighting.replaced || sighting.unreached || sighting.answered > 0 {
+            if report.replaced || report.unreached || report.answered > 0 {
                 observations.push(EndpointObservation {
                     list_index: index as u32,
-                    replaced: sighting.replaced,
-                    unreached: sighting.unreached,
-                    answered: sighting.answered,
-                    failed: sighting.failed,
+                    replaced: report.replaced,
+                    unreached: report.unreached,
+                    answered: report.answered,
+                    failed: report.failed,
                 });
             }
         }
@@ -238,7 +239,8 @@
         let mark = history.newest().mark;
         let read = own_read.as_ref().map(|own| {
             let age = uptime().saturating_sub(own.requested_at);
-            // An own read that is not in use has been superseded by a later one.
+            // The content of an own read that is no longer in use is not retained. With
+            // `mark` as the known version, `read_for` returns no content.
             let known = if own.mark == mark {
                 control_mark.unwrap_or_default()
             } else {
@@ -266,20 +268,19 @@
         (newest > 0).then_some(age)
     }
 
-    /// Waits briefly if the list in use is so old that an endpoint which it shows as
-    /// ready may have been leaving for too long. A newer read is in progress then; the
-    /// list only gets that old if the process was suspended.
-    pub async fn await_current(&self) {
-        if !self.is_overdue() {
+    /// Waits briefly for a newer list if the one in use has expired. The list expires only
+    /// if the process was suspended, and a newer read is already in progress then.
+    pub async fn await_unexpired(&self) {
+        if !self.is_expired() {
             return;
         }
         let now = tokio::time::Instant::now();
-        let since = *self.overdue_since().get_or_insert(now);
+        let since = *self.expired_since().get_or_insert(now);
         let newer_list = async {
-            while self.is_overdue() {
+            while self.is_expired() {
                 let mut updated = pin!(self.updated.notified());
                 updated.as_mut().enable();
-                if self.is_overdue() {
+                if self.is_expired() {
                     updated.await;
                 }
             }
@@ -287,20 +288,21 @@
         let _ = tokio::time::timeout_at(since + NEWER_LIST_WAIT, newer_list).await;
     }
 
-    /// Whether a request placed now might reach an endpoint that has been leaving for too
-    /// long.
-    fn is_overdue(&self) -> bool {
+    /// Whether the list is so old that a request placed now might reach an endpoint which
+    /// the list shows as ready, but which has been leaving for longer than
+    /// `leaving_within`.
+    fn is_expired(&self) -> bool {
         let age = self.age();
         age.is_some_and(|age| age + CONNECT_TIMEOUT > self.leaving_within)
     }
 
-    fn overdue_since(&self) -> MutexGuard<'_, Option<tokio::time::Instant>> {
-        self.overdue_since
+    fn expired_since(&self) -> MutexGuard<'_, Option<tokio::time::Instant>> {
+        self.expired_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether any read of the list is known.
+    /// Whether this entry has received any read, its own or another entry's.
     pub fn has_read(&self) -> bool {
         self.state().reads.has_read()
     }
@@ -325,8 +327,8 @@
         let newest = state.reads.newest().unwrap_or_default();
         let micros = newest.as_micros() as u64;
         self.newest_read.store(micros, Ordering::Relaxed);
-        if !self.is_overdue() {
-            *self.overdue_since() = None;
+        if !self.is_expired() {
+            *self.expired_since() = None;
         }
         self.updated.notify_waiters();
     }
@@ -340,7 +342,7 @@
 fn log_list_change(
     state: &State,
     snapshot: &ListSnapshot,
-    by: &str,
+    origin: &str,
     age: Duration,
     took: Duration,
 ) {
@@ -349,7 +351,7 @@
         Event::new("list-taken")
             .field("mark", format!("{:016x}", snapshot.mark))
             .field("before", format!("{before:016x}"))
-            .field("by", by)
+            .field("by", origin)
             .field("endpoints", snapshot.endpoints.len())
             .field("age_ms", age.as_millis())
             .field("took_ms", took.as_millis())
@@ -358,7 +360,7 @@
 }
 
 impl State {
-    /// Makes a list the one in use.
+    /// Replaces the list in use.
     fn activate(&mut self, directory: &Directory, snapshot: ListSnapshot) {
         directory.update(Vec::clone(&snapshot.endpoints));
         let records = snapshot.endpoints.iter();
@@ -368,12 +370,12 @@
         self.needs_full = false;
     }
 
-    /// Applies control's verdicts, by index; endpoints without a verdict have none.
+    /// Sets the verdict of each listed endpoint, and clears it where control sent none.
     fn apply_verdicts(&self, verdicts: &[EndpointVerdict]) {
         let mut verdict_by_index = vec![None; self.endpoints.len()];
         for verdict in verdicts {
-            if let Some(index) = verdict_by_index.get_mut(verdict.list_index as usize) {
-                *index = Some(Verdict::from(verdict.verdict));
+            if let Some(slot) = verdict_by_index.get_mut(verdict.list_index as usize) {
+                *slot = Some(Verdict::from(verdict.verdict));
             }
         }
         for (endpoint, verdict) in self.endpoints.iter().zip(verdict_by_index) {
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -62,7 +62,7 @@
         self.response.in_flight.endpoint()
     }
 
-    /// Waits for the next piece. Cancel safe.
+    /// Waits for the next complete events, or for the end of the stream. Cancel safe.
     pub async fn next(&mut self) -> StreamItem {
         loop {
             let Some(frame) = self.response.body.frame().await else {
@@ -119,7 +119,7 @@
     /// Last event sent to the caller.
     pub last: Option<EventId>,
     /// Sender to the caller's connection.
-    pub parts: mpsc::Sender<Part>,
+    pub sender: mpsc::Sender<Part>,
     /// Log line of the request.
     pub record: RequestRecord,
     /// Pauses between the stream's events.
@@ -184,7 +184,7 @@
         if end == RelayEnd::Complete {
             self.dispatch.stream_completed(self.pauses.longest());
             // Fails only if the caller has disconnected.
-            let _ = self.parts.send(Part::End).await;
+            let _ = self.sender.send(Part::End).await;
             if let Some(source) = self.source {
                 source.release();
             }
@@ -200,7 +200,7 @@
             let polled = race_response(source.next(), sleep(CHECK_INTERVAL));
             let next = tokio::select! {
                 biased;
-                () = self.parts.closed() => return RelayEnd::CallerGone,
+                () = self.sender.closed() => return RelayEnd::CallerGone,
                 next = polled => next,
                 () = sleep_until(deadline) => return RelayEnd::TimedOut,
             };
@@ -235,7 +235,7 @@
         {
             source.endpoint().record_event_gap(pause);
         }
-        let sending = self.parts.send(Part::Events(events.bytes));
+        let sending = self.sender.send(Part::Events(events.bytes));
         tokio::select! {
             sent = sending => sent.is_err().then_some(RelayEnd::CallerGone),
             () = sleep_until(self.dispatch.deadline) => Some(RelayEnd::TimedOut),
@@ -261,14 +261,15 @@
             source.endpoint().mark_unreachable();
         }
         self.dispatch.resume_after = self.last.or(self.dispatch.resume_after);
-        self.dispatch.log_endpoint_left(source.endpoint(), loss);
+        self.dispatch
+            .log_endpoint_abandoned(source.endpoint(), loss);
         // The previous connection is closed before the request is resent, so that no two
         // endpoints work on it at the same time.
         drop(source);
-        let parts = self.parts.clone();
+        let sender = self.sender.clone();
         let next = tokio::select! {
             next = self.dispatch.send_until_response() => next,
-            () = parts.closed() => return Some(RelayEnd::CallerGone),
+            () = sender.closed() => return Some(RelayEnd::CallerGone),
         };
         match next {
             DispatchResult::Response(response) if response.status.is_success() => {
--- a/crates/direct/tests/all/quarantine.rs
+++ b/crates/direct/tests/all/quarantine.rs
@@ -568,10 +568,10 @@
     assert_eq!(endpoint.seen().len(), 1);
 }
 
-/// A process that ends closes its sockets one after the other. It may accept the
+/// A process that exits closes its sockets one after the other. It may accept the
 /// connection by which the entry checks it, and then close that as well.
 #[tokio::test]
-async fn ending_endpoint_that_accepts_connection_has_ended() {
+async fn exiting_endpoint_that_accepts_connection_has_exited() {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let entry = Entry::without_routes(&[]).await;
     entry.shared.activate_routes(RouteTable::new(route_set()));
--- a/crates/direct/tests/all/staleness.rs
+++ b/crates/direct/tests/all/staleness.rs
@@ -56,7 +56,7 @@
     let chooser = tokio::spawn({
         let (tracker, directory) = (Arc::clone(&tracker), Arc::clone(&directory));
         async move {
-            tracker.await_current().await;
+            tracker.await_unexpired().await;
             directory.all()[0].leaving()
         }
     });
@@ -89,10 +89,10 @@
         vec![listed(unused_address(), false)],
     );
     let started = tokio::time::Instant::now();
-    tracker.await_current().await;
+    tracker.await_unexpired().await;
     let waited = started.elapsed();
     assert!(waited >= Duration::from_millis(100));
-    tracker.await_current().await;
+    tracker.await_unexpired().await;
     assert_eq!(
         started.elapsed(),
         waited,
