--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -41,7 +41,7 @@
     Hold(AcquireDuty),
     /// Releases the lease of a duty.
     GiveUp(ReleaseDuty),
-    /// Commits the usage of closed windows.
+    /// Commits the usage of complete windows.
     FixUsage(CommitUsage),
 }
 
@@ -75,7 +75,8 @@
     Holds(AcquireOutcome),
     /// To [`Action::GiveUp`].
     GivenUp,
-    /// To [`Action::FixUsage`]: the backlog, or how long another machine holds the duty.
+    /// To [`Action::FixUsage`]: the pending windows, or for how long the lease can't be
+    /// granted.
     Usage(Result<PendingUsage, Duration>),
 }
 
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -46,7 +46,7 @@
 /// Time-out of a call to one peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for another instance to become leader.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
+const LEADER_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an instance can't run.
 #[derive(Debug, Display, Error)]
@@ -401,8 +401,8 @@
 ) -> Result<Opened, Report<ControlError>> {
     let error = ControlError::Store;
     let files = DiskFiles::open(&settings.data).change_context(error)?;
-    let vacant = Store::is_uninitialized(&files).change_context(ControlError::Store)?;
-    let opened = match (vacant, settings.start) {
+    let is_new = Store::is_uninitialized(&files).change_context(ControlError::Store)?;
+    let opened = match (is_new, settings.start) {
         (true, Start::Existing) => Err(StoreError::Uninitialized),
         (false, Start::Bootstrap) => Err(StoreError::AlreadyInitialized),
         (false, _) => Store::open(Box::new(files)),
@@ -594,7 +594,7 @@
     if !status.borrow().leads {
         return;
     }
-    replica.input(Input::HandOver).await;
+    replica.input(Input::TransferLeadership).await;
     let other = status.wait_for(|status| !status.leads);
-    let _ = timeout(HAND_OVER_TIMEOUT, other).await;
+    let _ = timeout(LEADER_TRANSFER_TIMEOUT, other).await;
 }
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -1,12 +1,12 @@
 //! An instance without a disk: it stores nothing and forwards requests.
 //!
 //! A deployment may run the control program on more instances than have a disk. Such an
-//! instance must not vote, since its state would be lost with its process. It may however
-//! be the only address that others have, because seeds can name any instance that runs
-//! the program. Instances that keep the log therefore announce themselves to every seed
-//! that is not a member, and this instance passes their addresses on: operators are
-//! redirected, entries receive the addresses of the control instances, and an instance
-//! that lost its disk finds its cluster again.
+//! instance must not vote, since its state would be lost with its process. Its address
+//! may however be the only one that other processes have, because seeds can name any
+//! instance that runs the program. Instances that store the log therefore announce
+//! themselves to every seed that is not a member, and this instance passes their
+//! addresses on: operators are redirected, entries receive the addresses of the control
+//! instances, and an instance that lost its disk finds its cluster again.
 
 use crate::internal::{self, CLUSTER_PATH, JOIN_PATH, MEMBER_PATH};
 use crate::settings::Settings;
@@ -41,14 +41,14 @@
 /// Shortest time between two responses to an entry that has no routes.
 const MIN_RESPONSE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Announcement of an instance that keeps the log.
+/// Announcement of an instance that stores the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Id of its cluster.
+    /// Id of the instance's cluster.
     pub cluster: u128,
-    /// Its internal address.
+    /// Internal address of the instance.
     pub internal: SocketAddr,
-    /// Address of its operator API.
+    /// Address of the instance's operator API.
     pub operators: SocketAddr,
 }
 
@@ -69,13 +69,13 @@
 
     fn record(&self, announcement: Announcement) {
         let mut seen = self.lock();
-        let fresh = !seen
+        let is_new = !seen
             .iter()
             .any(|(known, _)| known.internal == announcement.internal);
         seen.retain(|(known, _)| known.internal != announcement.internal);
         seen.push((announcement, Instant::now()));
         drop(seen);
-        if fresh {
+        if is_new {
             self.updated.send_replace(());
             Event::new("control-announced")
                 .field("internal", announcement.internal)
@@ -90,12 +90,12 @@
         seen.iter().map(|(announcement, _)| *announcement).collect()
     }
 
-    /// Waits up to `most` until at least one instance is known.
-    async fn wait_for_any(&self, most: Duration) {
+    /// Waits up to `max_wait` until at least one instance is known.
+    async fn wait_for_any(&self, max_wait: Duration) {
         let mut updated = self.updated.subscribe();
         if self.all().is_empty() {
             // After a time-out the caller finds the list still empty.
-            let _ = timeout(most, updated.changed()).await;
+            let _ = timeout(max_wait, updated.changed()).await;
         }
     }
 
@@ -106,7 +106,7 @@
         all.get(at % all.len().max(1)).copied()
     }
 
-    /// Forwards a message to each instance in turn until one answers.
+    /// Forwards a message to one instance after the other until one responds.
     async fn forward<M, A>(&self, path: &str, message: &M) -> ControlReply<A>
     where
         M: Serialize + Sync,
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -1,8 +1,8 @@
 //! Rate limits that endpoints declare, as reported by entries, and send permits under
 //! them.
 //!
-//! Nothing here is durable: entries repeat what they know whenever they need a permit, so
-//! another instance has the same information as soon as it is asked.
+//! Nothing here is durable: entries report the limits that they observed whenever they
+//! need a permit, so another instance has the same information with their first report.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -6,10 +6,10 @@
 //! ([`dogwoodhill_daemon::clock`]).
 //!
 //! Nothing here is durable and nothing blocks on it: an entry that receives no recent
-//! read reads the list itself. Two entries, the readers, read it for all: the first two by
-//! name among those with a read within 3 s and, if there are fewer, the first others by
-//! name. A reader that stops reporting is replaced after 2 s; one that still reports but
-//! no longer reads, after 3 s and once another entry has read the list itself.
+//! read reads the list itself. Two entries, the readers, read it for all: the first two
+//! by name among those with a read within 3 s and, if there are fewer, the first others
+//! by name. A reader that stops reporting is replaced after 2 s; one that still reports
+//! but no longer reads, after 3 s and once another entry has read the list itself.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
@@ -24,8 +24,8 @@
 const READERS: usize = 2;
 /// How long an entry is tracked after its last report; four reporting intervals.
 const ENTRY_TTL: Duration = Duration::from_secs(2);
-/// How long an entry counts as able to read the list after a read; three read intervals of
-/// a reader.
+/// How long an entry counts as able to read the list after a read; three read intervals
+/// of a reader.
 const READER_TTL: Duration = Duration::from_secs(3);
 /// How long computed verdicts are reused; a tenth of an entry's reporting interval.
 const VERDICT_CACHE_TTL: Duration = Duration::from_millis(50);
@@ -33,9 +33,10 @@
 /// entries, so that whatever still applies is reported again.
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
 /// Rate limit for full lists, in bytes per second. A control instance has a link of 100
-/// Mbit/s. If hundreds of entries that start together were all sent the list at once, they
-/// would share the link, and none would receive its list before its time-out and retry. At
-/// this rate, an entry receives its list within some 100 ms from the start of its transfer.
+/// Mbit/s. If hundreds of entries that start together were all sent the list at once,
+/// they would share the link, and none would receive its list before its time-out and
+/// retry. At this rate, an entry receives its list within some 100 ms from the start of
+/// its transfer.
 const FULL_LIST_BYTES_PER_S: f64 = 10_000_000.0;
 /// Bytes of full lists that may be sent at once: what the link carries within the polling
 /// interval of entries without a list.
@@ -158,8 +159,8 @@
         })
     }
 
-    /// Records the report of `entry`, with its own newest read, if any; `known` is the mark
-    /// of the list that the entry uses.
+    /// Records the report of `entry`, with its own newest read, if any; `known` is the
+    /// mark of the list that the entry uses.
     pub fn report(
         &self,
         now: Duration,
@@ -212,8 +213,8 @@
             .record(now, entry, observed.chain(alive));
     }
 
-    /// Returns those of `runs` that the entry has recently received data from. Empty if
-    /// its report refers to another list or was in transit for too long.
+    /// Returns those of `runs` that the reporting entry has recently received data from.
+    /// Empty if the report refers to another list or was in transit for too long.
     pub fn responding_runs(
         &self,
         now: Duration,
@@ -296,8 +297,8 @@
 }
 
 impl State {
-    /// The newest list for an entry that uses the list with the mark `known`. `None` if no
-    /// list is known or the rate limit for full lists is exhausted.
+    /// The newest list for an entry that uses the list with the mark `known`. `None` if
+    /// no list is known or the rate limit for full lists is exhausted.
     fn newest(&mut self, now: Duration, known: Mark) -> Option<ListRead> {
         let (read, took) = self.read?;
         let update = self.history.read_for(known, now.saturating_sub(read), took);
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -6,7 +6,7 @@
 //! saturated link, far longer than the election time-out. Messages that do not fit into a
 //! queue are dropped: the consensus protocol tolerates lost messages, and a slow peer
 //! must not consume memory here. The outcome of each large message is reported to the
-//! replica, which does not resend it before.
+//! replica, which does not resend the message before that.
 
 use dogwoodhill_consensus::NodeId;
 use dogwoodhill_consensus::message::{Message, max_transfer_time};
--- a/crates/control/src/quarantine.rs
+++ b/crates/control/src/quarantine.rs
@@ -1,9 +1,10 @@
 //! Detection of requests that crash the endpoints that run them, over all entries.
 //!
 //! Entries report to one instance which requests were lost together with which endpoints.
-//! The instance returns its findings to all entries that ask and commits them to the log,
-//! so that they survive the loss of any instance. The reported losses are not durable:
-//! entries retain their own and repeat them to the next instance.
+//! The instance returns its findings with the replies to all entries and commits the
+//! findings to the log, so that these survive the loss of any instance. The reported
+//! losses are not durable: entries retain their own losses and report them again to the
+//! next instance.
 
 use crate::command::Action;
 use crate::service::Service;
@@ -20,13 +21,13 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Losses accepted per message: more than an entry has in flight at the endpoints that
-/// end within one reporting interval.
+/// Losses accepted per message: more than the requests that an entry has in flight at the
+/// endpoints that crash within one reporting interval.
 const MAX_LOSSES: usize = 1_024;
-/// Tries to commit a finding, [`LOG_RETRY_DELAY`] apart; each takes up to 2 s while there
-/// is no majority. Entries block the request meanwhile.
-const LOG_TRIES: usize = 20;
-/// Delay between two tries.
+/// Attempts to commit a finding, [`LOG_RETRY_DELAY`] apart; each takes up to 2 s while
+/// there is no majority. Entries refuse the request meanwhile.
+const MAX_LOG_ATTEMPTS: usize = 20;
+/// Delay between two attempts.
 const LOG_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Losses and findings, and the requests quarantined in the log.
@@ -43,7 +44,7 @@
 }
 
 impl QuarantineTracker {
-    /// Also takes account of the quarantined requests in the log.
+    /// A tracker that also applies the requests quarantined in the log.
     pub fn with_log(mut log: watch::Receiver<Vec<(Quarantined, Duration)>>) -> Self {
         let tracker = Self::default();
         // The initial value has to be processed too.
@@ -167,7 +168,7 @@
         workspace: finding.workspace,
         times: finding.times,
     });
-    for _ in 0..LOG_TRIES {
+    for _ in 0..MAX_LOG_ATTEMPTS {
         if service.submit(&action).await.is_ok() {
             return;
         }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -249,9 +249,9 @@
             Input::Confirm(reply) => self.confirm(reply),
             Input::Add { member, reply } => {
                 let added = self.node.add_learner(now, member);
-                let _ = reply.send(added.map_err(|refused| self.to_unable(refused)));
+                let _ = reply.send(added.map_err(|refused| self.to_unavailable(refused)));
             }
-            Input::HandOver => self.node.transfer_leadership(now),
+            Input::TransferLeadership => self.node.transfer_leadership(now),
             Input::Stop => {}
         }
     }
@@ -278,7 +278,7 @@
                 self.proposals.push_back(Proposal { index, term, reply });
             }
             Err(refused) => {
-                let _ = reply.send(Err(self.to_unable(refused)));
+                let _ = reply.send(Err(self.to_unavailable(refused)));
             }
         }
     }
@@ -289,7 +289,7 @@
         match self.node.read(id) {
             Ok(()) => self.reads.push(PendingRead { id, reply }),
             Err(refused) => {
-                let _ = reply.send(Err(self.to_unable(refused)));
+                let _ = reply.send(Err(self.to_unavailable(refused)));
             }
         }
     }
@@ -308,7 +308,7 @@
         leadership.start_time + leadership.started.elapsed()
     }
 
-    fn to_unable(&self, refused: RequestError) -> ControlUnavailable {
+    fn to_unavailable(&self, refused: RequestError) -> ControlUnavailable {
         match refused {
             RequestError::NotLeader | RequestError::TransferInProgress => {
                 ControlUnavailable::NotLeader {
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -35,8 +35,8 @@
         /// Receives the outcome.
         reply: oneshot::Sender<ControlReply<()>>,
     },
-    /// Hands leadership over, since this instance is about to stop.
-    HandOver,
+    /// Transfers leadership to another instance, since this one is about to stop.
+    TransferLeadership,
     /// Stops the event loop once all inputs received so far are on disk.
     Stop,
 }
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -8,8 +8,8 @@
 //!
 //! Before each call, the holder checks its lease against a clock that keeps running while
 //! the machine is suspended. A call that was already in flight carries the old fencing
-//! token. Where the platform does not check tokens, another instance can acquire the lease
-//! only after such a call has ended.
+//! token. Where the platform does not check tokens, another instance can acquire the
+//! lease only after such a call has ended.
 
 mod metrics;
 mod sink;
@@ -66,10 +66,10 @@
 }
 
 impl UsageSettings {
-    /// When windows are closed. A window with missing reports is closed after two fifths of
-    /// `deadline`; the rest allows for the commit and for a lost call. If fewer than half
-    /// of the entries report to this instance, it waits four fifths, so that an instance
-    /// to which at least half report closes the window first.
+    /// When windows are closed. A window with missing reports is closed after two fifths
+    /// of `deadline`; the rest allows for the commit and for a lost call. If fewer than
+    /// half of the entries report to this instance, it waits four fifths, so that an
+    /// instance to which at least half report closes the window first.
     pub fn close_rules(&self) -> CloseRules {
         CloseRules {
             windows: self.windows,
--- a/crates/control/src/route_sets.rs
+++ b/crates/control/src/route_sets.rs
@@ -7,8 +7,8 @@
 use dogwoodhill_wire::routes::StoredRoutes;
 use std::sync::Arc;
 
-/// Changes within some 10 ms of each other come in series of a few dozen, and a transfer
-/// outlasts a few of them.
+/// Most retained sets. Changes come in series of a few dozen, some 10 ms apart, and a
+/// transfer outlasts a few changes.
 const MAX_SETS: usize = 8;
 /// Bound on the total size of the replaced sets; an instance has 88 MB of memory.
 const MAX_REPLACED_BYTES: usize = 4 * 1024 * 1024;
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -17,7 +17,7 @@
 pub const CONFIRM_PATH: &str = "/internal/confirm";
 /// Longest time for which a request is retried.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between tries while there is no leader.
+/// Delay between attempts while there is no leader.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// The cluster as seen from one instance. Clones share the replica and the connections.
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -13,7 +13,8 @@
 const DEFAULT_LINGER: Duration = Duration::from_secs(1);
 
 const DEFAULT_LEASE: Duration = Duration::from_secs(3);
-/// Time after its lease for which a holder that was suspended may still act on it.
+/// Time after the end of a lease during which actions of a suspended holder may still
+/// take effect.
 const DEFAULT_SLACK: Duration = Duration::from_millis(300);
 /// A holder sends one report per usage window, so the limit only matters for catching up.
 const DEFAULT_CALLS: f64 = 10.0;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,7 +1,8 @@
 //! The replicated state machine.
 //!
-//! The result of a command depends only on the state, the command and its log index, so all
-//! instances reach the same state. Times are those that the leader stored in the command.
+//! The result of a command depends only on the state, the command and its log index, so
+//! all instances reach the same state. Times are those that the leader stored in the
+//! command.
 
 mod claims;
 mod documents;
--- a/crates/control/src/state/usage.rs
+++ b/crates/control/src/state/usage.rs
@@ -1,5 +1,5 @@
-//! Usage reports: the counts of closed windows, committed to the log before they are
-//! sent.
+//! Usage reports: the counts of complete windows, committed to the log before they are
+//! reported.
 //!
 //! Every holder of the duty sends the committed counts, so two different reports of one
 //! window are never sent, however often the duty changes hands.
@@ -11,7 +11,7 @@
 /// Retained counts over all windows and workspaces: a few megabytes, enough for a
 /// platform outage of several hours. The oldest windows are discarded first.
 const MAX_COUNTS: usize = 100_000;
-/// Windows per reply; the holder requests more once it has sent them.
+/// Windows per reply; the holder requests more once it has reported them.
 const MAX_RETURNED: usize = 16;
 
 /// Commits the counts of windows and acquires or renews the lease of the reporting duty.
@@ -28,10 +28,10 @@
     pub reported_before: Window,
 }
 
-/// The holder's backlog.
+/// What the holder has to report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingUsage {
-    /// Fencing token of its lease.
+    /// Fencing token of the holder's lease.
     pub fence: Fence,
     /// The first window that is not committed.
     pub next_window: Window,
@@ -39,7 +39,7 @@
     pub pending: Vec<WindowCounts>,
 }
 
-/// Backlog of committed windows.
+/// Committed windows that are not known to be reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageBacklog {
     /// The first window that is not committed; 0 before any window is.
--- a/crates/direct/src/control_sync.rs
+++ b/crates/direct/src/control_sync.rs
@@ -20,16 +20,16 @@
 use std::sync::atomic::Ordering;
 use tokio::time::{sleep, timeout};
 
-/// Interval between reports. A burst is known to all entries within two intervals.
+/// Interval between reports. All entries receive a change in demand within two intervals.
 const SYNC_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval until an entry that starts has the endpoint list. It cannot serve until then,
-/// and a hundred entries may start at once.
+/// Interval until an entry that starts has the endpoint list. The entry cannot serve
+/// until then, and a hundred entries may start at once.
 const FIRST_SYNC_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay of the report after an endpoint was lost; losses within it are reported
 /// together. Where thirty endpoints are lost at once, each entry reports six times a
 /// second instead of once per endpoint.
 const LOSS_DELAY: Duration = Duration::from_millis(150);
-/// Jitter of the interval, so that entries do not report in step.
+/// Jitter of the interval, so that entries do not report at the same moment.
 const JITTER: std::ops::Range<f64> = 0.8..1.2;
 /// Timeout of a report.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -66,7 +66,7 @@
 /// Metadata sent to an endpoint along with the method, path and body.
 #[derive(Clone, Debug)]
 pub struct ForwardMeta<'a> {
-    /// Time left until the entry gives the request up.
+    /// Time until the entry abandons the request.
     pub remaining: Duration,
     /// Identity of the intended endpoint, so that another one can refuse the request.
     pub endpoint: &'a str,
@@ -135,7 +135,7 @@
         /// Description of the failure.
         problem: String,
     },
-    /// The source rejected the call because all daemons together exceeded its rate limit.
+    /// The source rejected the call because all entries together exceeded its rate limit.
     #[display("endpoint list source rejected the call: rate limit exceeded")]
     Busy,
     /// The list has far fewer endpoints than the one in use.
@@ -158,7 +158,7 @@
     },
 }
 
-/// Why an entry of the list is skipped. The remaining entries are used.
+/// Why a list entry is skipped. The remaining list entries are used.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Flaw {
     /// The entry cannot be parsed: a field is missing or has the wrong type.
--- a/crates/direct/src/direct.rs
+++ b/crates/direct/src/direct.rs
@@ -33,8 +33,8 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// Length of the accept queue. A burst of new connections exceeds the usual 128 within
-/// one scheduling turn of a small processor.
-const BACKLOG: u32 = 1_024;
+/// one scheduling interval of a small processor.
+const ACCEPT_BACKLOG: u32 = 1_024;
 /// Time before the end of the grace period at which the entry exits by itself, so that
 /// its last log lines are written.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
@@ -257,7 +257,7 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// Whether the entry can serve: it has routes and endpoints and is not draining.
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -34,7 +34,7 @@
 use std::time::Instant;
 
 /// Share of an even split of the endpoints' prefill capacity that an entry assumes before
-/// it has an estimate of its own; entries get uneven numbers of callers.
+/// it has its own estimate. Below one, since callers are spread unevenly over entries.
 const MIN_CAPACITY_SHARE: f64 = 0.5;
 
 /// All known endpoints of an entry.
@@ -231,9 +231,10 @@
         } else {
             self.evaluate_range(query, group, others)
         };
-        // Long prompts stay off the reserved endpoints while any other one is left, even
-        // a silent one: under load, silence is mostly queueing, and a long prompt would
-        // delay streams that are more urgent. Short prompts do no harm anywhere.
+        // Tolerant requests may have long prompts. They are placed on reserved endpoints
+        // only if no other endpoint is left, not even a silent one: under load, silence
+        // is mostly queueing, and a long prompt would delay latency-sensitive streams.
+        // Sensitive requests have short prompts, which do no harm at any endpoint.
         let preference = match query.class {
             LatencyClass::Tolerant => [
                 (Health::Sound, &own),
@@ -266,7 +267,7 @@
         })
     }
 
-    /// Chooses by the fingerprint alone rather than by a shared prefix, so that requests
+    /// Chooses by health and fingerprint rather than by a shared prefix, so that requests
     /// that were lost together and are retried together go to different endpoints.
     fn place_isolated(
         &self,
@@ -350,19 +351,23 @@
         let known = snapshot.group(query.service).map_or(0, Group::len);
         let all =
             known as f64 * self.prefill_rate(query.service).tokens_per_ms() * 1_000.0;
-        let least = all * MIN_CAPACITY_SHARE / f64::from(entries.max(1));
+        let min_capacity = all * MIN_CAPACITY_SHARE / f64::from(entries.max(1));
         let backlog =
             Arc::clone(&DemandState::entry(&mut self.demand(), query.service).backlog);
-        let (predicted_wait, in_time) = {
+        let (predicted_wait, meets_objective) = {
             let backlog = backlog.lock().unwrap_or_else(PoisonError::into_inner);
-            let in_time = backlog.can_meet_objective(now, rank, least, objective);
-            (backlog.predicted_wait(now, rank, least), in_time)
+            let meets_objective =
+                backlog.can_meet_objective(now, rank, min_capacity, objective);
+            (
+                backlog.predicted_wait(now, rank, min_capacity),
+                meets_objective,
+            )
         };
         QueuePosition {
             backlog: Some(backlog),
             rank,
             predicted_wait,
-            background: !in_time,
+            background: !meets_objective,
         }
     }
 }
@@ -388,7 +393,7 @@
 
 /// Chooses among endpoints that are fast enough for short pauses, plus as many slow ones
 /// as are needed. The less busy of two random candidates wins: if all entries took the
-/// first endpoint with room, they would all take the same one.
+/// first endpoint with a free slot, they would all take the same one.
 fn choose_packed<'a>(mut evaluations: Vec<&Evaluation<'a>>) -> Option<&'a Arc<Endpoint>> {
     let slow_threshold = event_gap::slow_threshold(
         evaluations
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -31,7 +31,7 @@
     BackedOff,
 }
 
-/// Limits that an endpoint imposes on its senders.
+/// Limits that an endpoint imposes on entries.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
     permits: Mutex<Permits>,
@@ -76,7 +76,7 @@
             .info();
     }
 
-    /// Remaining backoff; `None` if there is none.
+    /// Remaining backoff of this entry; `None` without a backoff.
     pub fn remaining_backoff(&self) -> Option<Duration> {
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
@@ -96,7 +96,7 @@
         self.change_limit("control", |permits| permits.merge(observation));
     }
 
-    fn change_limit(&self, by: &str, change: impl FnOnce(&mut Permits) -> bool) {
+    fn change_limit(&self, origin: &str, change: impl FnOnce(&mut Permits) -> bool) {
         let mut permits = self.permits();
         let changed = change(&mut permits);
         let rate = permits.rate();
@@ -110,7 +110,7 @@
                 .field("endpoint", self.run())
                 .field("service", &self.service)
                 .field("limit", limit)
-                .field("by", by)
+                .field("by", origin)
                 .info();
         }
     }
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Whether the endpoint is neither leaving nor backed off.
+    /// Fails if the endpoint is leaving or backed off.
     fn check_available(&self) -> Result<(), AdmissionError> {
         if self.leaving() {
             return Err(AdmissionError::Leaving);
@@ -207,12 +207,13 @@
         }
     }
 
-    /// Control is unreachable: this entry, one of `entries`, limits its own rate.
+    /// Called when control is unreachable: this entry, one of `entries`, issues its own
+    /// permits.
     pub(super) fn begin_autonomy(&self, entries: u32) {
         self.permits().begin_autonomy(entries, rand::random());
     }
 
-    /// Control is reachable again.
+    /// Called when control is reachable again.
     pub(super) fn end_autonomy(&self) {
         self.permits().end_autonomy();
     }
--- a/crates/direct/src/directory/demand.rs
+++ b/crates/direct/src/directory/demand.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Recent demand at this entry, for the other entries.
+    /// Recent demand at this entry, for the report to control.
     pub fn demand_report(&self) -> Vec<ServiceDemand> {
         let now = self.start.elapsed();
         let all = self.demand();
@@ -110,7 +110,7 @@
         services.collect()
     }
 
-    /// Applies the sums over all entries.
+    /// Applies the sums over all entries, received from control.
     pub fn apply_totals(&self, totals: &DemandReply) {
         let now = self.start.elapsed();
         let mut all = self.demand();
--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -64,7 +64,7 @@
     /// Prefill rate, shared by the endpoints of the service.
     prefill_rate: Arc<Mutex<PrefillRate>>,
     estimates: Mutex<Estimates>,
-    /// Time and result of the last check whether the process has ended.
+    /// Time and result of the last check whether the process has exited.
     last_check: tokio::sync::Mutex<Option<(Instant, bool)>>,
     pub(super) admission: Admission,
 }
@@ -163,7 +163,7 @@
         Incarnation::new(self.id.clone(), self.process_start.get().copied())
     }
 
-    /// Whether `run` may be this one; an unknown start matches any.
+    /// Whether `run` may be the run of this endpoint; an unknown start matches any.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
         let same = match (self.process_start.get(), run.start) {
             (Some(own), Some(other)) => *own == other,
@@ -328,15 +328,15 @@
         self.pool.clear();
     }
 
-    /// Whether a request that has waited there for `waited` should move to another
-    /// endpoint.
+    /// Whether a request that has waited at this endpoint for `waited` should move to
+    /// another one.
     pub fn should_abandon(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
         self.estimates().record.should_abandon(now, sent)
     }
 
-    /// Records that the process has restarted as another endpoint.
+    /// Records that a newer run of the process has replaced this one.
     pub(super) fn mark_superseded(&self) {
         let now = self.start.elapsed();
         self.estimates().record.mark_superseded(now);
@@ -362,7 +362,7 @@
         self.estimates().record.take_report(now)
     }
 
-    /// Applies the verdict of all entries; `None` if there is none.
+    /// Applies control's verdict; `None` clears it.
     pub(crate) fn set_verdict(&self, verdict: Option<Verdict>) {
         if verdict == Some(Verdict::Replaced) {
             self.mark_replaced();
--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -6,8 +6,8 @@
 use dogwoodhill_daemon::prelude::uptime;
 use dogwoodhill_wire::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 
-/// Time without a response of any control instance after which an entry limits its own
-/// rate to limited endpoints. Another instance would have taken over by then.
+/// Time without a response of any control instance after which an entry issues its own
+/// permits for limited endpoints. Another instance would have taken over by then.
 const AUTONOMY_DELAY: Duration = Duration::from_secs(2);
 
 /// State of the exchange of limits with control.
--- a/crates/direct/src/directory/snapshot.rs
+++ b/crates/direct/src/directory/snapshot.rs
@@ -72,7 +72,7 @@
     }
 
     /// The endpoints in `range` that rendezvous hashing ranks highest for `key`, in group
-    /// order. All entries get the same ones.
+    /// order. All entries get the same endpoints for a key.
     pub(super) fn ranked(
         &self,
         range: Range<usize>,
@@ -97,17 +97,17 @@
         indices.into_iter().map(|at| &self.endpoints[at])
     }
 
-    /// A contiguous window of the endpoints in `range`. If there are more than one
-    /// placement evaluates, `spread` selects the window; it differs between entries, so
-    /// that together they use all endpoints.
+    /// A contiguous window of the endpoints in `range`. If `range` has more than
+    /// [`MAX_CANDIDATES`] endpoints, the window starts at `offset`, which differs between
+    /// entries, so that together they use all endpoints.
     pub(super) fn window(
         &self,
         range: Range<usize>,
-        spread: u64,
+        offset: u64,
     ) -> impl Iterator<Item = &Arc<Endpoint>> {
         let count = range.len();
         let start = if count > MAX_CANDIDATES {
-            (spread % count as u64) as usize
+            (offset % count as u64) as usize
         } else {
             0
         };
--- a/crates/direct/src/dispatch.rs
+++ b/crates/direct/src/dispatch.rs
@@ -125,14 +125,13 @@
         record.routes_version = table.version();
         record.fingerprint = short_form(fingerprint);
         shared.credit_resend(&service);
-        let (shortest_pause, longest_pause) = table.pauses(&service).unwrap_or_default();
-        let separate_classes =
-            shared
-                .directory
-                .separates_classes(&service, shortest_pause, longest_pause);
+        let (min_pause, max_pause) = table.pauses(&service).unwrap_or_default();
+        let separate_classes = shared
+            .directory
+            .separates_classes(&service, min_pause, max_pause);
         let events = admitted.route.events;
-        let sensitive = separate_classes
-            && events.is_some_and(|events| events.pause <= shortest_pause);
+        let sensitive =
+            separate_classes && events.is_some_and(|events| events.pause <= min_pause);
         let usage = shared.usage.clone();
         let start_counter =
             Arc::new(StartCounter::new(usage, admitted.workspace.clone()));
@@ -217,9 +216,7 @@
 
     /// The request's record. Panics if the record was already taken.
     fn record(&mut self) -> &mut RequestRecord {
-        self.record
-            .as_mut()
-            .expect("request record was already taken")
+        self.record.as_mut().expect("record already taken")
     }
 
     /// Sends the request and responds to the caller.
@@ -248,17 +245,14 @@
                                 DispatchResult::Response(retry)
                                     if !retry.status.is_server_error() =>
                                 {
-                                    let retry_endpoint =
-                                        Arc::clone(retry.in_flight.endpoint());
+                                    let other = Arc::clone(retry.in_flight.endpoint());
                                     match retry.read_body(self.deadline).await {
                                         Ok(retry_complete) => {
                                             return self.deliver(retry_complete);
                                         }
-                                        Err(loss) => {
-                                            self.record_loss(&retry_endpoint, loss).await
-                                        }
+                                        Err(loss) => self.record_loss(&other, loss).await,
                                     }
-                                    retry_endpoint.record_outcome(true);
+                                    other.record_outcome(true);
                                     return self.deliver(complete);
                                 }
                                 _ => return self.deliver(complete),
@@ -283,15 +277,14 @@
         self.admitted.route.events.is_some() && response.status.is_success()
     }
 
-    /// Whether a response with this status may be replaced by that of another endpoint: it
-    /// is a server error, and the request is idempotent and has sends left.
+    /// Whether another send is allowed after a response with this status.
     fn may_resend_after_status(&self, status: StatusCode) -> bool {
         status.is_server_error()
             && self.is_idempotent()
             && self.sends < self.admitted.route.tries
     }
 
-    /// Logs that the request is given up at this endpoint after its response had begun.
+    /// Logs that an endpoint is abandoned after its response had begun.
     pub fn log_endpoint_abandoned(&mut self, endpoint: &Endpoint, reason: impl Display) {
         Event::new("endpoint-left")
             .field("request", &self.meta.id)
@@ -385,8 +378,7 @@
         let abandon = async {
             tokio::select! {
                 () = self.wait_until_move(endpoint, started) => Loss::Timeout,
-                // Requests with this content crash endpoints. This one may still be
-                // queued: cancelling it now can prevent another crash.
+                // The request may still be queued; cancelling it can prevent a crash.
                 () = self.shared.suspects.wait_quarantined(self.fingerprint) => Loss::Withdrawn,
             }
         };
@@ -441,8 +433,9 @@
     }
 
     /// How long an idempotent request waits for the first byte before it moves to another
-    /// endpoint. `None` for a stream that is not latency-sensitive: it is not moved, since
-    /// it may be next in the queue, and another endpoint would have to repeat the prefill.
+    /// endpoint. `None` for a stream that is not latency-sensitive: it is not moved,
+    /// since it may be next in the queue, and another endpoint would have to repeat the
+    /// prefill.
     fn move_delay(&self) -> Option<Duration> {
         let route = &self.admitted.route;
         let keeps_endpoint =
@@ -471,8 +464,7 @@
         allowed
     }
 
-    /// Logs a send that did not lead to a usable response, and triggers an early report to
-    /// control.
+    /// Logs a send without a usable response and triggers an early report to control.
     fn log_failed_send(&self, endpoint: &Endpoint, result: &str) {
         self.shared.list_tracker.endpoint_lost.notify_one();
         Event::new("send-failed")
@@ -496,7 +488,7 @@
         build_response(
             complete.status,
             complete.headers,
-            ResponseBody::whole(complete.bytes),
+            ResponseBody::complete(complete.bytes),
         )
     }
 
@@ -531,10 +523,7 @@
         let (status, headers) = response_head(&source);
         self.record().answered(status.as_u16());
         let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY);
-        let record = self
-            .record
-            .take()
-            .expect("request record was already taken");
+        let record = self.record.take().expect("record already taken");
         let relay = Relay {
             last: None,
             dispatch: self,
--- a/crates/direct/src/dispatch/crash.rs
+++ b/crates/direct/src/dispatch/crash.rs
@@ -19,8 +19,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Longest wait for the check whether an endpoint has exited before the request is resent:
-/// some round trips plus the time in which a process exits.
+/// Longest wait for the check whether an endpoint has exited before the request is
+/// resent: some round trips plus the time in which a process exits.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl Dispatch {
@@ -101,8 +101,8 @@
 }
 
 impl BrokenSend {
-    /// Checks whether `endpoint` has exited since the connection broke at `broken_at`, and
-    /// if so records the crash.
+    /// Checks whether `endpoint` has exited since the connection broke at `broken_at`,
+    /// and if so records the crash.
     async fn check(self, endpoint: Arc<Endpoint>, broken_at: Instant) {
         if !endpoint.has_exited(broken_at).await {
             // The endpoint did not crash. The request is assumed to have run, and is
--- a/crates/direct/src/dispatch/refusal.rs
+++ b/crates/direct/src/dispatch/refusal.rs
@@ -42,8 +42,8 @@
         self.refuse_with_delay(cause, retry_after)
     }
 
-    /// Retry delay for the caller: until an endpoint admits requests again, plus jitter so
-    /// that callers do not retry at the same moment.
+    /// Retry delay for the caller: until an endpoint admits requests again, plus jitter
+    /// so that callers do not retry at the same moment.
     pub(super) fn retry_after(&self) -> Duration {
         let time_until_admission =
             self.shared.directory.time_until_admission(&self.service);
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -66,7 +66,9 @@
     /// The response names another request.
     #[display("foreign-answer")]
     Mismatched,
-    /// The response does not come from this endpoint.
+    /// The response is not one that an endpoint sends: required headers are missing, the
+    /// content is encoded, or the status means "not run" without the endpoint's
+    /// confirmation.
     #[display("spoiled-answer")]
     Invalid,
     /// No response arrived in time.
@@ -170,7 +172,7 @@
             SendOutcome::Unsent
         }
         Attempt::ConnectFailed => SendOutcome::Unsent,
-        Attempt::NotAdmitted(denied) => SendOutcome::NotAdmitted(denied),
+        Attempt::NotAdmitted(error) => SendOutcome::NotAdmitted(error),
         Attempt::Lost(Loss::Timeout) => {
             endpoint.record_timeout(false);
             SendOutcome::Lost(Loss::Timeout)
@@ -206,9 +208,9 @@
     };
     match endpoint.admit() {
         Ok(admitted) => *permit = Some(admitted),
-        Err(denied) => {
+        Err(error) => {
             endpoint.pool.release_unused(connection);
-            return Attempt::NotAdmitted(denied);
+            return Attempt::NotAdmitted(error);
         }
     }
     attempt(connection, request, deadline).await
@@ -238,7 +240,7 @@
     };
     match admitted {
         Ok(()) => attempt(connection, request, deadline).await,
-        Err(denied) => Attempt::NotAdmitted(denied),
+        Err(error) => Attempt::NotAdmitted(error),
     }
 }
 
@@ -363,7 +365,7 @@
     }))
 }
 
-/// Whether the status means that the endpoint takes no further requests at the moment.
+/// Whether the status means that the endpoint accepts no requests at the moment.
 fn is_overloaded(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/direct/src/list_reader.rs
+++ b/crates/direct/src/list_reader.rs
@@ -1,8 +1,8 @@
 //! Reading the endpoint list from its source.
 //!
-//! Two entries read it on behalf of all, and any other entry reads it when no fresh read
-//! is reported to it ([`dogwoodhill_policy::list_reads`]). If the list cannot be read,
-//! the previous one stays in use.
+//! Two entries, the readers, read it on behalf of all. Any other entry reads it only when
+//! it receives no fresh read ([`dogwoodhill_policy::list_reads`]). If the list cannot be
+//! read, the previous one stays in use.
 
 use crate::dialect::{EndpointList, FetchFuture, Flaw, ListContent, ListError};
 use crate::request::SharedState;
@@ -22,15 +22,15 @@
 /// Time without a response after which the first page is requested once more,
 /// concurrently with the first call. A connection that went silent, or a call lost by a
 /// stopped source, would otherwise cost [`PAGE_TIMEOUT`], a third of the time within
-/// which news must reach all entries. It is several times the usual response time and
-/// applies to the first page only, so that a source that is slow under load does not get
-/// all calls twice.
+/// which a change must reach all entries. The delay is several times the usual response
+/// time and applies to the first page only, so that a source that is slow under load does
+/// not receive all calls twice.
 const HEDGE_DELAY: Duration = Duration::from_millis(500);
 /// Upper bound on pages: eight times the designed list size, in pages of fifty.
 const MAX_PAGES: usize = 200;
 
-/// Reads the list in an endless loop whenever it is this entry's turn; `interval` is that
-/// of entries that read on behalf of the others.
+/// Reads the list in an endless loop whenever a read by this entry is due; `interval` is
+/// that of the readers.
 pub async fn run(
     shared: Arc<SharedState>,
     list: Box<dyn EndpointList>,
@@ -110,13 +110,13 @@
     }
 }
 
-/// Entries skipped in the last read, by cause.
+/// Numbers of list entries skipped in the last read, by cause.
 #[derive(Debug, Default)]
 struct LoggedFlaws(Vec<(Flaw, usize)>);
 
 impl LoggedFlaws {
-    /// Counts skipped entries. A cause is logged only when its count changes, so that an
-    /// entry that stays unreadable for days causes one line.
+    /// Counts skipped list entries. A cause is logged only when its count changes, so
+    /// that a list entry that stays unreadable for days causes one line.
     fn record(&mut self, shared: &SharedState, content: &ListContent) {
         for (flaw, count) in &content.flaws {
             let label = flaw.to_string();
--- a/crates/direct/src/list_tracker.rs
+++ b/crates/direct/src/list_tracker.rs
@@ -268,8 +268,8 @@
         (newest > 0).then_some(age)
     }
 
-    /// Waits briefly for a newer list if the one in use has expired. The list expires only
-    /// if the process was suspended, and a newer read is already in progress then.
+    /// Waits briefly for a newer list if the one in use has expired. The list expires
+    /// only if the process was suspended, and a newer read is already in progress then.
     pub async fn await_unexpired(&self) {
         if !self.is_expired() {
             return;
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -20,8 +20,8 @@
 
 /// Idle timeout of a connection where the endpoint names none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// Share of the endpoint's idle timeout after which a connection is not reused, so that a
-/// request does not cross the endpoint's close.
+/// Share of the endpoint's idle timeout after which a connection is not reused, so that
+/// no request is sent while the endpoint closes the connection.
 const IDLE_REUSE_SHARE: f64 = 0.7;
 /// Idle connections kept per endpoint.
 const MAX_IDLE: usize = 48;
@@ -134,7 +134,7 @@
     let handshaken = builder.handshake(TokioIo::new(socket)).await;
     let (sender, driver) = handshaken.map_err(|_| ConnectError::Refused)?;
     let task = tokio::spawn(async move {
-        // The error also reaches whoever awaits a response on this connection.
+        // A task that awaits a response on this connection receives the error as well.
         let _ = driver.await;
     });
     Ok(Connection {
--- a/crates/direct/src/race.rs
+++ b/crates/direct/src/race.rs
@@ -1,10 +1,10 @@
 //! Racing a response against a reason to abandon its endpoint, with priority to the
 //! response.
 //!
-//! While a request waits at an endpoint, the entry checks repeatedly whether that
-//! endpoint is lost or another one would do better. If the response is ready at the
-//! instant of that decision, abandoning the endpoint would discard finished work and run
-//! an idempotent request twice for nothing.
+//! While a request waits at an endpoint, the entry checks repeatedly whether the endpoint
+//! is lost or another one is likely to respond earlier. If the response is ready at the
+//! time of such a check, abandoning the endpoint would discard finished work and run an
+//! idempotent request twice without need.
 
 /// Which future completed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -34,7 +34,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Range of the retry delay after a refusal with a transient cause (an entry that starts,
 /// a full or a leaving endpoint), in milliseconds. Randomized so that callers that were
-/// refused together do not return together.
+/// refused together do not retry at the same moment.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 120..400;
 /// Longest wait of a request for the entry's first route set and endpoint list. After a
 /// restart of all processes a leader is elected within 0.3 to 0.65 s, and a list of some
@@ -46,9 +46,9 @@
 /// delay, so that they move to another entry.
 const DRAIN_REFUSE_AFTER: Duration = Duration::from_millis(2_800);
 /// Time before the end of the grace period at which pending requests are answered by the
-/// entry itself. An engine with a long queue may delay a prompt beyond the drain, and its
-/// caller must get a response rather than a closed connection. The process exits 0.4 s
-/// before the end of the grace period, and responses take some milliseconds.
+/// entry itself. An endpoint with a long queue may delay a prompt beyond the drain, and
+/// the caller must get a response rather than a closed connection. The process exits 0.4
+/// s before the end of the grace period, and responses take some milliseconds.
 const RESPONSE_RESERVE: Duration = Duration::from_millis(600);
 /// Upper estimate of the time per generated token, used to predict whether a stream that
 /// begins now ends before the entry stops.
@@ -83,7 +83,7 @@
     pub suspects: Suspects,
     /// Usage counts, if the deployment reports usage.
     pub usage: Option<Arc<Usage>>,
-    /// Resends that operators allow.
+    /// Resends allowed by the settings.
     pub allowance: Allowance,
     /// Largest number of entries reported by control; they share the allowance.
     pub entries: AtomicU32,
@@ -160,13 +160,13 @@
         table
     }
 
-    /// Waits for a route set newer than `held`.
-    pub async fn await_newer_routes(&self, held: Option<Version>) -> Arc<RouteTable> {
+    /// Waits for a route set newer than `known`.
+    pub async fn await_newer_routes(&self, known: Option<Version>) -> Arc<RouteTable> {
         loop {
             let mut changed = pin!(self.routes_changed.notified());
             changed.as_mut().enable();
             let table = self.routes.load_full();
-            let newer = table.filter(|table| held.is_none_or(|v| table.version() > v));
+            let newer = table.filter(|table| known.is_none_or(|v| table.version() > v));
             if let Some(table) = newer {
                 return table;
             }
@@ -228,7 +228,7 @@
         })
     }
 
-    /// Timeout of reading the body: that of the route or that of the caller.
+    /// Timeout of reading the body: the shorter of the route's and the caller's.
     fn body_timeout(&self, parts: &Parts, meta: Option<&RequestMeta>) -> Duration {
         let max_wait = meta.and_then(|meta| meta.max_wait).unwrap_or(BODY_TIMEOUT);
         let table = self.routes.load();
@@ -239,7 +239,7 @@
         route.map_or(max_wait, |route| route.timeout.min(max_wait))
     }
 
-    /// When pending requests get a response of the entry itself; `None` unless it drains.
+    /// When the entry itself responds to pending requests; `None` unless it drains.
     pub(crate) fn response_deadline(&self) -> Option<Instant> {
         let drain_start = self.drain_started.get()?;
         Some(*drain_start + self.grace.saturating_sub(RESPONSE_RESERVE))
@@ -294,7 +294,7 @@
 
 impl<'a> AbandonLogger<'a> {
     fn take(&mut self) -> &'a mut RequestRecord {
-        self.0.take().expect("taken once")
+        self.0.take().expect("request record was already taken")
     }
 }
 
--- a/crates/direct/src/route_follower.rs
+++ b/crates/direct/src/route_follower.rs
@@ -4,10 +4,10 @@
 //! control instance that is frozen, partitioned or behind therefore delays nothing as
 //! long as another one responds, and no fail-over logic is needed. The text itself is
 //! fetched in pieces from one instance at a time ([`dogwoodhill_policy::transfer`]): the
-//! link of a small entry carries it once, and received pieces are kept. Instances offer
-//! only accepted sets, and an entry activates only newer ones, so it never goes back to
-//! an older version. The first set has to be confirmed by a majority, since an entry that
-//! starts has no version to compare with.
+//! link of a small entry carries it once, and received pieces are retained. Instances
+//! offer only accepted sets, and an entry activates only newer ones, so an entry never
+//! returns to an older version. The first set has to be confirmed by a majority, since an
+//! entry that starts has no version to compare with.
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Versions offered by instances, and the pieces received of one.
+/// Versions offered by instances, and the received pieces of the version being fetched.
 #[derive(Debug)]
 pub struct FetchState {
     start: Instant,
@@ -135,7 +135,7 @@
     #[display("no response in time")]
     TimedOut,
     #[display("the instance no longer stores that version")]
-    NotKept,
+    NotStored,
     #[display("{_0}")]
     Failed(CallError),
 }
@@ -144,7 +144,7 @@
     fn label(&self) -> &'static str {
         match self {
             Self::TimedOut => "late",
-            Self::NotKept => "not-kept",
+            Self::NotStored => "not-kept",
             Self::Failed(_) => "failed",
         }
     }
@@ -273,7 +273,7 @@
             .map_err(|_| PieceError::TimedOut)?;
         let piece = response
             .map_err(PieceError::Failed)?
-            .ok_or(PieceError::NotKept)?;
+            .ok_or(PieceError::NotStored)?;
         let piece = Piece {
             version: piece.version,
             total: piece.total,
@@ -291,7 +291,7 @@
         let now = self.fetch_state.start.elapsed();
         let mut transfer = self.fetch_state.transfer();
         let is_new = match error {
-            PieceError::NotKept => {
+            PieceError::NotStored => {
                 transfer.version_missing(fetch.source, fetch.version);
                 true
             }
--- a/crates/direct/src/stats.rs
+++ b/crates/direct/src/stats.rs
@@ -32,7 +32,7 @@
     list_age: Histogram,
     /// Quarantined requests.
     pub quarantined: IntGauge,
-    /// Requests lost to an endpoint that ended, by service.
+    /// Requests lost with an endpoint that crashed, by service.
     pub crashes: IntCounterVec,
     /// Requests started at endpoints, by whether usage counted them.
     usage: IntCounterVec,
@@ -223,7 +223,7 @@
             .info();
     }
 
-    /// Logs that the router responds itself.
+    /// Logs that the entry responds itself.
     pub fn refused(&self, cause: RefusalCause, retry_after: Option<Duration>) {
         let status = cause.status().as_u16();
         let cause = cause.to_string();
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -2,13 +2,14 @@
 //! ([`dogwoodhill_policy::quarantine`]): the entry's own observations, and those of all
 //! entries together.
 //!
-//! An entry alone blames no request: of the requests lost with an endpoint, it has only
-//! its own, and the culprit may have come to another entry. It relies on its own
-//! observations only after control has been unreachable for some time.
+//! An entry alone quarantines no request. Of the requests lost with an endpoint, it has
+//! recorded only its own, and the one that crashed the endpoint may have been sent by
+//! another entry. An entry relies on its own observations only after control has been
+//! unreachable for some time.
 //!
-//! Observations are kept here and reported to each control instance once, so that a new
-//! instance catches up with the previous one. A quarantine lasts until its end, even if
-//! an instance that has lost its state no longer reports it.
+//! Observations are retained here and reported to each run of a control instance once, so
+//! that a new instance receives what the previous one had. A quarantine lasts until its
+//! end, even if an instance that has lost its state no longer reports it.
 
 use crate::directory::Endpoint;
 use crate::stats::Stats;
@@ -28,11 +29,12 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Upper bound on own losses kept; the oldest is dropped first. Covers the requests in
-/// flight at the endpoints that end while control is unreachable.
+/// Upper bound on retained own losses; the oldest is dropped first. Covers the requests
+/// in flight at the endpoints that crash while control is unreachable.
 const MAX_LOSSES: usize = 1_024;
-/// Time without control after which an entry relies on its own observations.
-const AUTONOMY_DELAY: Duration = Duration::from_secs(10);
+/// Time without a response of control after which an entry relies on its own
+/// observations.
+const LOCAL_EVALUATION_DELAY: Duration = Duration::from_secs(10);
 /// Longest wait of a suspected request for control's current state.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(150);
 /// Upper bound on served requests waiting to be reported.
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Known crashes of a request, and the rest of its quarantine.
+    /// Known crashes attributed to a request, and the remaining time of its quarantine.
     pub fn status(&self, request: Fingerprint) -> SuspectStatus {
         let state = self.state();
         let own = state.quarantine.status(uptime(), request);
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Records a request that was lost with an ended endpoint. Returns the number of its
-    /// crashes.
+    /// Records a request that was lost with a crashed endpoint. Returns the number of
+    /// crashes attributed to the request.
     pub fn record_loss(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
         let mut state = self.state();
         let now = uptime();
@@ -215,8 +217,8 @@
         state.exonerated.drain(..acknowledged);
     }
 
-    /// Applies a response of control; `reported` has what all entries found, if that
-    /// changed.
+    /// Applies a response of control; `reported` contains the findings over all entries
+    /// if they changed.
     pub fn apply_control(&self, reported: Option<ReportedSuspects>) {
         let now = uptime();
         let mut state = self.state();
@@ -234,7 +236,7 @@
         let mut state = self.state();
         let before = state.quarantine.quarantined_count();
         let since = *state.last_contact.get_or_insert(now);
-        if now.saturating_sub(since) >= AUTONOMY_DELAY {
+        if now.saturating_sub(since) >= LOCAL_EVALUATION_DELAY {
             state.blame(now);
         }
         self.finish_update(state, now, before);
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -1,10 +1,10 @@
 //! Counting the requests that endpoints start, and reporting the counts to control.
 //!
-//! An entry reports to the control instance that owns the usage duty, else to the first
-//! one by address that responds and is in contact with a majority. Windows are cut by
-//! true time, as control estimates it from the clocks of all entries, measured against a
-//! monotonic clock. An entry uses its own wall clock only until it receives the first
-//! estimate.
+//! An entry reports to the control instance that holds the usage duty, else to the first
+//! one by address that responds and is in contact with a majority. Windows are bounded in
+//! true time, which control estimates from the clocks of all entries and the entry
+//! advances by a monotonic clock. An entry uses its own wall clock only until it receives
+//! the first estimate.
 
 use crate::route_follower::RouteFollower;
 use crate::stats::Stats;
@@ -22,12 +22,12 @@
 /// Interval between reports. An entry that is killed loses the counts it has not
 /// reported.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Jitter of the interval, so that entries do not report in step.
+/// Jitter of the interval, so that entries do not report at the same moment.
 const JITTER: std::ops::Range<f64> = 0.8..1.2;
 /// Timeout of a call to a control instance.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Control instances tried per interval: one more than may fail at once where five
-/// instances replicate the log, and the one that owns the usage duty.
+/// instances replicate the log, and the one that holds the usage duty.
 const MAX_INSTANCES: usize = 4;
 /// Longest round trip after which a received time estimate is used: half of the round
 /// trip bounds its error.
@@ -46,9 +46,9 @@
 #[derive(Debug, Default)]
 struct State {
     ledger: Ledger,
-    /// What is added to [`uptime`] to get true time.
+    /// True time minus [`uptime`].
     offset: Option<Duration>,
-    /// The instance that owns the usage duty, as last received.
+    /// The instance that holds the usage duty, as last received.
     reporter: Option<SocketAddr>,
     /// The instance that responded last, and its run.
     last: Option<(SocketAddr, u64)>,
@@ -96,8 +96,8 @@
 
     /// Report to the instance at `address`, relative to what its last run acknowledged.
     fn message(&self, entry: &str, address: SocketAddr, is_final: bool) -> EntryUsage {
-        // Read before the counts: what is counted in between is reported twice rather
-        // than left out.
+        // Read before the counts: a request counted in between is in this report, and its
+        // window is reported again rather than left out.
         let through = self.now();
         let state = self.state();
         let last = state.last.filter(|last| last.0 == address);
