--- a/crates/control/tests/duty_lease.rs
+++ b/crates/control/tests/duty_lease.rs
@@ -1,4 +1,4 @@
-//! Holders of a duty with clocks of their own, in front of a platform that does not check
+//! Holders of a duty, each with its own clock, that call a platform which does not check
 //! fencing tokens.
 
 use dogwoodhill_control::state::{AcquireDuty, AcquireOutcome, Duties, DutyHolder};
@@ -22,11 +22,11 @@
 struct Machine {
     holder: DutyHolder,
     lease: DutyLease,
-    /// Until when it is suspended.
+    /// Until when the machine is suspended.
     suspended_until: Duration,
     /// A pending request to the log: when the log applies it, and when the reply arrives.
     pending: Option<(LeaseRequest, Duration, Duration)>,
-    answer: Option<AcquireOutcome>,
+    reply: Option<AcquireOutcome>,
     /// When the platform processes the pending call.
     call: Option<Duration>,
 }
@@ -39,17 +39,17 @@
             lease: DutyLease::new(ms(0), LEASE, SLACK),
             suspended_until: ms(0),
             pending: None,
-            answer: None,
+            reply: None,
             call: None,
         }
     }
 
     /// The log applies the machine's request, even while the machine is suspended.
     fn apply_in_log(&mut self, index: Revision, now: Duration, duties: &mut Duties) {
-        let Some((request, taken, _)) = self.pending else {
+        let Some((request, applied_at, _)) = self.pending else {
             return;
         };
-        if self.answer.is_none() && taken <= now {
+        if self.reply.is_none() && applied_at <= now {
             let request = AcquireDuty {
                 duty: "usage".to_string(),
                 subject: String::new(),
@@ -57,16 +57,16 @@
                 duration: request.duration,
                 refused_fence: request.refused,
             };
-            self.answer = Some(duties.acquire(index, now, &request));
+            self.reply = Some(duties.acquire(index, now, &request));
         }
     }
 
     /// Runs the machine's tasks once.
     fn run(&mut self, now: Duration, random: &mut SmallRng) {
-        if let (Some((request, _, here)), Some(answer)) = (self.pending, self.answer)
-            && here <= now
+        if let (Some((request, _, received_at)), Some(reply)) = (self.pending, self.reply)
+            && received_at <= now
         {
-            match answer {
+            match reply {
                 AcquireOutcome::Held(fence) => {
                     self.lease.granted(request, fence);
                 }
@@ -75,15 +75,15 @@
                 }
             }
             self.pending = None;
-            self.answer = None;
+            self.reply = None;
         }
         let acts = self.lease.active_fence(now).is_some();
         if acts && self.call.is_none() && random.random_ratio(1, 4) {
             // The call is in transit, or its machine is suspended before sending it.
             self.call = Some(now + ms(random.random_range(0..SLACK.as_millis() as u64)));
         }
-        let asks = self.pending.is_none() && self.lease.may_request(now);
-        if asks && random.random_ratio(1, 40) {
+        let requests = self.pending.is_none() && self.lease.may_request(now);
+        if requests && random.random_ratio(1, 40) {
             let mut delay = || {
                 let longest = if random.random_ratio(1, 10) {
                     9_000
@@ -92,9 +92,9 @@
                 };
                 ms(random.random_range(1..longest))
             };
-            let taken = now + delay();
-            let here = taken + delay();
-            self.pending = Some((self.lease.request(now), taken, here));
+            let applied_at = now + delay();
+            let received_at = applied_at + delay();
+            self.pending = Some((self.lease.request(now), applied_at, received_at));
         }
     }
 }
@@ -104,7 +104,7 @@
 /// between and during calls, the log applies and answers requests late, and calls are
 /// processed late.
 #[test]
-fn may_act_on_one_machine_at_a_time_without_fencing() {
+fn active_fence_on_one_machine_at_a_time() {
     let mut random = SmallRng::seed_from_u64(44);
     let mut duties = Duties::default();
     let mut machines: Vec<Machine> = (0..MACHINES).map(Machine::new).collect();
@@ -124,10 +124,10 @@
             if last.is_some_and(|last| last != at) {
                 moves += 1;
                 let before: Option<Duration> = last_act[at];
-                let away = before.map(|before| now - before);
+                let since = before.map(|before| now - before);
                 assert!(
-                    away.is_none_or(|away| away >= LEASE),
-                    "step {step}: machine {at} acts again after {away:?}"
+                    since.is_none_or(|since| since >= LEASE),
+                    "step {step}: machine {at} acts again after {since:?}"
                 );
             }
             last = Some(at);
@@ -148,7 +148,7 @@
 
 /// After a suspension, reports that have not arrived yet are not lost.
 #[test]
-fn closes_nothing_after_suspension() {
+fn may_close_not_after_suspension() {
     let mut lease = DutyLease::new(ms(0), LEASE, SLACK);
     lease.begin_turn(ms(200));
     lease.end_turn(ms(210));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn may_act_from_time_of_request() {
+fn active_fence_from_time_of_request() {
     let mut lease = DutyLease::new(ms(0), LEASE, SLACK);
     assert_eq!(lease.active_fence(ms(0)), None);
     assert!(lease.granted(lease.request(ms(1_000)), 7));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn may_ask_after_other_lease_expires() {
+fn may_request_after_other_lease_expires() {
     let mut lease = DutyLease::new(ms(0), LEASE, SLACK);
     lease.granted(lease.request(ms(0)), 7);
     assert!(lease.held_by_other(ms(1_000), ms(500)));
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, fetched by a few entries and passed on to all.
+//! The endpoint list, read by a few entries and passed on to all.
 
 use dogwoodhill_control::lists::EndpointLists;
 use dogwoodhill_core::prelude::*;
@@ -28,7 +28,7 @@
     (0..count).map(one).collect()
 }
 
-/// Content hash of the list of `count` endpoints.
+/// Mark of the list of `count` endpoints.
 fn mark_of(count: usize) -> Mark {
     mark(&endpoints(count))
 }
@@ -49,25 +49,25 @@
 fn report_newest_read_passed_on() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = mark_of(3);
-    lists.report(now, "a", held, read(3, ms(40), true));
+    let list_mark = mark_of(3);
+    lists.report(now, "a", list_mark, read(3, ms(40), true));
     let update = lists
         .report(now + ms(500), "b", 0, None)
         .newest
         .expect("a newest read");
-    assert_eq!((update.mark, update.age), (held, ms(540)));
+    assert_eq!((update.mark, update.age), (list_mark, ms(540)));
     let whole = update.whole.expect("sent to b, which has no list").read();
     assert_eq!(whole.expect("the content decodes").len(), 3);
     let update = lists
-        .report(now + ms(900), "b", held, None)
+        .report(now + ms(900), "b", list_mark, None)
         .newest
         .expect("a newest read");
     assert_eq!((update.age, update.whole), (ms(940), None));
 }
 
-/// An instance that was suspended has not heard from any entry for a while, although none
-/// is gone: the readers stay the same, and no other entry becomes a reader while the
-/// entries report one by one.
+/// An instance that was suspended has received no report for a while, although all
+/// entries still run: the readers stay the same, and no other entry becomes a reader
+/// while the entries report one by one.
 #[test]
 fn report_after_suspension_same_readers() {
     let lists = EndpointLists::default();
@@ -124,22 +124,23 @@
 fn report_older_read_ignored() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = mark_of(3);
-    lists.report(now, "a", held, read(3, ms(40), true));
+    let list_mark = mark_of(3);
+    lists.report(now, "a", list_mark, read(3, ms(40), true));
     let update = lists.report(now, "b", mark_of(9), read(9, ms(300), true));
-    assert_eq!(update.newest.expect("a newest read").mark, held);
+    assert_eq!(update.newest.expect("a newest read").mark, list_mark);
     let update = lists.report(now + ms(400), "b", mark_of(4), read(4, ms(10), false));
     assert_eq!(
         update.newest.expect("a newest read").mark,
-        held,
+        list_mark,
         "its content was never reported"
     );
-    let update = lists.report(now + ms(500), "b", held, read(3, ms(20), false));
+    let update = lists.report(now + ms(500), "b", list_mark, read(3, ms(20), false));
     assert_eq!(update.newest.expect("a newest read").age, ms(20));
 }
 
-/// The first two entries by name are readers. One that can no longer read is replaced by
-/// an entry that had to read itself, and one that is gone by the next.
+/// The first two entries by name are readers. A reader that no longer reads is replaced
+/// by an entry that has read the list itself, and a reader that stops reporting by the
+/// next entry by name.
 #[test]
 fn report_readers_replaced() {
     let lists = EndpointLists::default();
@@ -179,7 +180,7 @@
     count: usize,
     own: Option<(u64, usize)>,
     next: u64,
-    tells: u64,
+    next_report: u64,
 }
 
 /// Simulates 33 entries for a minute. The two readers are killed at 20 s, and the control
@@ -208,14 +209,14 @@
                     entry.reads.take(ms(now), ms(50));
                     entry.own = Some((now, entry.count));
                     entry.mark = mark_of(entry.count);
-                    entry.tells = now;
+                    entry.next_report = now;
                 }
                 entry.next = now + (due.as_millis() as u64).max(1);
             }
-            let away = (30_000..40_000).contains(&now);
-            if now >= entry.tells {
-                entry.tells = now + 400 + (name as u64 * 13) % 200;
-                if away {
+            let disconnected = (30_000..40_000).contains(&now);
+            if now >= entry.next_report {
+                entry.next_report = now + 400 + (name as u64 * 13) % 200;
+                if disconnected {
                     continue;
                 }
                 let own = entry.own;
@@ -233,11 +234,11 @@
             }
             let bound = STALE_AFTER.mul_f64(1.25) + ms(20);
             assert!(entry.reads.next_read_delay(ms(now), interval, 0.0) <= bound);
-            let overdue =
+            let delay =
                 entry
                     .reads
                     .next_read_delay(ms(now) - bound.min(ms(now)), interval, 0.0);
-            assert!(now < 3_000 || overdue > Duration::ZERO, "{name} at {now}");
+            assert!(now < 3_000 || delay > Duration::ZERO, "{name} at {now}");
         }
     }
     let mean = |from: usize, to: usize| {
@@ -250,7 +251,7 @@
     assert!(mean(44, 60) <= 2.0, "{counts:?}");
 }
 
-/// Report of entry `name` with observations of the list with the hash `held`.
+/// Report of entry `name` with observations of the list with the mark `list_mark`.
 fn observations(
     name: &str,
     list_mark: u64,
@@ -280,13 +281,13 @@
 fn record_observations_loss_by_two_is_silent() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = mark_of(12);
-    lists.report(now, "a", held, read(12, ms(40), true));
-    lists.record_observations(now, &observations("a", held, lost(9), Vec::new()));
+    let list_mark = mark_of(12);
+    lists.report(now, "a", list_mark, read(12, ms(40), true));
+    lists.record_observations(now, &observations("a", list_mark, lost(9), Vec::new()));
     assert_eq!(lists.verdicts(now), []);
     lists.record_observations(
         now + ms(100),
-        &observations("b", held, lost(9), Vec::new()),
+        &observations("b", list_mark, lost(9), Vec::new()),
     );
     let silent = EndpointVerdict {
         list_index: 9,
@@ -296,7 +297,7 @@
     let responding = vec![0, 0b10];
     lists.record_observations(
         now + ms(300),
-        &observations("c", held, Vec::new(), responding),
+        &observations("c", list_mark, Vec::new(), responding),
     );
     assert_eq!(lists.verdicts(now + ms(400)), []);
 }
@@ -307,12 +308,12 @@
 fn record_observations_delayed_ignored() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = mark_of(12);
-    lists.report(now, "a", held, read(12, ms(40), true));
+    let list_mark = mark_of(12);
+    lists.report(now, "a", list_mark, read(12, ms(40), true));
     let stamp = lists.stamp(now);
     let report = |name, since| DemandReport {
         echo: Some(Echo { stamp, since }),
-        ..observations(name, held, lost(9), Vec::new())
+        ..observations(name, list_mark, lost(9), Vec::new())
     };
     for name in ["a", "b"] {
         lists.record_observations(now + ms(4_000), &report(name, ms(500)));
@@ -325,29 +326,29 @@
     assert_eq!(verdicts.len(), 1, "the delay was short");
 }
 
-/// Positions in another list refer to other endpoints and are ignored. After a change of
-/// the list, observations follow an endpoint to its new position.
+/// Indices into another list refer to other endpoints and are ignored. After a change of
+/// the list, the observations of an endpoint are kept under its new index.
 #[test]
 fn record_observations_of_another_list_ignored() {
     let lists = EndpointLists::default();
     let now = ms(60_000);
-    let held = mark_of(3);
-    lists.report(now, "a", held, read(3, ms(40), true));
+    let list_mark = mark_of(3);
+    lists.report(now, "a", list_mark, read(3, ms(40), true));
     for entry in ["a", "b"] {
         lists.record_observations(now, &observations(entry, 6, lost(2), Vec::new()));
     }
     assert_eq!(lists.verdicts(now), []);
-    let beyond = observations("c", held, lost(99), vec![0xff; 999]);
+    let beyond = observations("c", list_mark, lost(99), vec![0xff; 999]);
     lists.record_observations(now, &beyond);
     assert_eq!(
         lists.verdicts(now),
         [],
-        "positions beyond the end of the list"
+        "indices beyond the end of the list"
     );
     for entry in ["a", "b"] {
         lists.record_observations(
             now + ms(100),
-            &observations(entry, held, lost(2), Vec::new()),
+            &observations(entry, list_mark, lost(2), Vec::new()),
         );
     }
     let mut longer = endpoints(3);
@@ -356,7 +357,7 @@
         ..endpoints(1).remove(0)
     });
     let changes = ListChanges::between(
-        held,
+        list_mark,
         &endpoints(3),
         &ListSnapshot::new(longer.clone()).endpoints,
     );
@@ -367,14 +368,14 @@
         whole: None,
         changes: Some(Arc::new(changes)),
     };
-    lists.report(now + ms(200), "a", held, Some(longer));
+    lists.report(now + ms(200), "a", list_mark, Some(longer));
     // Half a second after the last data from the endpoint.
-    let places: Vec<u32> = lists
+    let indices: Vec<u32> = lists
         .verdicts(now + ms(700))
         .iter()
         .map(|verdict| verdict.list_index)
         .collect();
-    assert_eq!(places, [3]);
+    assert_eq!(indices, [3]);
 }
 
 /// After a restart of everything, 450 entries request a list of 3,000 endpoints every 100
--- a/crates/control/tests/reporter.rs
+++ b/crates/control/tests/reporter.rs
@@ -38,7 +38,7 @@
 struct Platform {
     accepted: Mutex<Vec<UsageReport>>,
     calls: Mutex<Vec<UsageReport>>,
-    highest: AtomicU64,
+    highest_fence: AtomicU64,
     /// Remaining calls that are processed but never answered. `busy` and `fenced` count
     /// remaining calls that are rejected.
     unanswered: AtomicUsize,
@@ -65,8 +65,10 @@
         if take(&self.fenced) {
             return Err(ReportError::Fenced);
         }
-        let highest = self.highest.fetch_max(report.fence, Ordering::Relaxed);
-        if report.fence < highest {
+        let highest_fence = self
+            .highest_fence
+            .fetch_max(report.fence, Ordering::Relaxed);
+        if report.fence < highest_fence {
             return Err(ReportError::Fenced);
         }
         self.accepted
@@ -106,8 +108,8 @@
             let windows = self.windows();
             if windows.len() >= count {
                 let first = windows[0].window;
-                let follow = (first..).zip(&windows).all(|(w, c)| w == c.window);
-                assert!(follow, "a window is missing: {windows:?}");
+                let consecutive = (first..).zip(&windows).all(|(w, c)| w == c.window);
+                assert!(consecutive, "a window is missing: {windows:?}");
                 return windows;
             }
             sleep(RETRY_DELAY).await;
@@ -262,7 +264,7 @@
     let client = PeerClient::new(SECRET.to_string());
     let windows = Windows::new(WINDOW);
     let mut ledger = Ledger::default();
-    let mut holder = None;
+    let mut reporter = None;
     let mut last = None;
     loop {
         sleep(RETRY_DELAY).await;
@@ -276,8 +278,8 @@
         let others = control
             .iter()
             .copied()
-            .filter(|other| Some(*other) != holder);
-        let order: Vec<SocketAddr> = holder.into_iter().chain(others).collect();
+            .filter(|other| Some(*other) != reporter);
+        let order: Vec<SocketAddr> = reporter.into_iter().chain(others).collect();
         for address in order {
             let known = last.filter(|known: &(SocketAddr, u64)| known.0 == address);
             let report = EntryUsage {
@@ -301,7 +303,7 @@
             last = Some((address, reply.instance));
             ledger.acknowledged(reply.instance, &report.windows);
             ledger.finalize_before(reply.next);
-            holder = reply.reporter;
+            reporter = reply.reporter;
             if reply.has_quorum {
                 break;
             }
@@ -329,7 +331,7 @@
 async fn report_each_window_with_all_requests() {
     let platform = Arc::new(Platform::default());
     let mut instances = vec![Instance::new("alone", &platform)];
-    // No window is closed by its deadline.
+    // Windows are closed only once all entries have reported, not by the deadline.
     if let Some(usage) = &mut instances[0].settings.usage {
         usage.deadline = TEST_TIMEOUT;
     }
--- a/crates/direct/tests/all/quarantine.rs
+++ b/crates/direct/tests/all/quarantine.rs
@@ -1,13 +1,13 @@
 //! A request that crashes the endpoints that run it.
 //!
 //! Guards against one request, retried by its caller at one entry after the other, that
-//! ends 10 to 18 endpoints in a row, with up to 41 other requests lost each time. An
-//! endpoint ends some 40 ms after it began the request; the entry sees a broken
-//! connection and responds with 502; the caller retries at another entry, which has no
-//! record of the request and places it like any other. Crashes must therefore be
-//! attributed to a request across attempts and entries. Here the same request comes to
-//! four entries in turn, with endpoints that end when they begin it and come back under
-//! another name.
+//! crashes 10 to 18 endpoints in a row, with up to 41 other requests lost each time. An
+//! endpoint crashes some 40 ms after it has started the request; the connection to the
+//! entry breaks, and the entry responds with 502; the caller retries at another entry,
+//! which has no record of the request and places it like any other. Crashes must
+//! therefore be attributed to a request across attempts and entries. Here the same
+//! request is sent to four entries in turn. Endpoints crash when they start the request,
+//! and restart under another name.
 
 use crate::control::ControlInstance;
 use crate::endpoint::{Act, ScriptedEndpoint};
@@ -44,11 +44,11 @@
 /// Timeout of waits for a condition.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Endpoints that end when they begin [`CRASH_BODY`], and come back under another name.
+/// Endpoints that crash when they start [`CRASH_BODY`], and restart under another name.
 #[derive(Clone, Debug, Default)]
 struct Fleet {
     listed: Arc<Mutex<Vec<EndpointRecord>>>,
-    ended: Arc<Mutex<usize>>,
+    crashed: Arc<Mutex<usize>>,
     concurrent: Arc<ConcurrentRequests>,
 }
 
@@ -105,12 +105,12 @@
         fleet
     }
 
-    fn ended(&self) -> usize {
-        *self.ended.lock().expect("not poisoned")
+    fn crashed(&self) -> usize {
+        *self.crashed.lock().expect("not poisoned")
     }
 
-    /// Waits until an entry has a list without ended endpoints. Otherwise it retries
-    /// unreachable endpoints after a while, up to three per request.
+    /// Waits until an entry has a list without crashed endpoints. Otherwise the entry
+    /// retries unreachable endpoints after a while, up to three per request.
     async fn wait_known_to(&self, entry: &Entry) {
         wait_until("the entry has the list", async || {
             let listed = self.listed.lock().expect("not poisoned").clone();
@@ -149,7 +149,7 @@
     async fn run_slot(self, at: usize, mut socket: TcpListener) {
         let mut id = format!("i-{at}");
         loop {
-            serve_until_crash(socket, &self.ended, &self.concurrent).await;
+            serve_until_crash(socket, &self.crashed, &self.concurrent).await;
             sleep(RESTART_DELAY).await;
             self.remove_from_list(&id);
             id.push('+');
@@ -169,7 +169,7 @@
 /// crash is counted before it becomes visible.
 async fn serve_until_crash(
     socket: TcpListener,
-    ended: &Mutex<usize>,
+    crashed: &Mutex<usize>,
     concurrent: &Arc<ConcurrentRequests>,
 ) {
     let mut connections = JoinSet::new();
@@ -180,7 +180,7 @@
                 connections.spawn(serve(stream, Arc::clone(concurrent)));
             }
             Some(Ok(Some(_crashed))) = connections.join_next() => {
-                *ended.lock().expect("not poisoned") += 1;
+                *crashed.lock().expect("not poisoned") += 1;
                 return;
             }
         }
@@ -280,18 +280,18 @@
         }
     }
 
-    /// Sends the crashing request to the entries in turn until `ended` endpoints have
-    /// ended.
-    async fn crash(&self, ended: usize) {
+    /// Sends the crashing request to the entries in turn until `crashed` endpoints have
+    /// crashed.
+    async fn crash(&self, crashed: usize) {
         let started = Instant::now();
         for (at, entry) in self.entries.iter().cycle().enumerate() {
-            let now = self.fleet.ended();
-            if now >= ended {
+            let now = self.fleet.crashed();
+            if now >= crashed {
                 return;
             }
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "{now} of {ended} endpoints end"
+                "{now} of {crashed} endpoints crash"
             );
             let id = format!("crashing-{at}");
             entry.call_as(&id, "POST /once/", "", CRASH_BODY).await;
@@ -322,7 +322,8 @@
     }
 }
 
-/// After three crashes, no entry sends the request on, and its caller gets "not run".
+/// After three crashes, no entry sends the request to an endpoint, and the caller gets
+/// "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_quarantined_at_all_entries() {
     let cluster = Cluster::start().await;
@@ -331,7 +332,7 @@
     for entry in &cluster.entries {
         cluster.fleet.wait_known_to(entry).await;
     }
-    let ended = cluster.fleet.ended();
+    let crashed = cluster.fleet.crashed();
     for entry in cluster.entries.iter().cycle().take(2 * ENTRIES) {
         let got = entry.call("POST /once/", "", CRASH_BODY).await;
         assert_eq!(got.status, 503, "{got:?}");
@@ -341,15 +342,15 @@
         assert_eq!(other.status, 200, "other requests are served");
     }
     assert_eq!(
-        cluster.fleet.ended(),
-        ended,
+        cluster.fleet.crashed(),
+        crashed,
         "the request reached no endpoint"
     );
 }
 
 /// One attempt on routes that allow five sends crashes at most two endpoints.
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_attempt_ends_at_most_two_endpoints() {
+async fn crashing_attempt_crashes_at_most_two_endpoints() {
     for path in ["POST /safe/", "POST /resumable/"] {
         let cluster = Cluster::start().await;
         let entry = &cluster.entries[0];
@@ -359,7 +360,7 @@
         }
         let got = entry.call(path, "", CRASH_BODY).await;
         assert_eq!(got.status, 502, "{path}: {got:?}");
-        assert_eq!(cluster.fleet.ended(), 2, "{path}");
+        assert_eq!(cluster.fleet.crashed(), 2, "{path}");
         let request = fingerprint_at(&path["POST ".len()..]);
         wait_until("the entry has recorded both crashes", async || {
             entry.shared.suspects.status(request).crashes == 2
@@ -367,7 +368,7 @@
         .await;
         // From now on, each attempt is sent once.
         entry.call_as("again", path, "", CRASH_BODY).await;
-        assert_eq!(cluster.fleet.ended(), 3, "{path}");
+        assert_eq!(cluster.fleet.crashed(), 3, "{path}");
     }
 }
 
@@ -384,12 +385,12 @@
         futures_util::future::join_all(calls).await
     };
     let wanted = &cluster.fleet.concurrent.wanted;
-    for ended in 1..=QUARANTINE_AFTER {
+    for crashed in 1..=QUARANTINE_AFTER {
         cluster.wait_serving().await;
         wanted.store(bodies.len(), Ordering::SeqCst);
         let crashing = cluster.entries[0].call("POST /once/", "", CRASH_BODY);
         let (all, _) = tokio::join!(run_others(), crashing);
-        assert_eq!(cluster.fleet.ended(), ended);
+        assert_eq!(cluster.fleet.crashed(), crashed);
         assert!(all.iter().all(|got| !got.body.contains("quarantined")));
         wanted.store(0, Ordering::SeqCst);
     }
@@ -422,9 +423,9 @@
     assert_eq!(entry.metric(service).await, None);
 }
 
-/// A leaving endpoint that ends with requests still running does not count as a crash.
+/// A leaving endpoint that exits with requests still running does not count as a crash.
 #[tokio::test]
-async fn ended_leaving_endpoint_not_a_crash() {
+async fn exited_leaving_endpoint_not_a_crash() {
     let entry = Entry::without_routes(&[]).await;
     entry.shared.activate_routes(RouteTable::new(route_set()));
     for at in 0..4 {
@@ -456,7 +457,7 @@
     assert_eq!(entry.metric(service).await, None);
 }
 
-/// A control instance that reports the given standing of one request.
+/// A control instance that reports the given status of one request.
 async fn control_reporting(suspect: Arc<Mutex<SuspectRequest>>) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = socket.local_addr().expect("is bound");
@@ -604,8 +605,8 @@
     .await;
 }
 
-/// Starts an entry with endpoints that end under [`CRASH_BODY`], and sends that until
-/// three have ended.
+/// Starts an entry with endpoints that crash when they start [`CRASH_BODY`], and sends
+/// that until three have crashed.
 async fn lose_three_endpoints(control: Vec<SocketAddr>) -> (Entry, Fleet) {
     let fleet = Fleet::start(ENDPOINTS).await;
     let list = Box::new(fleet.clone());
@@ -615,7 +616,7 @@
         entry.call("GET /safe/", "", "").await.status == 200
     })
     .await;
-    while fleet.ended() < QUARANTINE_AFTER {
+    while fleet.crashed() < QUARANTINE_AFTER {
         entry.call("POST /once/", "", CRASH_BODY).await;
     }
     wait_until("the entry has recorded the crashes", async || {
@@ -625,11 +626,12 @@
     (entry, fleet)
 }
 
-/// Guards against an entry that quarantines an innocent request. The request was lost
-/// with four endpoints there, but the one that crashed them had come to another entry;
-/// control, which had received both, did not blame it.
+/// Guards against an entry that quarantines the wrong request. The request was lost with
+/// four endpoints at that entry, but the request that crashed them had been sent by
+/// another entry. Control had received the reports of both entries and did not quarantine
+/// the first request.
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_with_control_blames_nobody() {
+async fn entry_with_control_quarantines_nothing() {
     let control = control_reporting(Arc::default()).await;
     let (entry, fleet) = lose_three_endpoints(vec![control]).await;
     // Long enough for an entry to act on its own observations if control were
@@ -639,14 +641,14 @@
     for _ in 0..5 {
         entry.shared.suspects.refresh().await;
     }
-    let ended = fleet.ended();
+    let crashed = fleet.crashed();
     let got = entry.call("POST /once/", "", CRASH_BODY).await;
-    assert_eq!(fleet.ended(), ended + 1, "the request is sent: {got:?}");
+    assert_eq!(fleet.crashed(), crashed + 1, "the request is sent: {got:?}");
 }
 
 /// Without control, an entry eventually acts on its own observations.
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_without_control_blames_by_itself() {
+async fn entry_without_control_quarantines_by_itself() {
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     let (entry, _fleet) = lose_three_endpoints(vec![unused_address]).await;
     wait_until("the entry quarantines the request", async || {
--- a/crates/direct/tests/all/staleness.rs
+++ b/crates/direct/tests/all/staleness.rs
@@ -1,4 +1,4 @@
-//! Placement from a list that is too old, and the second admission check before sending.
+//! Placement from an expired list, and the second admission check before sending.
 
 use crate::dialect::PlainHeaders;
 use dogwoodhill_core::prelude::*;
@@ -20,8 +20,8 @@
 use tokio::net::TcpListener;
 use tokio::task::yield_now;
 
-/// Bound for requests to leaving endpoints: so short that a list one second old is too
-/// old.
+/// Bound for requests to leaving endpoints: so short that a list one second old has
+/// expired.
 const LEAVING_WITHIN: Duration = Duration::from_secs(1);
 
 fn listed(address: SocketAddr, leaving: bool) -> EndpointRecord {
@@ -43,7 +43,7 @@
 /// longer than the bound. A request received then must wait for the list read in
 /// progress.
 #[tokio::test(start_paused = true)]
-async fn overdue_list_awaits_newer_list() {
+async fn expired_list_awaits_newer_list() {
     let directory = Arc::new(Directory::new("here".to_string()));
     let tracker = Arc::new(ListTracker::new(LEAVING_WITHIN));
     let before = uptime() - LEAVING_WITHIN;
@@ -78,7 +78,7 @@
 
 /// Without a new list, only the first request waits briefly, and the old list is used.
 #[tokio::test(start_paused = true)]
-async fn overdue_list_delays_requests_once() {
+async fn expired_list_delays_requests_once() {
     let directory = Directory::new("here".to_string());
     let tracker = ListTracker::new(LEAVING_WITHIN);
     let before = uptime() - LEAVING_WITHIN;
