--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -80,23 +80,23 @@
             wait: Duration::from_millis(200),
         };
         let call = client.call(self.settings.internal, ROUTES_PATH, &request);
-        let answer: ControlReply<RoutesStatus> =
+        let reply: ControlReply<RoutesStatus> =
             timeout(Duration::from_secs(4), call).await.ok()?.ok()?;
-        answer.ok()
+        reply.ok()
     }
 
     /// Sends a report of an entry repeatedly until a response contains a quarantined
     /// request.
-    async fn wait_for_quarantine(&self, tell: &DemandReport) {
+    async fn wait_for_quarantine(&self, report: &DemandReport) {
         let client = PeerClient::new(SECRET.to_string());
         let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < end {
-            let call = client.call(self.settings.internal, DEMAND_PATH, tell);
-            let answer: Option<DemandReply> = timeout(Duration::from_secs(4), call)
+            let call = client.call(self.settings.internal, DEMAND_PATH, report);
+            let reply: Option<DemandReply> = timeout(Duration::from_secs(4), call)
                 .await
                 .ok()
                 .and_then(Result::ok);
-            let suspects = answer.and_then(|totals| totals.suspects);
+            let suspects = reply.and_then(|totals| totals.suspects);
             let requests = suspects.map_or_else(Vec::new, |suspects| suspects.requests);
             if requests.iter().any(|request| request.remaining.is_some()) {
                 return;
@@ -144,11 +144,11 @@
         source: source(version),
     });
     let call = client.call(instance.settings.internal, "/internal/submit", &action);
-    let answer: Option<ControlReply<Reply>> = timeout(Duration::from_secs(2), call)
+    let reply: Option<ControlReply<Reply>> = timeout(Duration::from_secs(2), call)
         .await
         .ok()
         .and_then(Result::ok);
-    matches!(answer, Some(Ok(Reply::Routes(current))) if current >= version)
+    matches!(reply, Some(Ok(Reply::Routes(current))) if current >= version)
 }
 
 /// Tries all instances until the leader accepts.
@@ -258,7 +258,7 @@
     }
 }
 
-/// Three endpoints end while running a request, and then all processes are killed.
+/// Three endpoints crash while running a request, and then all processes are killed.
 /// Afterwards every instance still returns the request as quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantine_survives_all_processes() {
@@ -354,9 +354,9 @@
 
 /// Guards against a drain that waits for long polls. Such an instance stayed up for
 /// seconds with its listeners closed until the others removed it as failed. It then
-/// rejoined with a seat just before it ended. The cluster kept a place that was never
-/// filled, could not replace the next lost member and had no majority after the loss that
-/// followed.
+/// rejoined with a seat just before its process exited. That seat was never filled, so
+/// the cluster could not replace the next lost member and had no majority after the loss
+/// that followed.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_ends_polls() {
     let (mut instances, _) =
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -170,9 +170,9 @@
     suspended_until: Duration,
 }
 
-/// Random walk over machines that acquire leases, act, freeze, restart, stop and lose
-/// their state, with calls that are processed late, a log index that only increases and a
-/// cluster time that lags behind.
+/// Random walk over machines that acquire leases, act, are suspended, restart, stop and
+/// lose their state, with calls that are processed late, a log index that only increases
+/// and a cluster time that lags behind real time.
 #[test]
 fn random_walk_has_one_holder_per_fence() {
     const STEPS: usize = 1_000_000;
@@ -207,9 +207,9 @@
         request.duration = LEASE + GRACE;
         match random.random_range(0..100) {
             0..30 => {
-                let answer = duties.acquire(index, cluster, &request);
+                let outcome = duties.acquire(index, cluster, &request);
                 let lost = random.random_ratio(1, 10);
-                if let (AcquireOutcome::Held(fence), false) = (answer, lost) {
+                if let (AcquireOutcome::Held(fence), false) = (outcome, lost) {
                     local.held[subject] = Some((fence, now + LEASE));
                 }
             }
--- a/crates/direct/tests/all/abandoned.rs
+++ b/crates/direct/tests/all/abandoned.rs
@@ -1,4 +1,4 @@
-//! Requests that were given up while their bytes were still in transit.
+//! Requests that were abandoned while their bytes were still in transit.
 //!
 //! Guards against requests that run at an endpoint seconds after it was shown as leaving.
 //! The network path to the endpoint is blocked: the entry writes a request, gets no
--- a/crates/direct/tests/all/outcomes.rs
+++ b/crates/direct/tests/all/outcomes.rs
@@ -150,7 +150,7 @@
 }
 
 /// Endpoints respond later than the objective, and the budget does not cover a resend:
-/// giving up the wait would gain nothing, so the request is served by the slow endpoint.
+/// abandoning the slow endpoint would gain nothing, so the request is served by it.
 #[tokio::test]
 async fn slow_response_awaited_without_budget() {
     let slow = || vec![Act::Slow(Duration::from_millis(700), "late"); 4];
