--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -209,8 +209,7 @@
     Some(first)
 }
 
-/// User and system time of this process so far, from `/proc/self/stat`, in steps of 10
-/// ms.
+/// User and system time of this process so far, in steps of 10 ms (`/proc/self/stat`).
 pub fn cpu_time() -> Duration {
     /// `USER_HZ`, the unit of times in `/proc`.
     const TICKS_PER_SECOND: u64 = 100;
@@ -227,8 +226,7 @@
     )
 }
 
-/// Resident memory of this process in bytes, from `/proc/self/statm`, with pages of 4
-/// KiB.
+/// Resident memory of this process in bytes (`/proc/self/statm`, pages of 4 KiB).
 pub fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -65,7 +65,7 @@
     pub max_tokens: u32,
 }
 
-/// One scenario: calm load, a burst, calm load again, and faults in between.
+/// One scenario: calm load, a burst and calm load again, with faults injected meanwhile.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Name in the results and for `--only`.
--- a/crates/load/src/slopes.rs
+++ b/crates/load/src/slopes.rs
@@ -18,7 +18,7 @@
 /// One value measured at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Size.
+    /// Size at which the value was measured, such as a number of endpoints.
     pub x: f64,
     /// Value measured at this size.
     pub y: f64,
@@ -75,8 +75,7 @@
         self.rows.push(row.to_vec());
     }
 
-    /// Formats the table as Markdown, with the fitted line of each column in the last
-    /// row.
+    /// Formats the table as Markdown; the last row has the fitted line of each column.
     pub fn to_markdown(&self) -> String {
         let mut output = format!("\n### {}\n\n|", self.title);
         for column in &self.columns {
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -15,10 +15,10 @@
 /// Longest answer to a request without `max_tokens`.
 const MAX_DRAWN_TOKENS: u64 = 256;
 
-/// The fields of a completion request that affect the answer.
+/// The fields of a completion request that a simulated engine reads.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct CompletionRequest {
-    /// Model name; ignored.
+    /// Model name; does not affect the answer.
     #[serde(default)]
     pub model: String,
     /// Messages of a chat; empty for a text completion.
