--- a/tests/all/overload.rs
+++ b/tests/all/overload.rs
@@ -49,8 +49,8 @@
 async fn shedding_spares_urgent_class() {
     let suite = Suite::parse("small", SUITE).unwrap();
     let policy = dogwoodhill::policy::placement::Policy::Predicted;
-    let bench = Deployment::start(&suite, policy).await;
-    let entry = bench.entries()[0];
+    let deployment = Deployment::start(&suite, policy).await;
+    let entry = deployment.entries()[0];
     // Two of these run and five are queued.
     let patient: Vec<_> = (0..7)
         .map(|_| tokio::spawn(complete(entry, "patient", 40)))
@@ -93,5 +93,5 @@
         outcomes[0] >= 4,
         "at most one patient request is shed per urgent request: {outcomes:?}"
     );
-    bench.stop().await;
+    deployment.stop().await;
 }
