--- a/crates/direct/src/directory/endpoint.rs
+++ b/crates/direct/src/directory/endpoint.rs
@@ -64,7 +64,7 @@
     /// Prefill rate, shared by the endpoints of the service.
     prefill_rate: Arc<Mutex<PrefillRate>>,
     estimates: Mutex<Estimates>,
-    /// Time and result of the last check whether the process has ended.
+    /// Time and result of the last check whether the process has exited.
     last_check: tokio::sync::Mutex<Option<(Instant, bool)>>,
     pub(super) admission: Admission,
 }
@@ -163,7 +163,7 @@
         Incarnation::new(self.id.clone(), self.process_start.get().copied())
     }
 
-    /// Whether `run` may be this one; an unknown start matches any.
+    /// Whether `run` may be the run of this endpoint; an unknown start matches any.
     pub(super) fn runs_as(&self, run: &Incarnation) -> bool {
         let same = match (self.process_start.get(), run.start) {
             (Some(own), Some(other)) => *own == other,
@@ -254,29 +254,29 @@
         self.estimates().record.idle_time(now)
     }
 
-    /// Whether the process has ended since `broke`, when a connection to it broke, so
+    /// Whether the process has exited since a connection to it broke at `broken_at`, so
     /// that new connections are refused. False for an endpoint that was shutting down
-    /// anyway.
-    pub async fn has_ended(&self, broke: Instant) -> bool {
+    /// anyway, and if the connection attempt times out.
+    pub async fn has_exited(&self, broken_at: Instant) -> bool {
         if self.leaving() {
             return false;
         }
         // Connections that break together are checked together.
         let mut last = self.last_check.lock().await;
-        if let Some((at, ended)) = *last
-            && at >= broke
+        if let Some((at, exited)) = *last
+            && at >= broken_at
         {
-            return ended;
+            return exited;
         }
         let at = Instant::now();
-        // A process that ends closes its sockets one after the other, and may have
+        // A process that exits closes its sockets one after the other, and may have
         // accepted the new connection before it closed its listener.
-        let ended = match self.refuses_connections().await {
-            Some(ended) => ended,
+        let exited = match self.refuses_connections().await {
+            Some(exited) => exited,
             None => self.refuses_connections().await.unwrap_or(false),
         };
-        *last = Some((at, ended));
-        ended
+        *last = Some((at, exited));
+        exited
     }
 
     /// Whether new connections are refused; `None` if one was made but closed again.
@@ -328,15 +328,15 @@
         self.pool.clear();
     }
 
-    /// Whether a request that has waited there for `waited` should move to another
-    /// endpoint.
+    /// Whether a request that has waited at this endpoint for `waited` should move to
+    /// another one.
     pub fn should_abandon(&self, waited: Duration) -> bool {
         let now = self.start.elapsed();
         let sent = now.saturating_sub(waited);
         self.estimates().record.should_abandon(now, sent)
     }
 
-    /// Records that the process has restarted as another endpoint.
+    /// Records that a newer run of the process has replaced this one.
     pub(super) fn mark_superseded(&self) {
         let now = self.start.elapsed();
         self.estimates().record.mark_superseded(now);
@@ -357,12 +357,12 @@
     }
 
     /// Observations since the last report to control, if any.
-    pub(crate) fn take_sighting(&self) -> Option<HealthReport> {
+    pub(crate) fn take_health_report(&self) -> Option<HealthReport> {
         let now = self.start.elapsed();
         self.estimates().record.take_report(now)
     }
 
-    /// Applies the verdict of all entries; `None` if there is none.
+    /// Applies control's verdict; `None` clears it.
     pub(crate) fn set_verdict(&self, verdict: Option<Verdict>) {
         if verdict == Some(Verdict::Replaced) {
             self.mark_replaced();
