--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -33,9 +33,9 @@
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = now.saturating_sub(transit);
         let choice = if report.preferred {
-            ControlChoice::First
+            ControlChoice::Primary
         } else {
-            ControlChoice::Second
+            ControlChoice::Fallback
         };
         let reported = report.limits.iter().take(MAX_LIMITS);
         let granted = reported.filter_map(|reported| {
@@ -51,9 +51,16 @@
     /// `known`.
     pub fn current(&self, now: Duration, known: u64) -> Option<EndpointLimits> {
         let mut tracked = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
-        let limits = tracked.observations(now).map(|(run, observed)| {
+        let limits = tracked.observations(now).map(|(run, observation)| {
             let wanted = 0;
-            EndpointLimit::new(now, run.clone(), LimitReport { observed, wanted })
+            EndpointLimit::new(
+                now,
+                run.clone(),
+                LimitReport {
+                    observation,
+                    wanted,
+                },
+            )
         });
         let limits: Vec<EndpointLimit> = limits.collect();
         let hash = content_hash(&limits);
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -45,13 +45,13 @@
 impl Endpoint {
     /// Applies the rate limit named in a response of the endpoint.
     pub fn apply_named_limit(&self, limit: Limit) {
-        if limit == Limit::Unreadable {
+        if limit == Limit::Invalid {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
         // Most endpoints name no limit.
-        if limit != Limit::Unnamed || self.is_limited() {
+        if limit != Limit::Absent || self.is_limited() {
             self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
     }
@@ -123,7 +123,7 @@
     /// Whether the endpoint admits a request now.
     pub(super) fn admits(&self) -> bool {
         let available = self.check_available().is_ok();
-        available && (!self.is_limited() || self.permits().demand(uptime()))
+        available && (!self.is_limited() || self.permits().record_demand(uptime()))
     }
 
     /// Time until the endpoint is expected to admit a request.
@@ -209,12 +209,12 @@
 
     /// Control is unreachable: this entry, one of `entries`, limits its own rate.
     pub(super) fn begin_autonomy(&self, entries: u32) {
-        self.permits().begin_autonomy(entries, rand::random());
+        self.permits().begin_local_permits(entries, rand::random());
     }
 
     /// Control is reachable again.
     pub(super) fn end_autonomy(&self) {
-        self.permits().end_autonomy();
+        self.permits().end_local_permits();
     }
 
     fn permits(&self) -> MutexGuard<'_, Permits> {
--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -70,7 +70,7 @@
             return false;
         };
         if let Some(report) = limit.read(requested_at) {
-            endpoint.apply_shared_limit(report.observed);
+            endpoint.apply_shared_limit(report.observation);
         }
         true
     }
--- a/crates/policy/src/permits.rs
+++ b/crates/policy/src/permits.rs
@@ -1,6 +1,6 @@
 //! Limits on request rates that endpoints announce, enforced across all entries.
 //!
-//! An endpoint under pressure may announce that it takes, for example, one request per
+//! An overloaded endpoint may announce that it accepts, for example, one request per
 //! second. Entries that throttle independently exceed that: nine entries that each send
 //! one request in two seconds send more than four times the limit. Static shares do not
 //! help either: of 300 entries each may send one request occasionally, and if all do so
@@ -12,18 +12,20 @@
 //!
 //! Invariants, for a limit of N requests per second:
 //!
-//! * Within any time t, one instance hands out at most `0.8 N t + max(1, 0.4 N)` permits
-//!   to entries that use it as their first choice, and these are used within
-//!   [`PERMIT_VALIDITY`]. Entries whose first choice did not answer get a quarter of that
-//!   in total, however many they are. Both together, and two instances that are both the
-//!   first choice for a second while entries switch over, stay below `1.5 N t + 5`
-//!   requests in four seconds.
+//! * Within any t seconds, one instance grants at most
+//!   `max(0.8 N, 0.1) t + max(1, 0.4 N)` permits to all entries that use it as their
+//!   first choice, and at most `max(0.2 N, 0.1) t + max(1, 0.1 N)` to all entries whose
+//!   first choice did not answer. Permits are used within [`PERMIT_VALIDITY`].
+//! * Within any four seconds, the endpoint receives at most `6 N + 5` requests, even if
+//!   two instances are the first choice of some entries for one second during a
+//!   switch-over.
 //! * Permits are issued, if slowly, as long as any entry requests them, also where the
 //!   limit is zero: an endpoint that gets no requests cannot announce a higher limit.
 //! * The newest observation wins. The end of a limit is accepted only some time after the
 //!   limit was last announced, since responses overtake each other.
-//! * An entry without contact to control sends at a rate that stays below the limit if
-//!   all entries do the same, spread over time at random.
+//! * Entries that cannot reach control issue their own permits. Together they send at
+//!   half of the limit, or 0.05 requests per second if that is more, at times drawn at
+//!   random.
 
 use derive_more::Display;
 use dogwoodhill_core::prelude::*;
@@ -38,32 +40,33 @@
 /// answer. Small, since the first choice may grant its own share to all other entries
 /// meanwhile.
 const FALLBACK_SHARE: f64 = 0.2;
-/// Most seconds' worth of an instance's share that is granted at once: the interval at
-/// which entries report.
+/// Capacity of a bucket, in seconds of its share of the limit: the interval at which
+/// entries report.
 const BURST_SECONDS: f64 = 0.5;
 /// Lowest rate granted for a limited endpoint, in requests per second.
 const MIN_RATE: f64 = 0.1;
-/// Time after a limit was last announced from which a response without one ends it.
+/// A response without a limit removes the limit only if it arrives at least this long
+/// after the last response with one, since responses may arrive out of order.
 const REMOVAL_DELAY: Duration = Duration::from_millis(300);
-/// How long a limit is kept that no entry reports.
+/// Time without a report after which a limit is dropped.
 const RETENTION: Duration = Duration::from_secs(60);
-/// Endpoints whose limits are kept: eight times the design size.
+/// Maximum number of endpoints whose limits are stored: eight times the design size.
 const MAX_KNOWN: usize = 10_000;
-/// Fraction of a limit that all entries without control use together.
-const AUTONOMOUS_SHARE: f64 = 0.5;
+/// Fraction of a limit that all entries together use while control cannot be reached.
+const LOCAL_SHARE: f64 = 0.5;
 
 /// Upper bound of a rate, in requests per second: more than any endpoint serves, so a
-/// higher limit is no limit in effect.
+/// higher limit would have no effect.
 const MAX_RATE: f64 = 100_000.0;
 
-/// Requests per second that an endpoint takes from all entries together.
+/// Requests per second that an endpoint accepts from all entries together.
 #[derive(Clone, Copy, Debug, Display, PartialEq, PartialOrd)]
 #[display("{_0}")]
 pub struct Rate(f64);
 
 impl Rate {
-    /// Returns `None` unless `per_second` is finite and not negative. Rates above 100,000
-    /// requests per second are lowered to that.
+    /// Creates a rate, capped at 100,000 requests per second. Returns `None` unless
+    /// `per_second` is finite and not negative.
     pub fn new(per_second: f64) -> Option<Self> {
         let valid = per_second.is_finite() && per_second >= 0.0;
         valid.then(|| Self(per_second.min(MAX_RATE)))
@@ -81,35 +84,35 @@
     /// The response carries no limit.
     #[default]
     #[display("none")]
-    Unnamed,
+    Absent,
     /// The response carries this limit.
     #[display("{_0}")]
-    Named(Rate),
+    Announced(Rate),
     /// The response carries a limit that cannot be parsed.
     #[display("unreadable")]
-    Unreadable,
+    Invalid,
 }
 
 impl Limit {
-    /// Parses the values of a limit header, in requests per second: the lowest value that
-    /// can be parsed counts.
+    /// Parses the values of a limit header, in requests per second, and returns the lowest
+    /// valid one.
     pub fn from_values<'a>(values: impl Iterator<Item = &'a str>) -> Self {
-        values.fold(Self::Unnamed, |limit, value| {
+        values.fold(Self::Absent, |limit, value| {
             let rate = value.trim().parse().ok().and_then(Rate::new);
             match (limit, rate) {
-                (Self::Named(lowest), Some(rate)) if lowest <= rate => limit,
-                (_, Some(rate)) => Self::Named(rate),
-                (Self::Unnamed, None) => Self::Unreadable,
+                (Self::Announced(lowest), Some(rate)) if lowest <= rate => limit,
+                (_, Some(rate)) => Self::Announced(rate),
+                (Self::Absent, None) => Self::Invalid,
                 (_, None) => limit,
             }
         })
     }
 }
 
-/// The state of an endpoint's limit at one time.
+/// The limit of an endpoint according to one of its responses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// `None` once the endpoint announces no limit any more.
+    /// `None` if the endpoint no longer announces a limit.
     pub rate: Option<Rate>,
     /// When the response arrived.
     pub at: Duration,
@@ -132,23 +135,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
     observation: Option<Observation>,
-    /// Expiry of each grant and the permits left of it.
+    /// Expiry time and number of unused permits of each grant by control.
     grants: Vec<(Duration, u32)>,
-    /// Requests that were to be placed since the last report.
+    /// Requests since the last report for which a permit was requested.
     demand: u32,
     /// When the last report that control accepted was made.
-    reported: Option<Duration>,
-    /// When a response last changed the observation.
-    observed: Option<Duration>,
-    autonomy: Option<Autonomy>,
+    reported_at: Option<Duration>,
+    /// When a response received by this entry last replaced the observation.
+    observed_at: Option<Duration>,
+    /// Permits issued by the entry itself, while it cannot reach control.
+    local: Option<LocalPermits>,
 }
 
 /// An entry's report to control on one endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
-    /// The newest observation that the entry has.
-    pub observed: Observation,
-    /// Permits that the entry could use.
+    /// The entry's newest observation.
+    pub observation: Observation,
+    /// Number of permits requested.
     pub wanted: u32,
 }
 
@@ -163,27 +167,27 @@
     /// Records a response of the endpoint itself. Returns whether the limit changed.
     pub fn observe(&mut self, now: Duration, limit: Limit) -> bool {
         let rate = match limit {
-            Limit::Named(rate) => Some(rate),
-            Limit::Unnamed if self.rate().is_some() => None,
+            Limit::Announced(rate) => Some(rate),
+            Limit::Absent if self.rate().is_some() => None,
             // A limit that cannot be parsed leaves the known one in force.
-            Limit::Unnamed | Limit::Unreadable => return false,
+            Limit::Absent | Limit::Invalid => return false,
         };
         let observation = Observation { rate, at: now };
         let before = self.rate();
         if self.apply(observation) {
-            self.observed = Some(now);
+            self.observed_at = Some(now);
         }
         self.rate() != before
     }
 
-    /// Records the observation that control distributes. Returns whether the limit
-    /// changed.
+    /// Records an observation received from control. Returns whether the limit changed.
     pub fn merge(&mut self, observation: Observation) -> bool {
         let before = self.rate();
         self.apply(observation);
         self.rate() != before
     }
 
+    /// Replaces the observation if the given one supersedes it. Returns whether it did.
     fn apply(&mut self, observation: Observation) -> bool {
         let newer = observation.supersedes(self.observation.as_ref());
         if newer {
@@ -193,7 +197,8 @@
         newer
     }
 
-    /// Reduces the permits in proportion to a lower limit.
+    /// Adapts the granted permits to a new limit: a lower limit reduces them in
+    /// proportion, and a limit that is added or removed cancels them.
     fn scale_grants(&mut self, rate: Option<Rate>) {
         let (Some(before), Some(now)) = (self.rate(), rate) else {
             self.grants.clear();
@@ -212,9 +217,9 @@
         self.observation.and_then(|observation| observation.rate)
     }
 
-    /// Whether a request may be sent now. If the endpoint is limited, the request is
-    /// counted as demand for a permit.
-    pub fn demand(&mut self, now: Duration) -> bool {
+    /// Returns whether a request may be sent now. If the endpoint is limited, the request
+    /// is counted as demand for a permit.
+    pub fn record_demand(&mut self, now: Duration) -> bool {
         if self.rate().is_some() {
             self.demand = self.demand.saturating_add(1);
         }
@@ -227,8 +232,8 @@
             return true;
         };
         let valid = |grant: &(Duration, u32)| grant.0 > now && grant.1 > 0;
-        let autonomous = || self.autonomy.is_some_and(|own| own.is_open(now, rate));
-        self.grants.iter().any(valid) || autonomous()
+        let local_permit = || self.local.is_some_and(|local| local.is_open(now, rate));
+        self.grants.iter().any(valid) || local_permit()
     }
 
     /// Takes a permit for a request whose first byte is sent now; `None` if there is
@@ -243,7 +248,7 @@
             let until = Some(grant.0);
             return Some(Permit { until });
         }
-        self.autonomy.as_mut()?.take(now, rate)
+        self.local.as_mut()?.take(now, rate)
     }
 
     /// Drops expired grants and returns the number of valid permits.
@@ -253,57 +258,63 @@
         self.grants.iter().map(|(_, left)| left).sum()
     }
 
-    /// The next report to control: `None` if nothing was observed since the last one and
-    /// no permits are needed. Resets the counted demand.
+    /// The next report to control. `None` if no response received by this entry replaced
+    /// the observation since the last report that control accepted, and no further permits
+    /// are needed. Resets the counted demand.
     pub fn report(&mut self, now: Duration) -> Option<LimitReport> {
-        let observed = self.observation?;
+        let observation = self.observation?;
         let wanted = std::mem::take(&mut self.demand);
         let wanted = wanted.saturating_sub(self.remaining(now));
-        let unreported = self.observed > self.reported;
-        (unreported || wanted > 0).then_some(LimitReport { observed, wanted })
+        let unreported = self.observed_at > self.reported_at;
+        (unreported || wanted > 0).then_some(LimitReport {
+            observation,
+            wanted,
+        })
     }
 
-    /// Records that control accepted the report made at `reported` and granted `permits`.
-    pub fn receive_grant(&mut self, reported: Duration, permits: u32) {
-        self.reported = Some(reported);
-        self.autonomy = None;
+    /// Records that control accepted the report made at `reported_at` and granted
+    /// `permits`.
+    pub fn receive_grant(&mut self, reported_at: Duration, permits: u32) {
+        self.reported_at = Some(reported_at);
+        self.local = None;
         if permits > 0 && self.rate().is_some() {
-            self.grants.push((reported + PERMIT_VALIDITY, permits));
+            self.grants.push((reported_at + PERMIT_VALIDITY, permits));
         }
     }
 
-    /// Starts sending without permits, after control was out of reach for a while. The
-    /// limit is divided among `entries`; `phase`, from 0 to 1, is to be drawn at random
-    /// for each endpoint.
-    pub fn begin_autonomy(&mut self, entries: u32, phase: f64) {
-        self.autonomy.get_or_insert(Autonomy {
+    /// Lets the entry issue its own permits, because it cannot reach control. `entries` is
+    /// the number of entries among which half of the limit is divided; `phase`, from 0 to
+    /// 1, is to be drawn at random for each endpoint.
+    pub fn begin_local_permits(&mut self, entries: u32, phase: f64) {
+        self.local.get_or_insert(LocalPermits {
             entries: entries.max(1),
             phase,
             used: None,
         });
     }
 
-    /// Requires permits again, once a control instance is reachable.
-    pub fn end_autonomy(&mut self) {
-        self.autonomy = None;
+    /// Requires permits granted by control again, once a control instance is reachable.
+    pub fn end_local_permits(&mut self) {
+        self.local = None;
     }
 }
 
-/// Sending without control: one request in each of the entry's periods, soon after the
-/// period's start or not at all, so that entries do not accumulate requests and send them
-/// at once.
+/// Permits that an entry issues itself while it cannot reach control: one in each period,
+/// valid for [`PERMIT_VALIDITY`] from the period's start, so that unused permits do not
+/// accumulate.
 #[derive(Clone, Copy, Debug)]
-struct Autonomy {
+struct LocalPermits {
     entries: u32,
+    /// Offset of this entry's periods, as a fraction of their length.
     phase: f64,
-    /// The last period in which a request was sent.
+    /// Number of the last period whose permit was taken.
     used: Option<u64>,
 }
 
-impl Autonomy {
-    /// The number of the current period, and the end of its time to send.
+impl LocalPermits {
+    /// The number of the current period and the expiry time of its permit.
     fn period(&self, now: Duration, rate: Rate) -> (u64, Duration) {
-        let rate = rate.per_second().max(MIN_RATE) * AUTONOMOUS_SHARE;
+        let rate = rate.per_second().max(MIN_RATE) * LOCAL_SHARE;
         let length = f64::from(self.entries) / rate;
         let number = (now.as_secs_f64() / length + self.phase).floor();
         let start = (number - self.phase) * length;
@@ -311,6 +322,7 @@
         (number as u64, end)
     }
 
+    /// Whether the permit of the current period is valid and unused.
     fn is_open(&self, now: Duration, rate: Rate) -> bool {
         let (period, end) = self.period(now, rate);
         now < end && self.used != Some(period)
@@ -326,7 +338,8 @@
     }
 }
 
-/// The limits of all endpoints and their permits, at one control instance.
+/// The limits of all endpoints, and the permits that one control instance can grant for
+/// them.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     /// Sorted by endpoint name.
@@ -337,19 +350,19 @@
 struct LimitedEndpoint {
     run: Incarnation,
     observation: Observation,
-    /// When an entry last reported it.
-    reported: Duration,
-    /// For entries that use this instance as first choice.
+    /// When an entry last reported the limit.
+    reported_at: Duration,
+    /// For entries that use this instance as first choice ([`ControlChoice::Primary`]).
     first: Bucket,
     /// For entries whose first choice did not answer.
-    second: Bucket,
+    fallback: Bucket,
 }
 
 /// Token bucket of permits.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     permits: f64,
-    /// When `permits` was last brought up to date.
+    /// When `permits` was last refilled.
     updated: Duration,
 }
 
@@ -378,34 +391,35 @@
         Self {
             run,
             observation,
-            reported: now,
+            reported_at: now,
             first: Bucket::empty(now),
-            second: Bucket::empty(now),
+            fallback: Bucket::empty(now),
         }
     }
 
+    /// Takes up to `wanted` permits out of the bucket of `choice`.
     fn grant(&mut self, now: Duration, wanted: u32, choice: ControlChoice) -> u32 {
         let Some(rate) = self.observation.rate else {
             return 0;
         };
         let rate = rate.per_second();
         let (bucket, share) = match choice {
-            ControlChoice::First => (&mut self.first, PRIMARY_SHARE),
-            ControlChoice::Second => (&mut self.second, FALLBACK_SHARE),
+            ControlChoice::Primary => (&mut self.first, PRIMARY_SHARE),
+            ControlChoice::Fallback => (&mut self.fallback, FALLBACK_SHARE),
         };
         let capacity = (rate * share * BURST_SECONDS).max(1.0);
         bucket.take(now, (rate * share).max(MIN_RATE), capacity, wanted)
     }
 }
 
-/// Rank, in an entry's order of control instances, of the one it reports to.
+/// Whether an entry reports to the control instance that it prefers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ControlChoice {
     /// The instance that all entries prefer.
     #[default]
-    First,
-    /// Another instance, since the preferred one did not answer.
-    Second,
+    Primary,
+    /// Any other instance, since the preferred one did not answer.
+    Fallback,
 }
 
 impl Limits {
@@ -421,30 +435,31 @@
         let found = self
             .limited
             .binary_search_by(|endpoint| endpoint.run.id.cmp(&run.id));
-        let at = match found {
-            Ok(at) => at,
+        let index = match found {
+            Ok(index) => index,
             Err(_)
-                if self.limited.len() >= MAX_KNOWN || report.observed.rate.is_none() =>
+                if self.limited.len() >= MAX_KNOWN
+                    || report.observation.rate.is_none() =>
             {
                 return 0;
             }
-            Err(at) => {
-                let endpoint = LimitedEndpoint::new(now, run.clone(), report.observed);
-                self.limited.insert(at, endpoint);
-                at
+            Err(index) => {
+                let endpoint = LimitedEndpoint::new(now, run.clone(), report.observation);
+                self.limited.insert(index, endpoint);
+                index
             }
         };
-        let endpoint = &mut self.limited[at];
+        let endpoint = &mut self.limited[index];
         match run.cmp_start(&endpoint.run) {
             Ordering::Less => return 0,
             Ordering::Greater => {
-                *endpoint = LimitedEndpoint::new(now, run.clone(), report.observed);
+                *endpoint = LimitedEndpoint::new(now, run.clone(), report.observation);
             }
             Ordering::Equal => {}
         }
-        endpoint.reported = now;
-        if report.observed.supersedes(Some(&endpoint.observation)) {
-            endpoint.observation = report.observed;
+        endpoint.reported_at = now;
+        if report.observation.supersedes(Some(&endpoint.observation)) {
+            endpoint.observation = report.observation;
         }
         endpoint.grant(now, report.wanted, choice)
     }
@@ -456,7 +471,7 @@
         now: Duration,
     ) -> impl Iterator<Item = (&Incarnation, Observation)> {
         self.limited
-            .retain(|endpoint| now.saturating_sub(endpoint.reported) < RETENTION);
+            .retain(|endpoint| now.saturating_sub(endpoint.reported_at) < RETENTION);
         self.limited
             .iter()
             .map(|endpoint| (&endpoint.run, endpoint.observation))
--- a/crates/policy/src/shared_health.rs
+++ b/crates/policy/src/shared_health.rs
@@ -1,11 +1,12 @@
 //! Endpoint health as observed by all entries together: replaced, silent or failing.
 //!
-//! Suppose thirty of 180 endpoints fall silent, or crash and are replaced, while the list
-//! still names them. If each of a hundred entries detects that on its own, by a request
-//! that times out after half a second or is refused, thousands of requests fail for what
-//! the first few of them revealed. A refused request has used up one of its attempts, and
-//! some requests have only one. An endpoint that fails a part of its requests is detected
-//! even later, as one entry sends it a request only every ten seconds.
+//! Suppose thirty of 180 endpoints stop responding, or crash and are replaced, while the
+//! list still contains them. If each of a hundred entries detects that on its own, by a
+//! request that times out after half a second or is refused, thousands of requests fail
+//! although the first few failures already showed the cause. A refused request has used
+//! one of its attempts, and some requests have only one. An endpoint that fails part of
+//! its requests is detected even later, as each entry sends it a request only every ten
+//! seconds.
 //!
 //! Entries therefore report their observations to one control instance
 //! ([`HealthReport`]), at once if an endpoint was lost, and receive its verdicts on
@@ -13,55 +14,57 @@
 //!
 //! Invariants:
 //!
-//! * The report of a single entry never removes an endpoint from the others: two entries
-//!   must have made the same observation.
-//! * An endpoint from which any entry received data after that is neither silent nor
-//!   replaced. An entry behind a network partition, or one that was refused for too many
-//!   connections, therefore does not affect the others.
-//! * Every verdict expires soon unless new reports confirm it, except that an endpoint
-//!   was replaced: its old run does not come back.
+//! * The reports of a single entry never cause a verdict: two entries must have made the
+//!   same observation.
+//! * An endpoint from which any entry received data after the older of these two reports
+//!   is neither silent nor replaced. An entry behind a network partition, or one whose
+//!   connections are refused because it opened too many, therefore does not affect the
+//!   other entries.
+//! * Verdicts expire within seconds unless new reports confirm them. Only
+//!   [`Verdict::Replaced`] does not expire, since a run that ended does not return.
 
 use std::time::Duration;
 
-/// How long a report of an unreachable endpoint counts: three of the intervals at which
-/// entries report.
+/// How long a report of an unreachable endpoint is valid: three report intervals of
+/// 500 ms, and 100 ms for the delivery.
 const REPORT_VALIDITY: Duration = Duration::from_millis(1_600);
-/// An endpoint is reported as alive if bytes of it arrived within this time before the
-/// report. Bytes sent before a crash can contradict the crash for as long. Working
-/// streams pause for less.
+/// An endpoint is reported as alive if bytes from it arrived within this time before the
+/// report. After a crash, it can therefore be reported as alive for this long. Streams of
+/// a working endpoint pause for less than this.
 pub const RECENT_WINDOW: Duration = Duration::from_millis(250);
-/// Time without a report that it is alive after which an endpoint may count as silent:
-/// the interval at which each entry reports. An engine with a long queue refuses
-/// connections while its streams go on. Without this bound, two entries that are refused
-/// at the same moment remove it from all others for a tenth of a second, again and again.
+/// An endpoint counts as silent only if no entry reported it alive for this time, which is
+/// the report interval. An endpoint with a long queue refuses connections while its
+/// streams continue. Without this bound, two entries that it refuses at the same time
+/// would repeatedly make all entries avoid it for a tenth of a second.
 const SILENT_AFTER: Duration = Duration::from_millis(500);
-/// Time constant, in seconds, with which response counts decay. Longer than that of a
-/// single entry's record: all entries together see enough responses for a failure rate
-/// within a second.
+/// Time constant, in seconds, with which response counts decay, and validity of the last
+/// reports of failures. Longer than the time constant of a single entry's record: all
+/// entries together see enough responses for a failure rate within a second.
 const DECAY_SECONDS: f64 = 3.0;
-/// Responses below which a failure rate is not significant. Ordinary endpoints fail up to
-/// 14 of 100 requests, so three of ten are rare by chance.
+/// Number of responses below which a failure rate is not significant. Ordinary endpoints
+/// fail up to 14 of 100 requests, so three failures of ten are rare by chance.
 const MIN_RESPONSES: f64 = 10.0;
 /// Failure rate from which an endpoint counts as failing, as in an entry's own record
 /// ([`crate::health`]).
 const FAILING_RATE: f64 = 0.3;
 /// Failure rate from which an endpoint counts as failing, as a multiple of that of the
-/// other endpoints of its service. If all endpoints fail alike, moving requests gains
-/// nothing, and their prompts would be prefilled again elsewhere.
+/// other endpoints of its service. If all endpoints have similar failure rates, moving
+/// requests has no benefit, and their prompts would be prefilled again elsewhere.
 const FAILING_FACTOR: f64 = 2.0;
-/// Most failures that count from one report, so that an entry which causes failures
-/// itself does not outweigh all others.
+/// Maximum number of failures that are counted from one report, so that an entry that
+/// causes failures itself does not outweigh all others.
 const MAX_FAILURES: f64 = 4.0;
 
-/// Index in the list of endpoints, of which entries and control have the same version.
+/// Index in the list of endpoints. Valid only between parties with the same version of
+/// the list.
 pub type EndpointIndex = u32;
 
 /// One entry's observations of one endpoint since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthReport {
-    /// A different run of the endpoint answered at its address.
+    /// A different run of the endpoint responded at its address.
     pub replaced: bool,
-    /// No connection could be made, or no data came for too long.
+    /// No connection could be made, or no data arrived for too long.
     pub unreached: bool,
     /// Bytes arrived from it within [`RECENT_WINDOW`] before the report.
     pub alive: bool,
@@ -74,15 +77,16 @@
 /// Why entries should avoid an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Its failure rate is well above that of the others.
+    /// Its failure rate is well above that of the other endpoints of its service.
     Failing,
-    /// It cannot be reached and sends nothing.
+    /// It cannot be reached, and no entry receives data from it.
     Silent,
-    /// A different run of the endpoint answers at its address.
+    /// A different run of the endpoint responds at its address.
     Replaced,
 }
 
-/// The newest reports of the same observation by two different entries.
+/// The newest reports of one observation by two different entries: hash of the entry's
+/// name, and time of its report.
 #[derive(Clone, Copy, Debug, Default)]
 struct Confirmation([Option<(u64, Duration)>; 2]);
 
@@ -94,7 +98,7 @@
     }
 
     /// Time of the older of the two reports; `None` if only one entry has reported.
-    fn confirmed(&self) -> Option<Duration> {
+    fn confirmed_at(&self) -> Option<Duration> {
         let [newest, other] = self.0;
         newest.and(other).map(|(_, at)| at)
     }
@@ -107,9 +111,9 @@
     failing: Confirmation,
     /// When an entry last reported it alive.
     alive: Option<Duration>,
-    /// Responses, decayed to time `at`.
+    /// Number of responses, decayed to time `at`.
     answered: f64,
-    /// Failures, decayed to time `at`.
+    /// Number of failures, decayed to time `at`.
     failed: f64,
     at: Duration,
 }
@@ -147,26 +151,32 @@
         (self.answered * decay, self.failed * decay)
     }
 
-    /// `others` is the failure rate of the other endpoints of its service.
-    fn verdict(&self, now: Duration, others: f64) -> Option<Verdict> {
-        let valid = |at: &Duration| self.alive.is_none_or(|alive| alive < *at);
-        let fresh = |at: &Duration| now.saturating_sub(*at) < REPORT_VALIDITY;
-        let replaced = self.replaced.confirmed().filter(valid);
-        let quiet = self
+    /// The verdict on the endpoint. `other_failure_rate` is the failure rate of the other
+    /// endpoints of its service.
+    fn verdict(&self, now: Duration, other_failure_rate: f64) -> Option<Verdict> {
+        let is_uncontradicted =
+            |at: &Duration| self.alive.is_none_or(|alive| alive < *at);
+        let is_unexpired = |at: &Duration| now.saturating_sub(*at) < REPORT_VALIDITY;
+        let replaced = self.replaced.confirmed_at().filter(is_uncontradicted);
+        let no_recent_data = self
             .alive
             .is_none_or(|alive| now.saturating_sub(alive) >= SILENT_AFTER);
-        let silent = self.unreached.confirmed().filter(valid).filter(fresh);
-        let silent = silent.filter(|_| quiet);
-        let failing = self.failing.confirmed();
+        let unreachable_since = self
+            .unreached
+            .confirmed_at()
+            .filter(is_uncontradicted)
+            .filter(is_unexpired);
+        let unreachable_since = unreachable_since.filter(|_| no_recent_data);
+        let failing = self.failing.confirmed_at();
         let recent = |at: Duration| now.saturating_sub(at).as_secs_f64() < DECAY_SECONDS;
         let (answered, failed) = self.counts(now);
-        let threshold = FAILING_RATE.max(others * FAILING_FACTOR);
+        let threshold = FAILING_RATE.max(other_failure_rate * FAILING_FACTOR);
         let failing = failing.is_some_and(recent)
             && answered >= MIN_RESPONSES
             && failed >= answered * threshold;
         if replaced.is_some() {
             Some(Verdict::Replaced)
-        } else if silent.is_some() {
+        } else if unreachable_since.is_some() {
             Some(Verdict::Silent)
         } else if failing {
             Some(Verdict::Failing)
@@ -176,10 +186,10 @@
     }
 }
 
-/// An endpoint on a new version of the list.
+/// Position of an endpoint on a new version of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListSlot {
-    /// Its index in the version before, if it was on it.
+    /// Index of the endpoint in the previous version of the list, if it was on it.
     pub previous: Option<usize>,
     /// Hash of the name of its service.
     pub service: u64,
@@ -195,7 +205,7 @@
 }
 
 impl SharedHealth {
-    /// Replaces the list. The records of endpoints that stay are kept.
+    /// Replaces the list. Endpoints that are on both versions keep their records.
     pub fn update_list(&mut self, endpoints: impl Iterator<Item = ListSlot>) {
         let old = std::mem::take(&mut self.records);
         self.services.clear();
@@ -221,33 +231,34 @@
         }
     }
 
-    /// The verdicts in force, by index in the list.
+    /// The verdicts at time `now`, by index in the list.
     pub fn verdicts(&self, now: Duration) -> Vec<(EndpointIndex, Verdict)> {
-        let sums = self.sums(now);
+        let totals = self.service_totals(now);
         let records = (0..).zip(self.records.iter().zip(&self.services));
         let verdicts = records.filter_map(|(index, (record, service))| {
-            let found = sums.binary_search_by_key(service, |item| item.0);
-            let (_, answered, failed) = sums[found.ok()?];
+            let found = totals.binary_search_by_key(service, |item| item.0);
+            let (_, answered, failed) = totals[found.ok()?];
             let own = record.counts(now);
-            let others = (failed - own.1) / (answered - own.0).max(1.0);
-            Some((index, record.verdict(now, others)?))
+            let other_failure_rate = (failed - own.1) / (answered - own.0).max(1.0);
+            Some((index, record.verdict(now, other_failure_rate)?))
         });
         verdicts.collect()
     }
 
-    /// Responses and failures of each service; sorted by service.
-    fn sums(&self, now: Duration) -> Vec<(u64, f64, f64)> {
-        let mut sums: Vec<(u64, f64, f64)> = Vec::new();
+    /// Number of responses and failures of each service, decayed to `now`; sorted by the
+    /// hash of the service's name.
+    fn service_totals(&self, now: Duration) -> Vec<(u64, f64, f64)> {
+        let mut totals: Vec<(u64, f64, f64)> = Vec::new();
         for (record, service) in self.records.iter().zip(&self.services) {
             let (answered, failed) = record.counts(now);
-            match sums.binary_search_by_key(service, |item| item.0) {
-                Ok(at) => {
-                    sums[at].1 += answered;
-                    sums[at].2 += failed;
+            match totals.binary_search_by_key(service, |item| item.0) {
+                Ok(index) => {
+                    totals[index].1 += answered;
+                    totals[index].2 += failed;
                 }
-                Err(at) => sums.insert(at, (*service, answered, failed)),
+                Err(index) => totals.insert(index, (*service, answered, failed)),
             }
         }
-        sums
+        totals
     }
 }
--- a/crates/policy/tests/permits.rs
+++ b/crates/policy/tests/permits.rs
@@ -21,7 +21,7 @@
 }
 
 fn limit_of(per_second: f64) -> Limit {
-    Limit::Named(rate(per_second))
+    Limit::Announced(rate(per_second))
 }
 
 fn run() -> Incarnation {
@@ -88,7 +88,7 @@
             for (permits, next_report, fault_at) in &mut entries {
                 let cut_off = control == Control::Down && now >= *fault_at;
                 if cut_off {
-                    permits.begin_autonomy(self.entries as u32, random.random());
+                    permits.begin_local_permits(self.entries as u32, random.random());
                 } else if *next_report <= now {
                     *next_report = now + ms(random.random_range(400..600));
                     let failed_over = control == Control::Failover && now >= *fault_at;
@@ -96,9 +96,9 @@
                     let split =
                         control == Control::Split && *fault_at > Self::FAULT_AT + ms(500);
                     let choice = if split {
-                        ControlChoice::Second
+                        ControlChoice::Fallback
                     } else {
-                        ControlChoice::First
+                        ControlChoice::Primary
                     };
                     if let Some(report) = permits.report(now) {
                         let instance = &mut instances[usize::from(failed_over || split)];
@@ -108,7 +108,7 @@
                 }
                 let chance = self.demand * Self::STEP.as_secs_f64();
                 if random.random::<f64>() < chance
-                    && permits.demand(now)
+                    && permits.record_demand(now)
                     && permits.take(now).is_some()
                 {
                     permits.observe(now, limit_of(self.limit));
@@ -166,9 +166,9 @@
 fn permits_expire() {
     let mut permits = Permits::default();
     permits.observe(ms(0), limit_of(2.0));
-    assert!(!permits.demand(ms(10)), "none was granted");
+    assert!(!permits.record_demand(ms(10)), "none was granted");
     permits.receive_grant(ms(100), 2);
-    assert!(permits.demand(ms(200)));
+    assert!(permits.record_demand(ms(200)));
     let until = Some(ms(100) + PERMIT_VALIDITY);
     assert_eq!(permits.take(ms(200)), Some(Permit { until }));
     assert_eq!(
@@ -181,10 +181,13 @@
 #[test]
 fn permits_without_limit_never_expire() {
     let mut permits = Permits::default();
-    assert!(permits.demand(ms(0)));
+    assert!(permits.record_demand(ms(0)));
     assert_eq!(permits.take(ms(0)), Some(Permit { until: None }));
-    assert!(!permits.observe(ms(0), Limit::Unreadable));
-    assert!(permits.demand(ms(0)), "an unreadable limit is no limit");
+    assert!(!permits.observe(ms(0), Limit::Invalid));
+    assert!(
+        permits.record_demand(ms(0)),
+        "an unreadable limit is no limit"
+    );
     assert_eq!(permits.report(ms(0)), None);
 }
 
@@ -204,14 +207,14 @@
 fn permits_limit_ends_after_delay() {
     let mut permits = Permits::default();
     permits.observe(ms(1_000), limit_of(1.0));
-    assert!(!permits.observe(ms(1_100), Limit::Unnamed));
-    assert!(!permits.demand(ms(1_100)));
-    assert!(permits.observe(ms(1_400), Limit::Unnamed));
-    assert!(permits.demand(ms(1_400)));
+    assert!(!permits.observe(ms(1_100), Limit::Absent));
+    assert!(!permits.record_demand(ms(1_100)));
+    assert!(permits.observe(ms(1_400), Limit::Absent));
+    assert!(permits.record_demand(ms(1_400)));
     let report = permits
         .report(ms(1_500))
         .expect("the end of the limit is reported");
-    assert_eq!(report.observed.rate, None);
+    assert_eq!(report.observation.rate, None);
     permits.receive_grant(ms(1_500), 0);
     assert_eq!(permits.report(ms(1_600)), None, "reported once");
     assert!(
@@ -228,7 +231,7 @@
     observer.observe(ms(1_000), limit_of(2.0));
     let report = observer.report(ms(1_100)).expect("a limit was observed");
     assert_eq!(
-        limits.apply_report(ms(1_101), &run(), report, ControlChoice::First),
+        limits.apply_report(ms(1_101), &run(), report, ControlChoice::Primary),
         0,
         "no permits yet"
     );
@@ -237,22 +240,22 @@
         .map(|known| known.1)
         .collect();
     assert!(other.merge(observations[0]));
-    assert!(!other.demand(ms(1_200)));
+    assert!(!other.record_demand(ms(1_200)));
     let demand_report = other.report(ms(2_200)).expect("a permit is needed");
     assert_eq!(demand_report.wanted, 1);
     assert_eq!(
-        limits.apply_report(ms(2_201), &run(), demand_report, ControlChoice::First),
+        limits.apply_report(ms(2_201), &run(), demand_report, ControlChoice::Primary),
         1
     );
-    observer.observe(ms(3_000), Limit::Unnamed);
+    observer.observe(ms(3_000), Limit::Absent);
     let report = observer.report(ms(3_100)).expect("the limit ended");
-    limits.apply_report(ms(3_101), &run(), report, ControlChoice::First);
+    limits.apply_report(ms(3_101), &run(), report, ControlChoice::Primary);
     let observations: Vec<Observation> = limits
         .observations(ms(3_200))
         .map(|known| known.1)
         .collect();
     assert!(other.merge(observations[0]));
-    assert!(other.demand(ms(3_200)));
+    assert!(other.record_demand(ms(3_200)));
 }
 
 /// An older observation, as reported by an entry that was suspended, changes nothing.
@@ -260,7 +263,7 @@
 fn limits_older_observation_ignored() {
     let mut limits = Limits::default();
     let report = |limit: Option<f64>, at, wanted| LimitReport {
-        observed: Observation {
+        observation: Observation {
             rate: limit.map(rate),
             at,
         },
@@ -270,19 +273,19 @@
         ms(5_000),
         &run(),
         report(Some(1.0), ms(5_000), 0),
-        ControlChoice::First,
+        ControlChoice::Primary,
     );
     limits.apply_report(
         ms(6_000),
         &run(),
         report(None, ms(6_000), 0),
-        ControlChoice::First,
+        ControlChoice::Primary,
     );
     limits.apply_report(
         ms(7_000),
         &run(),
         report(Some(1.0), ms(5_500), 1),
-        ControlChoice::First,
+        ControlChoice::Primary,
     );
     let known = limits
         .observations(ms(7_000))
@@ -301,12 +304,12 @@
 #[test]
 fn limits_earlier_run_superseded() {
     let mut limits = Limits::default();
-    let observed = |at| Observation {
+    let observation = |at| Observation {
         rate: Some(rate(1.0)),
         at,
     };
     let report = |at, wanted| LimitReport {
-        observed: observed(at),
+        observation: observation(at),
         wanted,
     };
     let later_run = Incarnation::new("i-1", Some(2));
@@ -314,20 +317,20 @@
         ms(1_000),
         &run(),
         report(ms(1_000), 0),
-        ControlChoice::First,
+        ControlChoice::Primary,
     );
     limits.apply_report(
         ms(2_000),
         &later_run,
         report(ms(2_000), 0),
-        ControlChoice::First,
+        ControlChoice::Primary,
     );
     assert_eq!(
         limits.apply_report(
             ms(9_000),
             &run(),
             report(ms(9_000), 1),
-            ControlChoice::First
+            ControlChoice::Primary
         ),
         0
     );
@@ -355,12 +358,12 @@
         let mut granted = Vec::new();
         for (passed, wanted) in reports {
             now += ms(passed);
-            let observed = Observation { rate: Some(rate(limit)), at: now };
+            let observation = Observation { rate: Some(rate(limit)), at: now };
             let permits = limits.apply_report(
                 now,
                 &run(),
-                LimitReport { observed, wanted },
-                ControlChoice::First,
+                LimitReport { observation, wanted },
+                ControlChoice::Primary,
             );
             granted.push((now, permits));
         }
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -23,12 +23,12 @@
 
 impl EndpointLimit {
     /// Converts a report, with its age relative to `now`.
-    pub fn new(now: Duration, run: Incarnation, news: LimitReport) -> Self {
+    pub fn new(now: Duration, run: Incarnation, report: LimitReport) -> Self {
         Self {
             run,
-            rate: news.observed.rate.map(Rate::per_second),
-            age: now.saturating_sub(news.observed.at),
-            wanted: news.wanted,
+            rate: report.observation.rate.map(Rate::per_second),
+            age: now.saturating_sub(report.observation.at),
+            wanted: report.wanted,
         }
     }
 
@@ -40,9 +40,12 @@
             None => None,
         };
         let at = sent.saturating_sub(self.age);
-        let observed = Observation { rate, at };
+        let observation = Observation { rate, at };
         let wanted = self.wanted;
-        Some(LimitReport { observed, wanted })
+        Some(LimitReport {
+            observation,
+            wanted,
+        })
     }
 }
 
--- a/crates/wire/tests/limits.rs
+++ b/crates/wire/tests/limits.rs
@@ -66,7 +66,7 @@
 fn limit_read_in_receivers_clock() {
     let now = Duration::from_secs(50);
     let report = LimitReport {
-        observed: Observation {
+        observation: Observation {
             rate: Rate::new(1.2),
             at: Duration::from_secs(48),
         },
@@ -74,8 +74,8 @@
     };
     let sent = EndpointLimit::new(now, run(), report);
     let read = sent.read(Duration::from_secs(9)).expect("a limit");
-    assert_eq!(read.observed.at, Duration::from_secs(7));
-    assert_eq!((read.observed.rate, read.wanted), (Rate::new(1.2), 3));
+    assert_eq!(read.observation.at, Duration::from_secs(7));
+    assert_eq!((read.observation.rate, read.wanted), (Rate::new(1.2), 3));
     let invalid = EndpointLimit {
         rate: Some(f64::NAN),
         ..sent
