--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -8,21 +8,24 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Time for which an instance that granted a pre-vote starts none itself: a few round
-/// trips and syncs, and a third of the shortest interval between two unsuccessful rounds
-/// of one candidate.
+/// Time for which an instance that granted a pre-vote starts no pre-vote itself: a few
+/// round trips and syncs, and a third of the shortest interval between two unsuccessful
+/// rounds of one candidate.
 const PRE_VOTE_DELAY: Duration = Duration::from_millis(80);
 
 impl<R: Rng> Node<R> {
-    /// Whether a leader was in contact too recently to support another candidate.
+    /// Whether this instance is the leader or was in contact with one within
+    /// [`Timing::election`], and so does not support another candidate.
+    ///
+    /// [`Timing::election`]: crate::node::Timing::election
     pub(crate) fn has_recent_leader(&self, now: Moment) -> bool {
         self.is_leader()
             || (self.leader.is_some() && now < self.timer_start + self.timing.election)
     }
 
-    /// Starts a pre-vote: requests from the voters whether an election could be won.
-    /// A pre-vote does not increase the term, so an instance that was partitioned does
-    /// not disrupt the leader when it returns.
+    /// Starts a pre-vote, which determines whether an election could be won. A pre-vote
+    /// does not increase the term, so an instance that was partitioned does not disrupt
+    /// the leader when it returns.
     pub(crate) fn start_pre_vote(&mut self, now: Moment) {
         self.role = Role::PreCandidate(vec![self.id]);
         self.leader = None;
@@ -50,7 +53,7 @@
             let min_timeout = (now + PRE_VOTE_DELAY).saturating_sub(self.timer_start);
             self.election_timeout = self.election_timeout.max(min_timeout);
         }
-        // A grant carries the requested term, a refusal the current one.
+        // A grant contains the requested term, a rejection the current one.
         let term = if granted { term } else { self.hard_state.term };
         let message = self.message(from, term, Body::PreVoteReply { granted });
         self.ready.after_sync.push(message);
@@ -120,7 +123,8 @@
         self.count_votes(now);
     }
 
-    /// Goes on to the next step if a majority granted its pre-vote or vote.
+    /// Starts an election if a majority granted the pre-vote, or becomes the leader if a
+    /// majority granted the vote.
     fn count_votes(&mut self, now: Moment) {
         let has_majority = |grants: &[NodeId]| {
             let members = self.log.members();
@@ -188,8 +192,8 @@
     pub(crate) fn new(id: NodeId, last: crate::Index, now: Moment) -> Self {
         Self {
             id,
-            matched: 0,
-            next: last + 1,
+            match_index: 0,
+            next_index: last + 1,
             round: 0,
             last_contact: now,
             in_flight: None,
@@ -200,6 +204,6 @@
     /// that all later entries are sent again.
     pub(crate) fn reset_next_index(&mut self) {
         self.in_flight = None;
-        self.next = self.matched + 1;
+        self.next_index = self.match_index + 1;
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -6,11 +6,11 @@
 //! confirmed by a majority, snapshots, and membership changes of one instance
 //! at a time.
 //!
-//! [`node::Node`] takes events and the present time as input and collects its
+//! [`node::Node`] takes events and the current time as input and collects its
 //! output in a [`ready::Ready`]. The owner must process it in order: make
 //! durable everything that `Ready` lists, then call [`node::Node::synced`],
 //! and only then send the messages marked for after the sync. As long as the
-//! owner does so, these hold under lost, delayed, repeated and reordered
+//! owner does so, these invariants hold under lost, delayed, repeated and reordered
 //! messages and under crashes at any step:
 //!
 //! * at most one leader in a term;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -144,7 +144,7 @@
         self.entries.push(entry);
     }
 
-    /// Removes `index` and everything after it.
+    /// Removes the entry at `index` and all entries after it.
     pub fn truncate(&mut self, index: Index) {
         let keep = index.saturating_sub(self.snapshot.index + 1);
         self.entries.truncate(keep as usize);
@@ -152,7 +152,7 @@
 
     /// Replaces everything up to `snapshot.index` by the snapshot. Entries after it are
     /// kept only if the log agrees with the snapshot at its index. A snapshot no newer
-    /// than the present one is ignored.
+    /// than the current one is ignored.
     pub fn compact(&mut self, snapshot: Snapshot) {
         if snapshot.index <= self.snapshot.index {
             return;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -68,7 +68,7 @@
     /// Changes that the leader makes on its own: learners that caught up are promoted;
     /// voters that were replaced and learners that never caught up are removed.
     pub(crate) fn adjust_members(&mut self, now: Moment) {
-        // A change that is refused is tried again at the next tick.
+        // A change that is rejected is retried at the next tick.
         if let Some(learner) = self.caught_up_learner() {
             let _ = self.promote(now, learner);
         } else if let Some(members) = self.without_unresponsive(now) {
@@ -98,8 +98,8 @@
         self.change_members(now, Payload::Members(members))
     }
 
-    /// The members without one that is unresponsive: a voter, if there are more voters
-    /// than seats, otherwise a learner.
+    /// The members without the one that has been unresponsive for longest: a voter, if
+    /// there are more voters than seats, otherwise a learner. `None` if all respond.
     fn without_unresponsive(&self, now: Moment) -> Option<Members> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -137,7 +137,7 @@
         let caught_up = |id: NodeId| {
             let mut peers = leader.peers.iter();
             peers.any(|peer| {
-                peer.id == id && peer.matched > 0 && peer.matched >= min_index
+                peer.id == id && peer.match_index > 0 && peer.match_index >= min_index
             })
         };
         let mut members = self.members().iter();
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -11,9 +11,10 @@
 /// route sets, and snapshots, are that large.
 const LARGE_MESSAGE_BYTES: usize = 64 * 1024;
 /// Lowest transfer rate to one peer, below which a message counts as lost: 1 Mbit/s, a
-/// hundredth of a control instance's link. With time limits independent of the size, a
-/// leader sent route sets of 516 and 768 KB two and three times to each peer, and abandoned
-/// messages that held two copies of one after a second on a saturated link.
+/// hundredth of a control instance's link. The timeout must depend on the size: with a
+/// fixed one, a leader sent route sets of 516 and 768 KB two and three times to each
+/// peer, and on a saturated link it abandoned messages with two copies of a route set
+/// after a second.
 const MIN_BYTES_PER_SECOND: f64 = 125_000.0;
 
 /// A message from one instance to another.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -11,12 +11,13 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A crash and restart of an instance takes under 2 s, an election about 1 s: a voter
-/// that is silent for longer while a replacement is available does not return soon, and
-/// the replacement must count before a second instance fails.
+/// Default of [`Timing::voter_timeout`]. A crash and restart of an instance takes under
+/// 2 s and an election about 1 s, so a voter that is silent for longer is not expected to
+/// return soon. Its replacement must take over its seat before a second instance fails.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longer than the transfer of a snapshot, and short enough that clusters whose
-/// instances are replaced daily do not accumulate abandoned learners.
+/// Default of [`Timing::learner_timeout`]: longer than the transfer of a snapshot, and
+/// short enough that clusters whose instances are replaced daily do not accumulate
+/// abandoned learners.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Election timeout of a follower, as a multiple of [`Timing::election`].
@@ -34,8 +35,8 @@
 pub struct Timing {
     /// Interval of a leader's heartbeats.
     pub heartbeat: Duration,
-    /// Shortest time without a leader before an election. A follower that was in
-    /// contact with a leader within it grants no vote.
+    /// Shortest time without contact to a leader before an election. A follower that was
+    /// in contact with a leader within this time grants no vote.
     pub election: Duration,
     /// Time without a reply after which a leader removes a voter for which a
     /// replacement is available.
@@ -58,7 +59,7 @@
     }
 }
 
-/// Present role of a node.
+/// Current role of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Follower,
@@ -75,17 +76,18 @@
     /// All other members.
     pub(crate) peers: Vec<Peer>,
     pub(crate) last_heartbeat: Moment,
-    /// Index of the first entry of the leader's own term.
+    /// Index of the first entry of the leader's own term. Reads wait until it is
+    /// committed: only then does the leader know which earlier entries are committed.
     pub(crate) first: Index,
-    /// Newest confirmation round. A round that a majority answered confirms that this
-    /// instance still led when the round began.
+    /// Newest confirmation round. Replies to a round from a majority confirm that this
+    /// instance was still the leader when the round began.
     pub(crate) round: u64,
     /// Whether a read needs a new confirmation round.
     pub(crate) round_requested: bool,
     /// Reads that are not confirmed yet.
     pub(crate) reads: Vec<PendingRead>,
-    /// Deadline of a leadership transfer in progress; zero once a voter was sent the
-    /// request to start an election.
+    /// Deadline of a leadership transfer in progress; [`Moment::ZERO`] once a voter was
+    /// sent the request to start an election.
     pub(crate) transfer_until: Option<Moment>,
 }
 
@@ -94,10 +96,10 @@
 pub(crate) struct Peer {
     pub(crate) id: NodeId,
     /// Last index up to which the peer's log is known to agree with the leader's.
-    pub(crate) matched: Index,
+    pub(crate) match_index: Index,
     /// Index of the next entry to send.
-    pub(crate) next: Index,
-    /// Newest confirmation round that the peer answered.
+    pub(crate) next_index: Index,
+    /// Newest confirmation round to which the peer replied.
     pub(crate) round: u64,
     /// Time of the last reply.
     pub(crate) last_contact: Moment,
@@ -173,7 +175,7 @@
     pub(crate) durable_index: Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<NodeId>,
-    /// Start of the present election timeout: the last contact with a leader, the last
+    /// Start of the current election timeout: the last contact with a leader, the last
     /// vote granted, or the start of the last candidacy.
     pub(crate) timer_start: Moment,
     /// Time after `timer_start` at which a pre-vote is started.
@@ -182,7 +184,7 @@
 }
 
 impl<R: Rng> Node<R> {
-    /// An instance that starts or restarts at `now`.
+    /// Creates an instance that starts or restarts at `now`.
     pub fn new(
         id: NodeId,
         timing: Timing,
@@ -245,7 +247,7 @@
         self.hard_state
     }
 
-    /// The leader of the present term, if known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
@@ -277,7 +279,7 @@
             || (self.leader.is_some() && now < self.timer_start + self.timing.election)
     }
 
-    /// Takes the pending work out of the node.
+    /// Removes the pending work from the node and returns it.
     pub fn take_ready(&mut self) -> Ready {
         self.start_requested_round();
         self.release_committed();
@@ -331,7 +333,7 @@
     }
 
     /// Appends a command to the log and returns its index. The command is committed
-    /// when an entry of that index and of the present term is in [`Ready::committed`].
+    /// when an entry of that index and of the current term is in [`Ready::committed`].
     ///
     /// # Errors
     ///
@@ -397,9 +399,9 @@
         members.clone()
     }
 
-    /// Compares the sender's term with the own one; returns whether to handle the
-    /// message further. A newer term makes this instance a follower, an older one is
-    /// rejected.
+    /// Compares the sender's term with that of this instance, and returns whether the
+    /// message is to be handled further. On a newer term this instance becomes a
+    /// follower; a message with an older term is rejected.
     fn check_term(&mut self, now: Moment, message: &Message) -> bool {
         let newer = message.term > self.hard_state.term;
         match &message.body {
@@ -438,7 +440,7 @@
         self.reply_after_sync(message.from, body);
     }
 
-    /// Becomes a follower in `term`; reads that are not confirmed fail.
+    /// Becomes a follower in `term`. Reads that are not confirmed yet fail.
     pub(crate) fn become_follower(
         &mut self,
         now: Moment,
@@ -463,7 +465,8 @@
         self.start_timer(now, FOLLOWER_TIMEOUT_FACTOR);
     }
 
-    /// Starts the time in which a candidate must win before it tries again.
+    /// Starts the timeout after which a candidate that has not won starts again with a
+    /// pre-vote.
     pub(crate) fn start_candidate_timer(&mut self, now: Moment) {
         self.start_timer(now, CANDIDATE_TIMEOUT_FACTOR);
     }
@@ -475,7 +478,7 @@
         self.timer_start = now;
     }
 
-    /// Adds an entry of the present term to the log.
+    /// Adds an entry of the current term to the log.
     pub(crate) fn append(&mut self, payload: Payload) -> Index {
         let entry = Entry {
             index: self.log.last() + 1,
@@ -503,7 +506,7 @@
         }
     }
 
-    /// Moves newly committed entries and confirmed reads to the pending work.
+    /// Moves newly committed entries and confirmed reads to `ready`.
     fn release_committed(&mut self) {
         let count = self.commit.saturating_sub(self.applied) as usize;
         let entries = self.log.slice(self.applied + 1, count);
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -12,17 +12,18 @@
 /// Maximum bytes of commands in one message, unless a single command is larger: a
 /// message must take well under a heartbeat interval on a link of 100 Mbit/s.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
-/// Heartbeat intervals that a reply may take besides the transfer, for the syncs on both
-/// sides. A peer that takes longer, such as one with a stalled disk, counts as silent and
-/// is sent no entries.
-const REPLY_HEARTBEATS: u32 = 4;
-/// Heartbeat intervals without a reply after which a peer is sent only probes, no
-/// entries: messages queued for a partitioned peer would exhaust the memory.
+/// Heartbeat intervals within which a peer must reply to a large message, in addition to
+/// the transfer time: for the syncs on both sides. After that the message is sent again.
+const REPLY_TIMEOUT_HEARTBEATS: u32 = 4;
+/// Heartbeat intervals without a reply after which a peer, such as one with a stalled
+/// disk, counts as silent and is sent only probes, no entries: messages queued for a
+/// partitioned peer would exhaust the memory.
 const SILENT_HEARTBEATS: u32 = 4;
 
 impl<R: Rng> Node<R> {
-    /// Steps down if contact with the majority is lost, sends heartbeats that are due,
-    /// and adjusts the members.
+    /// Steps down if the majority did not reply for twice the election timeout or this
+    /// instance was removed. Otherwise sends heartbeats that are due and adjusts the
+    /// members.
     pub(crate) fn tick_leader(&mut self, now: Moment) {
         if !self.has_majority_contact(now) || self.is_removed() {
             self.become_follower(now, self.hard_state.term, None);
@@ -47,7 +48,10 @@
         committed && !self.log.members().is_voter(self.id)
     }
 
-    /// Whether a majority replied within twice the election time.
+    /// Whether a majority replied within twice [`Timing::election`], counting this
+    /// instance if it is a voter.
+    ///
+    /// [`Timing::election`]: crate::node::Timing::election
     fn has_majority_contact(&self, now: Moment) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
@@ -61,13 +65,16 @@
         responsive.count() + own >= members.majority()
     }
 
-    /// Sends a heartbeat to every peer. Entries are sent again to peers that did not
-    /// reply for two heartbeat intervals and to those whose large message is overdue.
+    /// Sends entries, or a heartbeat if there are none to send, to every peer. Entries
+    /// are sent again to peers whose large message is overdue and to those without one
+    /// that did not reply for two heartbeat intervals.
     fn send_heartbeats(&mut self, now: Moment) {
         let interval = self.timing.heartbeat;
         if let Role::Leader(leader) = &mut self.role {
             for peer in &mut leader.peers {
-                let overdue = peer.in_flight.is_some_and(|flight| now >= flight.deadline);
+                let overdue = peer
+                    .in_flight
+                    .is_some_and(|in_flight| now >= in_flight.deadline);
                 if overdue
                     || (peer.in_flight.is_none()
                         && now >= peer.last_contact + interval * 2)
@@ -79,7 +86,7 @@
         self.send_all(true);
     }
 
-    /// Sends new entries to every peer.
+    /// Sends new entries to every peer and advances the commit index.
     pub(crate) fn replicate(&mut self) {
         self.send_all(false);
         self.advance_commit();
@@ -96,7 +103,7 @@
         }
     }
 
-    /// Sends pending entries to every peer, or a heartbeat where there are none and
+    /// Sends the next entries to every peer. A peer without any is sent a heartbeat if
     /// `allow_empty` is set.
     fn send_all(&mut self, allow_empty: bool) {
         let ids: Vec<NodeId> = match &self.role {
@@ -108,46 +115,50 @@
         }
     }
 
-    /// Sends the next entries, a snapshot or a heartbeat to one peer. A silent peer is
-    /// sent probes only, and one with a large message in flight only heartbeats.
+    /// Sends the next entries, a snapshot or, if `allow_empty` is set, a heartbeat to one
+    /// peer. A silent peer is sent only probes, and one with a large message in flight
+    /// only heartbeats; both only if `allow_empty` is set.
     fn send_to(&mut self, id: NodeId, allow_empty: bool) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let round = leader.round;
         let interval = self.timing.heartbeat;
-        let now = leader.last_heartbeat;
+        // At most about one interval before the current time, which is precise enough for
+        // the bounds of several intervals below.
+        let last_heartbeat = leader.last_heartbeat;
         let Some(peer) = leader.peers.iter_mut().find(|peer| peer.id == id) else {
             return;
         };
-        if peer.last_contact < now.saturating_sub(interval * SILENT_HEARTBEATS) {
+        if peer.last_contact < last_heartbeat.saturating_sub(interval * SILENT_HEARTBEATS)
+        {
             if allow_empty {
                 self.send_probe(id, round);
             }
             return;
         }
         if peer.in_flight.is_some() {
-            let matched = peer.matched;
+            let match_index = peer.match_index;
             if allow_empty {
-                self.send_empty_append(id, matched, round);
+                self.send_empty_append(id, match_index, round);
             }
             return;
         }
-        let prev = peer.next - 1;
+        let prev = peer.next_index - 1;
         let body = match self.log.term(prev) {
             Some(prev_term) => {
-                let mut entries = batch(self.log.slice(peer.next, MAX_BATCH_ENTRIES));
+                let mut entries =
+                    batch(self.log.slice(peer.next_index, MAX_BATCH_ENTRIES));
                 let large = message::are_large(entries);
-                if large && prev != peer.matched {
-                    // Send a heartbeat first to find out whether the logs agree:
-                    // replies that arrive while a large message is in flight
-                    // are not taken as its rejection.
+                if large && prev != peer.match_index {
+                    // Send a heartbeat first to find out whether the logs agree at
+                    // `prev`: rejections are ignored while a large message is in flight.
                     entries = &[];
                 }
                 if entries.is_empty() && !allow_empty && !large {
                     return;
                 }
-                peer.next += entries.len() as Index;
+                peer.next_index += entries.len() as Index;
                 Body::Append(AppendEntries {
                     prev,
                     prev_term,
@@ -158,11 +169,11 @@
             }
             None => {
                 let snapshot = self.log.snapshot().as_ref().clone();
-                peer.next = snapshot.index + 1;
+                peer.next_index = snapshot.index + 1;
                 Body::Install { round, snapshot }
             }
         };
-        let last = peer.next - 1;
+        let last = peer.next_index - 1;
         let message = Message {
             from: self.id,
             to: id,
@@ -170,8 +181,8 @@
             body,
         };
         if message.is_large() {
-            let deadline = now
-                + interval * REPLY_HEARTBEATS
+            let deadline = last_heartbeat
+                + interval * REPLY_TIMEOUT_HEARTBEATS
                 + message::max_transfer_time(message.size());
             peer.in_flight = Some(InFlight { last, deadline });
         }
@@ -180,14 +191,14 @@
 
     /// Sends a heartbeat to a peer to which a large message is in flight: without
     /// entries, at an index where both logs are known to agree, so that the reply is a
-    /// success and requests no entries.
-    fn send_empty_append(&mut self, id: NodeId, matched: Index, round: u64) {
-        let Some(prev_term) = self.log.term(matched) else {
+    /// success and does not cause entries to be sent again.
+    fn send_empty_append(&mut self, id: NodeId, match_index: Index, round: u64) {
+        let Some(prev_term) = self.log.term(match_index) else {
             self.send_probe(id, round);
             return;
         };
         let body = Body::Append(AppendEntries {
-            prev: matched,
+            prev: match_index,
             prev_term,
             entries: Vec::new(),
             commit: self.commit,
@@ -197,10 +208,10 @@
         self.ready.immediate.push(message);
     }
 
-    /// Reports whether a large message to `id` was delivered. An undelivered one is sent
-    /// again with the next heartbeat. A delivered one is sent again if no reply follows
-    /// within four heartbeat intervals: the receiver may have restarted before the
-    /// message was durable.
+    /// Records whether a large message to `id` was delivered. An undelivered message is
+    /// sent again with the next heartbeat. A delivered one is sent again if no reply
+    /// arrives within four heartbeat intervals: the receiver may have restarted before
+    /// the message was durable.
     pub fn report_delivery(&mut self, now: Moment, id: NodeId, delivered: bool) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -210,14 +221,14 @@
         };
         if !delivered {
             peer.reset_next_index();
-        } else if let Some(flight) = &mut peer.in_flight {
-            let reply_deadline = now + self.timing.heartbeat * REPLY_HEARTBEATS;
-            flight.deadline = flight.deadline.min(reply_deadline);
+        } else if let Some(in_flight) = &mut peer.in_flight {
+            let reply_deadline = now + self.timing.heartbeat * REPLY_TIMEOUT_HEARTBEATS;
+            in_flight.deadline = in_flight.deadline.min(reply_deadline);
         }
     }
 
-    /// Sends a silent peer a message without entries, at the end of the leader's log.
-    /// The reply contains the index at which the peer's log ends.
+    /// Sends a peer a message without entries, at the end of the leader's log. The reply
+    /// contains the last index at which the logs agree, or may agree ([`AppendReply`]).
     fn send_probe(&mut self, id: NodeId, round: u64) {
         let body = Body::Append(AppendEntries {
             prev: self.log.last(),
@@ -230,7 +241,8 @@
         self.ready.immediate.push(message);
     }
 
-    /// Adds a leader's entries to the log if it contains the entry before them.
+    /// Adds a leader's entries to the log if the log contains the entry before them, and
+    /// replies whether it does.
     pub(crate) fn handle_append(
         &mut self,
         now: Moment,
@@ -251,8 +263,8 @@
             return;
         }
         let known = self.log.term(append.prev);
-        let behind = append.prev < self.log.snapshot().index;
-        if !behind && known != Some(append.prev_term) {
+        let is_compacted = append.prev < self.log.snapshot().index;
+        if !is_compacted && known != Some(append.prev_term) {
             let index = append.prev.saturating_sub(1);
             self.reply_after_sync(from, Body::AppendReply(reply(false, index)));
             return;
@@ -273,7 +285,7 @@
                 Some(_) => {
                     assert!(
                         entry.index > self.commit,
-                        "committed entries are never replaced"
+                        "the leader's append conflicts with a committed entry"
                     );
                     self.truncate_log(entry.index);
                     self.log.push(entry.clone());
@@ -287,16 +299,17 @@
         }
     }
 
-    /// Truncates the log from `index` on, including entries that are not durable yet.
+    /// Removes the entries from `index` on, durable or not.
     fn truncate_log(&mut self, index: Index) {
         self.log.truncate(index);
         self.ready.append.retain(|entry| entry.index < index);
-        let earlier = self.ready.truncate.unwrap_or(Index::MAX);
-        self.ready.truncate = Some(index.min(earlier));
+        let pending = self.ready.truncate.unwrap_or(Index::MAX);
+        self.ready.truncate = Some(index.min(pending));
         self.durable_index = self.durable_index.min(index - 1);
     }
 
-    /// Replaces the log up to the snapshot's index by a snapshot from the leader.
+    /// Replaces the log up to the index of a snapshot from the leader by the snapshot,
+    /// unless entries up to that index are committed already.
     pub(crate) fn handle_install(
         &mut self,
         now: Moment,
@@ -344,24 +357,27 @@
         peer.last_contact = now;
         peer.round = peer.round.max(reply.round);
         if reply.success {
-            peer.matched = peer.matched.max(reply.index.min(last));
-            peer.next = peer.next.max(peer.matched + 1);
-            let matched = peer.matched;
-            peer.in_flight = peer.in_flight.filter(|flight| flight.last > matched);
+            peer.match_index = peer.match_index.max(reply.index.min(last));
+            peer.next_index = peer.next_index.max(peer.match_index + 1);
+            let match_index = peer.match_index;
+            peer.in_flight = peer
+                .in_flight
+                .filter(|in_flight| in_flight.last > match_index);
         } else if peer.in_flight.is_none() {
-            // A late rejection must not move the peer back below the matching entries.
-            peer.next = (reply.index + 1).max(peer.matched + 1);
+            // A rejection that arrives late must not set the next index to one at which
+            // the logs are known to agree.
+            peer.next_index = (reply.index + 1).max(peer.match_index + 1);
         }
-        let behind = peer.next <= last;
-        if behind {
+        let lacks_entries = peer.next_index <= last;
+        if lacks_entries {
             self.send_to(from, false);
         }
         self.try_transfer(now, from);
         self.advance_commit();
     }
 
-    /// Commits the last index that a majority has made durable, if its entry is of the
-    /// present term.
+    /// Advances the commit index to the last index that a majority has made durable, if
+    /// its entry is of the current term.
     pub(crate) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -371,7 +387,7 @@
             .peers
             .iter()
             .filter(|peer| members.is_voter(peer.id))
-            .map(|peer| peer.matched)
+            .map(|peer| peer.match_index)
             .collect();
         if members.is_voter(self.id) {
             durable_indices.push(self.durable_index);
@@ -381,13 +397,16 @@
         else {
             return;
         };
-        let own_term = self.log.term(majority_index) == Some(self.hard_state.term);
-        if majority_index > self.commit && own_term {
+        let is_current_term = self.log.term(majority_index) == Some(self.hard_state.term);
+        if majority_index > self.commit && is_current_term {
             self.commit = majority_index;
         }
     }
 
-    /// Moves confirmed reads whose index is committed to the pending work.
+    /// Moves reads to [`Ready::reads`] once their round is confirmed and the entry at
+    /// their index is committed.
+    ///
+    /// [`Ready::reads`]: crate::ready::Ready::reads
     pub(crate) fn complete_reads(&mut self) {
         let commit = self.commit;
         let confirmed = self.confirmed_round();
@@ -404,7 +423,7 @@
         });
     }
 
-    /// Newest confirmation round that a majority answered.
+    /// Newest confirmation round to which a majority replied.
     fn confirmed_round(&self) -> u64 {
         let Role::Leader(leader) = &self.role else {
             return 0;
@@ -419,8 +438,10 @@
     }
 
     /// Starts to transfer leadership to a voter that has the complete log, because this
-    /// instance will stop. New commands are rejected meanwhile; the transfer is abandoned
-    /// after twice the election time.
+    /// instance will stop. New commands are rejected during the transfer, which is
+    /// abandoned after twice [`Timing::election`].
+    ///
+    /// [`Timing::election`]: crate::node::Timing::election
     pub fn transfer_leadership(&mut self, now: Moment) {
         let until = now + self.timing.election * 2;
         if let Role::Leader(leader) = &mut self.role {
@@ -432,18 +453,20 @@
         }
     }
 
-    /// Requests an election from the voter `id` if a transfer is in progress and the
-    /// voter has the complete log.
+    /// Requests that the voter `id` start an election, if a transfer is in progress and
+    /// the voter has the complete log.
     fn try_transfer(&mut self, now: Moment, id: NodeId) {
         let last = self.log.last();
-        let votes = self.log.members().is_voter(id);
+        let is_voter = self.log.members().is_voter(id);
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let has_all = |peer: &&crate::node::Peer| peer.id == id && peer.matched == last;
-        let complete = votes && leader.peers.iter().any(|peer| has_all(&peer));
+        let has_all =
+            |peer: &&crate::node::Peer| peer.id == id && peer.match_index == last;
+        let complete = is_voter && leader.peers.iter().any(|peer| has_all(&peer));
         if leader.transfer_until.is_some_and(|until| now < until) && complete {
-            // Only one voter is sent the request: the next tick ends the transfer.
+            // `Moment::ZERO` marks the request as sent, so that no other voter is sent
+            // one. The next tick resets it.
             leader.transfer_until = Some(Moment::ZERO);
             let message: Message = self.message(id, self.hard_state.term, Body::TakeOver);
             self.ready.immediate.push(message);
@@ -451,9 +474,9 @@
     }
 }
 
-/// Newest confirmation round that each voting peer answered.
-fn voter_rounds(leader: &LeaderState, votes: impl Fn(NodeId) -> bool) -> Vec<u64> {
-    let voters = leader.peers.iter().filter(|peer| votes(peer.id));
+/// Newest confirmation round to which each voting peer replied.
+fn voter_rounds(leader: &LeaderState, is_voter: impl Fn(NodeId) -> bool) -> Vec<u64> {
+    let voters = leader.peers.iter().filter(|peer| is_voter(peer.id));
     voters.map(|peer| peer.round).collect()
 }
 
--- a/crates/policy/src/permits.rs
+++ b/crates/policy/src/permits.rs
@@ -94,8 +94,8 @@
 }
 
 impl Limit {
-    /// Parses the values of a limit header, in requests per second, and returns the lowest
-    /// valid one.
+    /// Parses the values of a limit header, in requests per second, and returns the
+    /// lowest valid one.
     pub fn from_values<'a>(values: impl Iterator<Item = &'a str>) -> Self {
         values.fold(Self::Absent, |limit, value| {
             let rate = value.trim().parse().ok().and_then(Rate::new);
@@ -259,8 +259,8 @@
     }
 
     /// The next report to control. `None` if no response received by this entry replaced
-    /// the observation since the last report that control accepted, and no further permits
-    /// are needed. Resets the counted demand.
+    /// the observation since the last report that control accepted, and no further
+    /// permits are needed. Resets the counted demand.
     pub fn report(&mut self, now: Duration) -> Option<LimitReport> {
         let observation = self.observation?;
         let wanted = std::mem::take(&mut self.demand);
@@ -282,9 +282,9 @@
         }
     }
 
-    /// Lets the entry issue its own permits, because it cannot reach control. `entries` is
-    /// the number of entries among which half of the limit is divided; `phase`, from 0 to
-    /// 1, is to be drawn at random for each endpoint.
+    /// Lets the entry issue its own permits, because it cannot reach control. `entries`
+    /// is the number of entries among which half of the limit is divided; `phase`, from 0
+    /// to 1, is to be drawn at random for each endpoint.
     pub fn begin_local_permits(&mut self, entries: u32, phase: f64) {
         self.local.get_or_insert(LocalPermits {
             entries: entries.max(1),
--- a/crates/policy/src/shared_health.rs
+++ b/crates/policy/src/shared_health.rs
@@ -32,8 +32,8 @@
 /// report. After a crash, it can therefore be reported as alive for this long. Streams of
 /// a working endpoint pause for less than this.
 pub const RECENT_WINDOW: Duration = Duration::from_millis(250);
-/// An endpoint counts as silent only if no entry reported it alive for this time, which is
-/// the report interval. An endpoint with a long queue refuses connections while its
+/// An endpoint counts as silent only if no entry reported it alive for this time, which
+/// is the report interval. An endpoint with a long queue refuses connections while its
 /// streams continue. Without this bound, two entries that it refuses at the same time
 /// would repeatedly make all entries avoid it for a tenth of a second.
 const SILENT_AFTER: Duration = Duration::from_millis(500);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A data folder holds an identity, one log and, once the log was compacted,
 //! one snapshot. The log is a sequence of checksummed records, written in
-//! batches: one sync makes a batch durable, and nothing in it is acknowledged
-//! before. That decides how damage is treated when a log is opened:
+//! batches: one sync makes a batch durable, and none of its records is acknowledged
+//! before the sync. Damage is therefore treated as follows when a log is opened:
 //!
 //! * damage in the last batch results from a crash before its sync; the batch
 //!   was never acknowledged, so it is truncated (see [`record`]);
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -2,9 +2,9 @@
 //!
 //! Each record contains a checksum, the number of its batch, and whether it is
 //! the last of the batch. When a scan finds a record that it can't read, the
-//! batch numbers decide whether the damage can result from a crash: the batch
+//! batch numbers determine whether the damage can result from a crash: the batch
 //! after the last complete one may not have been synced, so any of its bytes may
-//! be wrong; a record of a later batch proves that the damaged one was synced.
+//! be wrong; a record of a batch after that proves that the damaged one was synced.
 //!
 //! All numbers are little-endian. A file starts with [`MAGIC`] and the format
 //! version in 4 bytes; a record is the length of its content (4 bytes), a CRC-32
@@ -23,7 +23,7 @@
 pub const HEADER_LEN: usize = 12;
 /// Bytes before a record's content: length, checksum, batch number and last mark.
 const RECORD_HEADER_LEN: usize = 17;
-/// Maximum bytes of a record's content; a longer one is taken for damage.
+/// Maximum bytes of a record's content; a longer one is treated as damage.
 const MAX_CONTENT_LEN: usize = 1 << 30;
 
 /// Magic bytes and format version, with which each file starts.
@@ -61,7 +61,7 @@
     hasher.finalize()
 }
 
-/// A record whose checksum is right, before its content is decoded.
+/// A record with a correct checksum, before its content is decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RawRecord<'a> {
     batch: u64,
@@ -138,7 +138,7 @@
     Ok(())
 }
 
-/// The record at `at`, if it is complete and its checksum is right.
+/// The record at position `at`, if it is complete and its checksum is correct.
 fn read(bytes: &[u8], at: usize) -> Option<RawRecord<'_>> {
     let frame = bytes.get(at..at + RECORD_HEADER_LEN)?;
     let length = u32::from_le_bytes(*frame.first_chunk()?);
@@ -159,8 +159,8 @@
     })
 }
 
-/// Whether there is a record of a batch after `damaged` at any position after `at`.
-/// Checksums are computed only where the batch number is plausible.
+/// Whether a record of a batch after the batch `damaged` starts at any position after
+/// `at`. Checksums are computed only where the batch number is plausible.
 fn has_later_batch(bytes: &[u8], at: usize, damaged: u64) -> bool {
     /// A batch number that is ahead by more results from damage, not from a batch.
     const MAX_AHEAD: u64 = 1 << 32;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -41,7 +41,7 @@
 pub struct Batch<'a> {
     /// Term and vote, if they changed.
     pub hard_state: Option<HardState>,
-    /// First index of the earlier entries to be removed.
+    /// Index from which earlier entries are removed.
     pub truncate: Option<Index>,
     /// New entries, which follow the remaining ones.
     pub append: &'a [Entry],
@@ -117,8 +117,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Uninitialized`], or what makes a file unreadable; damaged files are
-    /// left unchanged.
+    /// [`StoreError::Uninitialized`], or the error that makes a file unreadable. Files
+    /// that are damaged beyond the last batch are left unchanged.
     pub fn open(mut files: Box<dyn Files>) -> Result<Opened, StoreError> {
         let names = names(files.as_ref())?;
         if !names.iter().any(|name| name == IDENTITY_FILE) {
@@ -191,8 +191,8 @@
     ///
     /// # Errors
     ///
-    /// The error of the operating system. Unless the new log was renamed already, the
-    /// earlier generation is still the current one.
+    /// The error of the operating system. The earlier generation remains the current one
+    /// unless the new log was already renamed.
     pub fn replace(
         &mut self,
         hard_state: HardState,
