--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -15,8 +15,8 @@
 //! The wait is predicted by Little's law from local data: the tokens that the entry has
 //! sent and that are not prefilled yet, over the rate at which tokens of its requests are
 //! prefilled. All entries share the engines' queues and so predict about the same wait
-//! without exchanging messages. The prediction follows a burst at once, while a measured
-//! latency would lag by itself.
+//! without exchanging messages. The prediction reacts to a burst at once, while the
+//! latency of prefilled prompts is known only after that latency.
 
 use crate::queue_wait::QueueWait;
 use std::time::Duration;
@@ -29,10 +29,10 @@
 /// Part of the objective that the predicted wait may take. The rest allows for
 /// differences between the queues of single endpoints.
 const PREDICTED_SHARE: f64 = 0.6;
-/// Part of the objective that foreground prompts must have waited, recently or until now,
-/// before any request goes to the background. At low load an entry with one prompt per
-/// second has no reliable rate, and two prompts that arrive together look like a queue;
-/// the actual wait shows that there is none.
+/// Part of the objective for which foreground prompts must have waited, whether prefilled
+/// recently or still waiting, before any request goes to the background. At low load an
+/// entry with one prompt per second has no reliable rate, and two prompts that arrive
+/// together look like a queue; the actual wait shows that there is none.
 const OBSERVED_SHARE: f64 = 0.25;
 
 /// Prompts that an entry has sent to the endpoints of one service.
@@ -78,14 +78,14 @@
         self.queue_wait.record(now, wait);
     }
 
-    /// Predicted time until a request of `rank` that is sent now is prefilled. `least` is
-    /// a lower bound of the prefill rate, in tokens per second, for an entry that has
+    /// Predicted time until a request of `rank` that is sent now is prefilled. `min_rate`
+    /// is a lower bound of the prefill rate, in tokens per second, for an entry that has
     /// sent nothing recently.
-    pub fn predicted_wait(&self, now: Duration, rank: usize, least: f64) -> Duration {
+    pub fn predicted_wait(&self, now: Duration, rank: usize, min_rate: f64) -> Duration {
         let index = index(rank);
         let urgent: f64 = self.pending[..index].iter().flatten().sum();
         let ahead = urgent + self.pending[index][0];
-        let rate = (self.decayed(now) / RATE_DECAY_SECONDS).max(least);
+        let rate = (self.decayed(now) / RATE_DECAY_SECONDS).max(min_rate);
         if rate <= 0.0 {
             return Duration::ZERO;
         }
@@ -93,16 +93,16 @@
     }
 
     /// Whether a request of `rank` that is sent now is expected to meet `objective`.
-    /// `least` as in [`Self::predicted_wait`].
+    /// `min_rate` as in [`Self::predicted_wait`].
     pub fn can_meet_objective(
         &self,
         now: Duration,
         rank: usize,
-        least: f64,
+        min_rate: f64,
         objective: Duration,
     ) -> bool {
-        let soon =
-            self.predicted_wait(now, rank, least) <= objective.mul_f64(PREDICTED_SHARE);
+        let soon = self.predicted_wait(now, rank, min_rate)
+            <= objective.mul_f64(PREDICTED_SHARE);
         soon || self.queue_wait.predicted(now) <= objective.mul_f64(OBSERVED_SHARE)
     }
 
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -1,13 +1,13 @@
-//! Pauses that endpoints request when they turn requests away.
+//! Pauses that endpoints request when they refuse requests.
 //!
-//! An endpoint that turns all requests away looks idle, since they do not run there, and
+//! An endpoint that refuses all requests appears idle, since they do not run there, and
 //! would get more requests than the others. A request that may be sent only once is lost
 //! with each refusal.
 //!
 //! Invariants:
 //!
-//! * a pause lasts until the latest end that the endpoint has named: a shorter one in a
-//!   later refusal does not end it earlier;
+//! * a pause lasts until the latest end that the endpoint has requested: a later refusal
+//!   with a shorter pause does not end it earlier;
 //! * a pause applies to the entry that received the refusal, and to one run of the
 //!   endpoint.
 
@@ -21,20 +21,20 @@
 /// Time after which a refusal allows the next request.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum Retry {
-    /// Not named by the refusal.
+    /// The refusal contains no time.
     #[default]
     #[display("unsaid")]
     Unspecified,
-    /// Not before this time has passed.
+    /// The next request is allowed after this time.
     #[display("{}ms", _0.as_millis())]
     After(Duration),
-    /// Named, but not as a number.
+    /// The refusal contains a time that cannot be parsed.
     #[display("unreadable")]
-    Unreadable,
+    Invalid,
 }
 
 impl Retry {
-    /// Parses texts that are each a number of seconds, and returns the longest time.
+    /// Parses values that are each a number of seconds, and returns the longest time.
     pub fn parse_seconds<'a>(texts: impl Iterator<Item = &'a str>) -> Self {
         texts.fold(Self::Unspecified, |retry, text| {
             let seconds: Option<f64> = text.trim().parse().ok();
@@ -44,7 +44,7 @@
             match (retry, after) {
                 (Self::After(known), Some(after)) => Self::After(known.max(after)),
                 (_, Some(after)) => Self::After(after),
-                (Self::Unspecified, None) => Self::Unreadable,
+                (Self::Unspecified, None) => Self::Invalid,
                 (_, None) => retry,
             }
         })
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -8,7 +8,7 @@
 
 /// Retries that one first attempt earns.
 pub const EARN_RATE: f64 = 0.1;
-/// Retries that can be saved up.
+/// Maximum number of retries that can be saved.
 pub const MAX_UNITS: f64 = 20.0;
 
 /// Token bucket of retries; starts full by default.
@@ -68,32 +68,33 @@
     }
 }
 
-/// Second sends that operators allow a service, over all its entries.
+/// Retries that operators allow a service, over all its entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Second sends per request of the service.
+    /// Retries per request of the service.
     pub share: f64,
-    /// Additional second sends in any window.
+    /// Additional retries in any window of time.
     pub spare: f64,
 }
 
-/// Part of the share that entries use. The rest covers second sends that fall into
-/// another window than their requests.
+/// Part of the share that entries use. The rest covers retries that fall into another
+/// window of time than their requests.
 const USED_SHARE: f64 = 0.75;
-/// Part of the additional second sends that entries use.
+/// Part of the additional retries that entries use.
 const USED_SPARE: f64 = 0.8;
-/// Fewest entries among which the additional second sends are divided. A starting entry
-/// may see fewer entries than there are; its bucket is empty then, and fills slowly.
+/// Minimum number of entries among which the additional retries are divided. An entry
+/// that starts may know of fewer entries than there are; its bucket is then empty and
+/// fills slowly.
 const MIN_ENTRIES: u32 = 8;
 
 impl Allowance {
-    /// Second sends that one request earns, as the `earn` of [`Budget::empty`].
+    /// Retries that one request earns, as the `earn` of [`Budget::empty`].
     pub fn earn(&self) -> f64 {
         self.share * USED_SHARE
     }
 
-    /// Second sends that one of `entries` entries may save up; 0 entries if their number
-    /// is unknown.
+    /// Number of retries that one of `entries` entries may save; `entries` is 0 if their
+    /// number is unknown.
     pub fn cap(&self, entries: u32) -> f64 {
         self.spare * USED_SPARE / f64::from(entries.max(MIN_ENTRIES))
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -14,8 +14,8 @@
 use dogwoodhill_core::load::Load;
 use rand::Rng;
 
-/// Shortest time in which any endpoint answers. A request with no more time left than
-/// this expires instead of being sent.
+/// Shortest time in which any endpoint responds. A request whose deadline is no further
+/// away expires instead of being sent.
 pub const MIN_TIME_LEFT: Moment = Moment::from_millis(2);
 /// Lower bound of the retry delay that is sent to a caller.
 const MIN_RETRY: Moment = Moment::from_secs(1);
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Reuses the slot of an unlisted endpoint without work, so that indices stay valid
-    /// and the list does not grow with replacements.
+    /// Adds an endpoint. Reuses the slot of an unlisted endpoint without outstanding
+    /// requests, so that indices stay valid and the list does not grow with replacements.
     fn add(&mut self, endpoint: &ListedEndpoint) {
         let view = View::new(endpoint.name.clone(), endpoint.domain.clone());
         let unused = |view: &View| !view.listed() && view.outstanding() == 0;
@@ -190,7 +190,7 @@
         self.views[view].failed(now);
     }
 
-    /// Ends a request on an endpoint; `complete` if its answer arrived to the end.
+    /// Ends a request on an endpoint; `complete` if its answer arrived completely.
     pub fn ended(
         &mut self,
         now: Moment,
@@ -210,7 +210,7 @@
         actions
     }
 
-    /// Applies a load report that counts all own outstanding requests.
+    /// Applies a load report that includes all outstanding requests of this entry.
     pub fn report(&mut self, now: Moment, view: usize, report: &Load) {
         let own = self.views[view].outstanding();
         self.views[view].report(now, report, own);
@@ -239,9 +239,10 @@
         }
     }
 
-    /// Starts all requests that can start now. Once a class finds no room, all classes of
-    /// its tier and of less urgent ones are skipped for the rest of the pass, since they
-    /// need the same room. Due classes are placed as tier 0 and are skipped separately.
+    /// Starts all requests that can start now. Once no endpoint has room for a class, all
+    /// classes of its tier and of less urgent tiers are skipped for the rest of the pass,
+    /// since they need the same room. Due classes are placed as tier 0 and are skipped
+    /// separately.
     fn start_ready(
         &mut self,
         now: Moment,
@@ -315,7 +316,7 @@
         self.queue.len() as f64 / f64::from(self.running.max(1))
     }
 
-    /// Estimated time to drain the present queue, within the bounds of the retry delay.
+    /// Estimated time to drain the queue, within the bounds of the retry delay.
     fn retry_delay(&self) -> Moment {
         let wait = self.start_gap * self.queue.len() as f64;
         Moment::from_secs_f64(wait.min(MAX_RETRY.as_secs_f64())).max(MIN_RETRY)
--- a/crates/policy/src/event_gap.rs
+++ b/crates/policy/src/event_gap.rs
@@ -7,7 +7,7 @@
 //! on a slower one, where all streams of a burst are late. A slower engine still serves
 //! long prompts well.
 //!
-//! An entry learns the mean time between events from the streams that it relays, long
+//! An entry estimates the mean time between events from the streams that it relays, long
 //! before a burst. About eighty events per stream make it precise, while the longest
 //! pause is a single sample. Endpoints are compared with each other, so a burst that
 //! slows all of them moves no streams.
@@ -26,11 +26,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventGap {
     mean: Option<Duration>,
+    /// When the mean was last updated.
     at: Duration,
 }
 
 impl EventGap {
-    /// Records an event that came `pause` after the previous one.
+    /// Records an event that arrived `pause` after the previous one.
     pub fn record(&mut self, now: Duration, pause: Duration) {
         let previous = self.mean(now).unwrap_or(pause);
         let kept = previous.mul_f64(1.0 - SAMPLE_WEIGHT);
--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/gate.rs
@@ -8,12 +8,12 @@
 //! the least urgent class progresses under permanent urgent load. Running requests are
 //! never stopped to make room.
 //!
-//! An endpoint that breaks off its answers ends them sooner than a healthy one; it always
-//! has free slots and would attract all work. After [`PROBATION_FAILURES`] broken answers
+//! An endpoint that breaks off its answers frees its slots sooner than a healthy one, and
+//! would attract all work. After [`PROBATION_FAILURES`] broken answers
 //! in a row the gate is on probation: no request starts for a pause that doubles with
 //! each further one, then one request at a time until one is answered completely.
-//! Requests of the most urgent tiers serve as probes only if no other request has come
-//! for a while.
+//! Requests of the most urgent tiers serve as probes only if no other request has arrived
+//! within [`URGENT_GRACE`] after the pause.
 
 use crate::Moment;
 use crate::limit::Limit;
@@ -30,7 +30,7 @@
 const MIN_PAUSE: Moment = Moment::from_millis(200);
 /// Tiers up to this number are not used as probes at first.
 const MAX_URGENT_TIER: usize = 1;
-/// How long after the pause these tiers are not used as probes.
+/// How long after the pause requests of the urgent tiers are not used as probes.
 const URGENT_GRACE: Moment = Moment::from_secs(3);
 /// Longest pause on probation.
 const MAX_PAUSE: Moment = Moment::from_secs(5);
@@ -191,7 +191,8 @@
 
     /// Records an answer that the endpoint broke off.
     pub fn record_broken(&mut self, now: Moment) {
-        // Answers that run together break together and cause a single pause.
+        // Answers that run at the same time break at the same time, and cause a single
+        // pause.
         if self.broken >= PROBATION_FAILURES && now < self.paused_until {
             return;
         }
@@ -213,7 +214,7 @@
     }
 
     /// Applies the endpoint's own report. If requests wait inside the endpoint, the
-    /// number that run caps the limit.
+    /// number of running ones caps the limit.
     pub fn record_report(&mut self, now: Moment, running: u32, waiting: u32) {
         if waiting > 0 {
             self.limit.cap(now, running);
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -3,29 +3,30 @@
 //! Endpoints disappear without closing connections, fail part of their requests while
 //! they report themselves healthy, or stop answering on all connections at once. An entry
 //! detects this from its own requests: their recent outcomes, and the time since it last
-//! received anything. The verdict of all entries together ([`crate::shared_health`]) is
-//! used as well, while it is fresh and own observations do not contradict it.
+//! received any bytes. The verdict of all entries together ([`crate::shared_health`]) is
+//! used as well, while it is recent and this entry's observations do not contradict it.
 
 use crate::shared_health::{HealthReport, RECENT_WINDOW, Verdict};
 use std::time::Duration;
 
 /// Weight of a new outcome in the failure rate: about the last ten requests count.
 const OUTCOME_WEIGHT: f64 = 0.12;
-/// Failure rate from which an endpoint counts as failing. Working endpoints fail up to
-/// 14% of some requests.
+/// Failure rate from which an endpoint counts as failing. Working endpoints fail up to 14
+/// of 100 requests.
 const FAILURE_THRESHOLD: f64 = 0.3;
 /// Time without received bytes after which an endpoint with open streams counts as
 /// silent. Several times the longest pause of a working one.
 const STREAM_SILENCE: Duration = Duration::from_millis(900);
-/// Upper bound of that time while all requests still wait for a first byte: under load an
-/// endpoint queues requests for a few seconds, and a lost endpoint is usually detected by
-/// the next connection to it.
+/// Upper bound of the time without received bytes after which an endpoint counts as
+/// silent while all its requests wait for a first byte. Under load an endpoint queues
+/// requests for a few seconds, and a lost endpoint is usually detected by the next
+/// connection to it.
 const MAX_SILENCE: Duration = Duration::from_secs(4);
-/// Silence while all requests wait for a first byte, as a multiple of the mean time to
-/// first byte: a plain service that answers in 30 ms counts as silent much sooner than an
-/// engine under load.
+/// The same time as a multiple of the mean time to first byte: a plain service that
+/// responds in 30 ms counts as silent much sooner than a language-model engine under
+/// load.
 const SILENCE_FACTOR: u32 = 8;
-/// Lower bound of that silence: above the slowest answers of plain services.
+/// Lower bound of the same time: above the slowest responses of plain services.
 const MIN_SILENCE: Duration = Duration::from_millis(250);
 /// Weight of a new sample in the mean time to first byte.
 const FIRST_BYTE_WEIGHT: f64 = 0.1;
@@ -36,7 +37,7 @@
 /// Lifetime of a verdict that is not renewed: three of the intervals at which verdicts
 /// are sent.
 const VERDICT_LIFETIME: Duration = Duration::from_millis(1_600);
-/// Time constant with which the failure rate decays without requests.
+/// Time constant, in seconds, with which the failure rate decays without requests.
 const FAILURE_DECAY_SECONDS: f64 = 3.0;
 
 /// Health of one endpoint as an entry estimates it.
@@ -46,7 +47,7 @@
     Sound,
     /// Reachable, but with a high failure rate; sound endpoints are preferred.
     Failing,
-    /// Unreachable or not responding: used as the last resort, apart from single probes.
+    /// Unreachable or not responding: used only as a last resort and for single probes.
     Silent,
 }
 
@@ -63,12 +64,12 @@
     streaming: u32,
     /// Mean time to first byte.
     first_byte: Option<Duration>,
-    /// When the oldest of an unbroken sequence of outstanding requests was sent.
+    /// Since when at least one request has been outstanding without interruption.
     waiting_since: Duration,
     /// Failures to reach the endpoint since bytes were last received.
     connect_failures: u32,
     paused_until: Duration,
-    /// When a connection last got no answer, cleared by received bytes.
+    /// When a connection attempt last timed out; cleared by received bytes.
     timed_out_at: Option<Duration>,
     /// When a later run of the endpoint became known.
     superseded_at: Option<Duration>,
@@ -109,17 +110,17 @@
         self.timed_out_at = None;
     }
 
-    /// Records an answer, or a connection that broke. `failed` if the endpoint is at
-    /// fault.
+    /// Records a response, or a connection that broke; `failed` if the endpoint caused a
+    /// failure.
     pub fn record_outcome(&mut self, now: Duration, failed: bool) {
         self.add_outcome(now, failed);
         self.observed.answered += 1;
         self.observed.failed += u32::from(failed);
     }
 
-    /// Records a request without an answer in time, as a failure if `failed`. It counts
-    /// in the failure rate of this entry only and is not reported to others: under
-    /// overload time-outs occur at all endpoints.
+    /// Records a request without a response in time, as a failure if `failed`. It counts
+    /// only in the failure rate of this entry and is not reported to control: under
+    /// overload, time-outs occur at all endpoints.
     pub fn timed_out(&mut self, now: Duration, failed: bool) {
         self.add_outcome(now, failed);
     }
@@ -140,13 +141,13 @@
         self.observed.unreached = true;
     }
 
-    /// Records a new connection without any answer, not even a refusal.
+    /// Records a connection attempt that timed out, neither accepted nor refused.
     pub fn connect_timed_out(&mut self, now: Duration) {
         self.timed_out_at = Some(now);
         self.mark_unreachable(now);
     }
 
-    /// Records that another run of the endpoint answered at its address.
+    /// Records that another run of the endpoint responded at its address.
     pub fn replaced(&mut self) {
         self.observed.replaced = true;
     }
@@ -199,10 +200,10 @@
     }
 
     /// Whether a request outstanding since `sent` should be sent to another endpoint: the
-    /// endpoint has been silent for too long, or a later connection got no answer. A
+    /// endpoint has been silent for too long, or a later connection attempt timed out. A
     /// refused connection is no reason: an endpoint with a long queue refuses connections
-    /// and still answers accepted requests. For a superseded run, or one that other
-    /// entries find silent, the shortest silence suffices: a crash behind a network
+    /// and still responds to accepted requests. For a superseded run, or one with the
+    /// verdict [`Verdict::Silent`], [`MIN_SILENCE`] suffices: a crash behind a network
     /// partition closes no connection.
     pub fn should_abandon(&self, now: Duration, sent: Duration) -> bool {
         let waited = now.saturating_sub(sent);
--- a/crates/policy/src/incarnations.rs
+++ b/crates/policy/src/incarnations.rs
@@ -3,8 +3,8 @@
 //! An endpoint may crash and return under its name within a second, while the list lags
 //! by as much, two entries read it for all others, and a third one behind a network
 //! partition reads it for itself. Their reads arrive in any order, some of them twice. An
-//! entry that relied on the last one to arrive would send to a run that is over, and
-//! would assume cached prefixes that the new run has not prefilled.
+//! entry that relied on the last one to arrive would send requests to a run that has
+//! ended, and would assume cached prefixes that the new run has not prefilled.
 //!
 //! Every listed run is therefore compared with the newest known run of the same name.
 //! Invariants, under any loss, duplication, delay or reordering of messages:
@@ -13,7 +13,7 @@
 //! * A run that was seen leaving remains leaving, and its successor is not.
 //! * Start times are compared only with those of the same name, never with a local clock.
 //!
-//! A listing without a start time is taken to mean the known run, and the first start
+//! A listing without a start time is assumed to mean the known run, and the first start
 //! time that is listed is assigned to that run. If it were taken for a new run, the run
 //! would cease to be leaving whenever one of two readers has an older version. A run
 //! without a start time is forgotten once it is off the list, since it cannot be
@@ -22,10 +22,11 @@
 use dogwoodhill_core::prelude::*;
 use std::cmp::Ordering;
 
-/// How long the newest run of an endpoint is kept that is no longer listed: regions may
+/// How long the newest run of an endpoint is stored after it was last listed: regions may
 /// be disconnected for an hour, and old reads arrive once they reconnect.
 const RETENTION: Duration = Duration::from_secs(3_600);
-/// Most endpoints that are kept: eight times the design size. Some 100 bytes each.
+/// Maximum number of endpoints that are stored: eight times the design size. Some 100
+/// bytes each.
 const MAX_ENDPOINTS: usize = 10_000;
 
 /// How a listed run compares with the newest known run of its endpoint.
@@ -92,8 +93,9 @@
         Some((&known.run, known.leaving))
     }
 
-    /// Drops endpoints that are not on the whole list recorded at `now` and need not be
-    /// kept.
+    /// Drops endpoints that were not on the complete list recorded at `now`, if their
+    /// start time is unknown or they were last listed more than an hour ago. Then drops
+    /// the endpoints listed longest ago if there are too many.
     pub fn forget(&mut self, now: Duration) {
         self.runs.retain(|known| {
             let retention = known.run.start.map_or(Duration::ZERO, |_| RETENTION);
--- a/crates/policy/src/interference.rs
+++ b/crates/policy/src/interference.rs
@@ -14,7 +14,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Streams whose longest pause is kept.
+/// Number of streams whose longest pause is stored.
 const MAX_STREAMS: usize = 60;
 /// Streams below which an entry has no estimate. The first streams to end are short and
 /// have short longest pauses: 33 entries with one to four streams each estimated 57 ms
@@ -26,7 +26,7 @@
 /// Quantile of the longest pauses that is the estimate. It is close to 1 because at low
 /// load nearly all prompts are prefilled alone, while the estimate has to hold for the
 /// next burst: with 0.9 of forty streams the classes were mixed at low load, and 2 to 5
-/// in 100 more of the most urgent streams were late. Two outliers, from lost or frozen
+/// in 100 more of the most urgent streams were late. Two outliers, from lost or suspended
 /// endpoints, do not change it.
 const QUANTILE: f64 = 0.97;
 /// Streams are separated if their allowed pause is below this multiple of the estimate.
--- a/crates/policy/src/list_reads.rs
+++ b/crates/policy/src/list_reads.rs
@@ -1,22 +1,22 @@
 //! When an entry reads the list of endpoints itself.
 //!
 //! If 33 entries read two pages per second each, they make 67 calls per second; 300
-//! entries make more calls than a list admits, and an endpoint that leaves then gets new
+//! entries exceed the rate limit of the list, and an endpoint that leaves then gets new
 //! requests for five seconds. Only two entries, the readers, therefore read the list, and
 //! a control instance passes their reads on to the others. An entry that receives no
-//! fresh read reads the list itself, whatever the cause: the readers crashed or froze,
-//! the list does not respond to them, or control is unreachable.
+//! recent read reads the list itself, whatever the cause: the readers crashed or were
+//! suspended, the list does not respond to them, or control is unreachable.
 //!
 //! An entry that starts waits for the reads of others, since without control it has no
 //! routes to serve either. During a rolling restart of a hundred entries in which each of
-//! them read five pages at its start, half of all calls of the list were theirs; after a
-//! power failure all of them would read at the same moment.
+//! them read five pages at its start, these reads were half of all calls of the list;
+//! after a power failure all entries would read at the same moment.
 //!
 //! A read of sixty pages takes a small instance one second. From the age of a read alone
-//! it is undecidable whether the readers are gone or slow, so readers report how long
+//! it is undecidable whether the readers crashed or are slow, so readers report how long
 //! their reads took, and a read counts as stale that much later. Otherwise hundreds of
 //! entries start to read at once, the list rejects most of their calls and those of the
-//! readers as well, and this lasts for as long as all of them retry. For the same reason
+//! readers as well, and this continues as long as all of them retry. For the same reason
 //! an entry whose calls are rejected backs off, and stops once it receives a read
 //! ([`retry_delay`]).
 //!
@@ -45,14 +45,14 @@
 /// compared to the shortest response-time target.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Shortest interval between reads of a reader, as a list admits a limited rate of calls.
+/// Shortest interval between reads of a reader, as the list limits the rate of calls.
 pub const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most jitter added to the time of a read, as a fraction of it, so that entries without
-/// fresh reads do not read at the same moment.
+/// Maximum jitter added to the delay before a read, as a fraction of the delay, so that
+/// entries without recent reads do not read at the same moment.
 const JITTER: f64 = 0.25;
 
-/// Shortest time over which entries without fresh reads spread their own.
+/// Shortest time over which the reads of entries without recent reads are spread.
 pub const MIN_SPREAD: Duration = Duration::from_millis(100);
 
 /// Longest time from the end of a read until another entry has received it: the interval
@@ -64,21 +64,22 @@
     interval.max(took).mul_f64(1.0 + JITTER) + took + PROPAGATION
 }
 
-/// Longest interval between reads of a reader with which every entry learns of a leaving
+/// Longest interval between reads of a reader with which every entry detects a leaving
 /// endpoint within `within`; at least [`MIN_READ_INTERVAL`].
 pub fn max_read_interval(within: Duration) -> Duration {
     let budget = within.saturating_sub(PROPAGATION + CONNECT_TIMEOUT);
     budget.div_f64(1.0 + JITTER).max(MIN_READ_INTERVAL)
 }
 
-/// Age of the read in use at which an entry that is no reader reads the list itself.
+/// Age of the read in use at which an entry that is not a reader reads the list itself.
 ///
 /// A read takes `took`, and leaving endpoints may be sent requests for `within`.
-/// `spread`, from 0 to 1, is random, so that entries without fresh reads do not read at
-/// the same moment. A result within the bound is never below [`expected_age`]: entries
-/// that read in normal operation exhaust the list's call limit for each other. If that
-/// leaves no time for the read and a connection, entries wait as long as without a bound,
-/// since hundreds of them that read early would be late together.
+/// `spread`, from 0 to 1, is random, so that entries without recent reads do not read at
+/// the same moment. An age that observes `within` is never below [`expected_age`]:
+/// entries that read in normal operation would exhaust the list's rate limit for each
+/// other. If that leaves no time for the read and a connection, entries wait as long as
+/// without the bound `within`, since hundreds of entries that read early would all be
+/// late.
 pub fn fallback_age(
     within: Duration,
     interval: Duration,
@@ -96,24 +97,24 @@
     first + (last - first).mul_f64(spread)
 }
 
-/// How long a list with far fewer endpoints than the one in use is held back before it is
-/// accepted: shorter than the few seconds within which a leaving endpoint must cease to
-/// get requests.
+/// How long a list with fewer than half of the endpoints in use must persist before it is
+/// accepted: shorter than the few seconds within which requests to a leaving endpoint
+/// must end.
 const SHRINK_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Upper bound of the reported duration of a read, which extends [`STALE_AFTER`]: with
-/// it, a leaving endpoint is still recognized within a few seconds.
+/// it, a leaving endpoint is still detected within a few seconds.
 const MAX_READ_TIME: Duration = Duration::from_millis(1_500);
 /// Delay after the first failed read.
 const INITIAL_DELAY: Duration = Duration::from_millis(150);
-/// Longest delay of an entry that is no reader and whose calls were rejected by the rate
-/// limit, before jitter. Hundreds of such entries then make some tens of calls per second
-/// together.
+/// Longest delay of an entry that is not a reader and whose calls were rejected by the
+/// rate limit, before jitter. Hundreds of such entries then make some tens of calls per
+/// second together.
 const MAX_DELAY: Duration = Duration::from_secs(4);
 
 /// Delay before the next attempt after `failures` failed reads in a row. `busy` means
-/// that the list rejected the last one for too many calls; entries that are no readers
-/// then back off exponentially. `spread`, from 0 to 1, is random, so that entries
+/// that the list rejected the last one because of its rate limit; entries that are not
+/// readers then back off exponentially. `spread`, from 0 to 1, is random, so that entries
 /// rejected together do not retry together.
 pub fn retry_delay(
     failures: u32,
@@ -139,6 +140,7 @@
 /// detected without it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShrinkGuard {
+    /// When the first list was read that was too small to be accepted.
     since: Option<Duration>,
 }
 
--- a/crates/policy/src/packing.rs
+++ b/crates/policy/src/packing.rs
@@ -1,6 +1,6 @@
 //! How many of their reserved endpoints latency-sensitive streams use.
 //!
-//! Short streams are delayed by the prompts of each other. The more endpoints they use,
+//! Short streams are delayed by each other's prompts. The more endpoints they use,
 //! the more rarely a prompt is prefilled beside a stream. Filling one endpoint to a
 //! quarter of its slots before the next, with prompts of 1,460 tokens and streams of one
 //! second, keeps an endpoint prefilling half of the time: 9 to 19 in 100 of the most
@@ -22,9 +22,9 @@
     pub slots: f64,
 }
 
-/// Number of endpoints, from the start of their order, that streams use. The `quick` ones
-/// that come first and are not slow are all used, and as many of the others as keep all
-/// of them together below three fifths of their slots.
+/// Number of endpoints that streams use, counted from the start of `endpoints`: the first
+/// `quick` ones, which are not slow, and as many of the slow ones after them as keep all
+/// of these endpoints together below three fifths of their slots.
 pub fn endpoints_used(
     endpoints: impl ExactSizeIterator<Item = Occupancy>,
     quick: usize,
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -99,9 +99,9 @@
     }
 }
 
-/// The cheapest of a few random endpoints with room, in the own failure domain first.
-/// Random candidates keep entries with the same stale reports from choosing the same
-/// endpoint.
+/// The cheapest of a few random endpoints with room, preferably in the entry's own
+/// failure domain. Random candidates keep entries with the same stale reports from
+/// choosing the same endpoint.
 #[derive(Debug)]
 pub struct Predicted {
     domain: DomainId,
@@ -113,6 +113,8 @@
         Self { domain }
     }
 
+    /// The cheapest of at most [`MAX_CANDIDATES`] random endpoints with room that satisfy
+    /// `fits`, and of the endpoint that got a free slot.
     fn sample(
         &self,
         views: &[View],
--- a/crates/policy/src/prefill_rate.rs
+++ b/crates/policy/src/prefill_rate.rs
@@ -2,16 +2,16 @@
 //!
 //! Endpoints do not report the rate, and engines differ by a factor of ten. An entry
 //! observes how long a prompt took until its first event, and how many of its tokens
-//! should have been uncached. Most disturbances make a prompt look slow: it waited behind
-//! prompts of other entries, was prefilled together with them, had its prefix evicted
-//! from the cache, or went to a slow endpoint. The estimate is therefore an upper
+//! should have been uncached. Most disturbances make a prompt appear slow: it waited
+//! behind prompts of other entries, was prefilled together with them, had its prefix
+//! evicted from the cache, or went to a slow endpoint. The estimate is therefore an upper
 //! quantile, tracked in bounded steps: no single prompt moves it by more than a few
 //! hundredths, whatever an endpoint reports.
 
 use std::time::Duration;
 
-/// Initial estimate, in tokens per millisecond. An engine of half or four times that rate
-/// is recognized after sixty prompts.
+/// Initial estimate, in tokens per millisecond. For engines of half or four times that
+/// rate, the estimate is correct after sixty prompts.
 const INITIAL_PER_MS: f64 = 30.0;
 /// Bounds of the estimate, in tokens per millisecond. Engines of a tenth of the
 /// upper bound and more exist.
@@ -20,8 +20,8 @@
 const SLOWER_FRACTION: f64 = 0.7;
 /// Relative step of the estimate per prompt, before weighting.
 const STEP: f64 = 0.08;
-/// Fewest uncached tokens of a prompt that is used: below that, network latency and the
-/// first decoding step take as long as the prefill.
+/// Minimum number of uncached tokens of a prompt that is used: below that, network
+/// latency and the first decoding step take as long as the prefill.
 const MIN_TOKENS: f64 = 1_000.0;
 
 /// Estimated prefill rate of the endpoints of one service.
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,21 +1,21 @@
 //! Detects requests that crash the endpoints which run them, and quarantines them.
 //!
 //! A request may crash every endpoint that starts it. Its caller sends it again, to any
-//! entry, and an entry without knowledge of it forwards it: ten endpoints and more crash
-//! in a row. Some forty other requests are lost with each of them, are sent again as
-//! well, and may run beside the culprit once more. Endpoints also stop for other reasons,
-//! such as the loss of a failure domain or a replacement.
+//! entry, and an entry that has not seen it before forwards it: ten endpoints and more
+//! crash in a row. Some forty other requests are lost with each of them, are sent again
+//! as well, and may again run on the same endpoint as the cause. Endpoints also stop for
+//! other reasons, such as the loss of a failure domain or a replacement.
 //!
 //! Entries therefore report to one control instance which requests were lost with which
 //! endpoints ([`LostRequest`]). A request that was lost with three endpoints, and is the
-//! only one that accounts for that, is quarantined: no entry forwards it until the
-//! quarantine ends. A request that was lost with two is a suspect, and runs apart from
-//! other requests.
+//! only one that accounts for these crashes, is quarantined: no entry forwards it until
+//! the quarantine ends. A request that was lost with two is a suspect, and runs apart
+//! from other requests.
 //!
 //! Invariants:
 //!
-//! * An endpoint counts as crashed only if it refused connections after its own had
-//!   broken, and no entry has received anything from it since.
+//! * An endpoint counts as crashed only if it refused connections after an existing one
+//!   had broken, and no entry has received any data from it since.
 //! * A request that was served recently is not the cause.
 //! * If several requests were lost with the same endpoints, none of them is quarantined
 //!   until their crashes differ, or until six crashes.
@@ -39,8 +39,8 @@
 /// Crashes from which a request is a suspect.
 pub const SUSPECT_CRASHES: usize = 2;
 /// Crashes from which a request is quarantined although others were lost with the same
-/// endpoints. Suspects run apart from each other after two crashes, so innocent ones
-/// would have been served by then.
+/// endpoints. Suspects run apart from each other after two crashes, so those that are not
+/// the cause would have been served by then.
 const CERTAIN_CRASHES: usize = 6;
 /// Silence of an endpoint after which the report of a single entry confirms its crash:
 /// within this time each entry reports which endpoints it received data from.
@@ -58,20 +58,20 @@
 const FIRST_PERIOD: Duration = Duration::from_secs(600);
 /// Upper bound of the length of a quarantine.
 const MAX_PERIOD: Duration = Duration::from_secs(24 * 3_600);
-/// Most requests that are kept, some 200 bytes each.
+/// Maximum number of requests that are stored, some 200 bytes each.
 const MAX_SUSPECTS: usize = 4_096;
-/// Most requests of one workspace that are kept, so that none can displace those of
-/// others.
+/// Maximum number of requests of one workspace that are stored, so that no workspace can
+/// displace the requests of others.
 const MAX_PER_WORKSPACE: usize = 512;
-/// Most lost endpoints that are kept.
+/// Maximum number of lost endpoints that are stored.
 const MAX_LOST: usize = 1_024;
-/// Most requests that are sent to entries, 30 bytes each.
+/// Maximum number of notices that are sent to entries, 30 bytes each.
 const MAX_NOTICES: usize = 256;
 
 /// Hash of the name of the entry that reports.
 pub type EntryHash = u64;
 
-/// A request whose connection to an endpoint broke, and the endpoint refuses new
+/// A request whose connection to an endpoint broke, after which the endpoint refused new
 /// connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRequest {
@@ -79,7 +79,7 @@
     pub request: Fingerprint,
     /// Hash of its workspace.
     pub workspace: u64,
-    /// The endpoint, and which start of it.
+    /// Run of the endpoint.
     pub run: Incarnation,
     /// Hash of the endpoint's failure domain.
     pub domain: u64,
@@ -153,7 +153,7 @@
     confirmed: bool,
 }
 
-/// Requests that were lost with their endpoints, and those quarantined for it.
+/// Requests that were lost with endpoints, and requests that are quarantined.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     /// Sorted by request.
@@ -282,7 +282,7 @@
     pub fn evaluate(&mut self, now: Duration) -> Vec<NewQuarantine> {
         self.expire(now);
         let mut found = Vec::new();
-        while let Some((at, crashes)) = self.culprit(now) {
+        while let Some((at, crashes)) = self.likely_cause(now) {
             let suspect = &mut self.suspects[at];
             suspect.times += 1;
             suspect.until = Some(now + quarantine_period(suspect.times));
@@ -299,7 +299,7 @@
     /// The request to quarantine next: its index and the number of its crashes. Only
     /// confirmed crashes count that are not attributed to a quarantined request. Requests
     /// with more crashes come first.
-    fn culprit(&self, now: Duration) -> Option<(usize, usize)> {
+    fn likely_cause(&self, now: Duration) -> Option<(usize, usize)> {
         let enough = |suspect: &&Suspect| {
             suspect.until.is_none() && suspect.crashes.len() >= QUARANTINE_CRASHES
         };
@@ -320,17 +320,17 @@
             .map(|(at, crashes)| Candidate::new(*at, crashes))
             .filter(|candidate| candidate.events >= QUARANTINE_CRASHES)
             .collect();
-        candidates.sort_by_key(|c| (Reverse(c.events), c.run_time, c.at));
+        candidates.sort_by_key(|c| (Reverse(c.events), c.run_time, c.index));
         let sole = |candidate: &Candidate<'_>| {
             let shares_all = |(at, crashes): &(usize, Vec<&Crash>)| {
-                *at != candidate.at && contains(crashes, candidate.crashes)
+                *at != candidate.index && contains(crashes, candidate.crashes)
             };
             !open.iter().any(shares_all)
         };
-        let culprit = candidates
+        let cause = candidates
             .into_iter()
             .find(|candidate| candidate.events >= CERTAIN_CRASHES || sole(candidate));
-        culprit.map(|candidate| (candidate.at, candidate.events))
+        cause.map(|candidate| (candidate.index, candidate.events))
     }
 
     /// Endpoints whose crashes are attributed to quarantined requests, sorted.
@@ -399,7 +399,8 @@
         quarantined.count()
     }
 
-    /// Ends quarantines that are over, and drops crashes and losses that no longer count.
+    /// Ends quarantines whose period is over, and drops crashes and losses that no longer
+    /// count.
     pub fn expire(&mut self, now: Duration) {
         for suspect in &mut self.suspects {
             suspect.expire(now);
--- a/crates/policy/src/quarantine/suspect.rs
+++ b/crates/policy/src/quarantine/suspect.rs
@@ -1,10 +1,10 @@
-//! The state kept for one request.
+//! The state stored for one request.
 
 use super::crash::{Crash, events};
 use super::{CRASH_RETENTION, QUARANTINE_CRASHES, SuspectStatus};
 use dogwoodhill_core::prelude::*;
 
-/// Most crashes that are kept for a request.
+/// Maximum number of crashes that are stored for a request.
 const MAX_CRASHES: usize = 16;
 
 /// A request that was lost with an endpoint, or is quarantined.
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Ends its quarantine when that is over, and drops old crashes. After a quarantine,
-    /// one more crash leads to the next one.
+    /// Ends the quarantine if its period is over, and drops old crashes. After a
+    /// quarantine, one more crash leads to the next quarantine.
     pub(super) fn expire(&mut self, now: Duration) {
         if self.until.is_some_and(|until| until <= now) {
             self.until = None;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -11,9 +11,9 @@
 //! newest request of the least urgent tier is shed, so a request is never shed for a less
 //! urgent one.
 //!
-//! Requests are stored in a slab and referred to by tickets. Lists hold tickets and drop
-//! stale ones lazily, so that the cost of every operation is at most logarithmic in the
-//! number of waiting requests.
+//! Requests are stored in a slab and referred to by tickets. A ticket is stale once its
+//! request was removed; lists of tickets drop stale ones lazily, so that the cost of
+//! every operation is at most logarithmic in the number of waiting requests.
 
 mod class;
 
@@ -107,9 +107,9 @@
     slab: Vec<Option<Waiting<P>>>,
     free_slots: Vec<usize>,
     classes: Vec<ClassQueue>,
-    /// Tickets of each tier by arrival, stale ones among them.
+    /// Tickets of each tier by arrival, including stale ones.
     arrivals: [Vec<Ticket>; TIERS],
-    /// Waiting requests of each tier.
+    /// Number of waiting requests of each tier.
     live: [usize; TIERS],
     bytes: usize,
     next_seq: u64,
@@ -182,7 +182,7 @@
         self.enqueue(ticket, true);
     }
 
-    /// Selects the class that starts next; `None` if no class waits that may start.
+    /// Selects the class whose next request starts; `None` if no class may start one.
     /// `skip` is called with class, tier and whether the turn is due, and excludes
     /// classes that can't start now.
     pub fn turn(
@@ -219,7 +219,7 @@
         Some(waiting)
     }
 
-    /// Removes and returns all requests for which `out` is true.
+    /// Removes and returns all requests for which `matches` is true.
     pub fn extract(&mut self, matches: impl Fn(&Waiting<P>) -> bool) -> Vec<Waiting<P>> {
         let tickets: Vec<Ticket> = self
             .slab
@@ -250,6 +250,7 @@
         ticket
     }
 
+    /// Index of a free slot in the slab.
     fn slot(&mut self) -> usize {
         self.free_slots.pop().unwrap_or_else(|| {
             self.slab.push(None);
@@ -341,7 +342,7 @@
     }
 }
 
-/// The class that starts next.
+/// The class whose next request starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turn {
     index: usize,
--- a/crates/policy/src/queue/class.rs
+++ b/crates/policy/src/queue/class.rs
@@ -1,8 +1,8 @@
 //! The waiting requests of one class, shared between workspaces by weight.
 //!
-//! Stride scheduling: each workspace has a pass value; the one with the lowest goes next
-//! and its pass grows by `STRIDE / weight`. A workspace that was empty resumes at the
-//! present pass of the class, so that idle time earns no credit.
+//! Stride scheduling: each workspace has a pass value; the workspace with the lowest pass
+//! starts the next request, and its pass grows by `STRIDE / weight`. A workspace that was
+//! empty resumes at the current pass of the class, so that idle time earns no credit.
 
 use super::{Item, STARVATION_LIMIT, Ticket, Waiting, is_live};
 use crate::Moment;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,15 +1,15 @@
 //! A workspace's limits on requests in flight and per second.
 //!
 //! Limits apply to the whole deployment. Each of `n` entries applies `1/n` of them to its
-//! own callers, so no request needs a central service. The error: if the load balancer
-//! spreads callers unevenly, a workspace may be held below its limit (at worst to `1/n`
-//! of it, if one entry gets all of its requests), and while entries disagree on `n` the
-//! sum may exceed the limit by the ratio of their counts. A share is never below one
-//! request.
+//! own callers, so no request needs a central service. This is inexact: if the load
+//! balancer spreads callers unevenly, a workspace may get less than its limit (at worst
+//! `1/n` of it, if one entry receives all of its requests), and while entries disagree on
+//! `n` the sum may exceed the limit by the ratio of their counts. A share is never below
+//! one request.
 
 use crate::Moment;
 
-/// Unused rate that a workspace may save up for a burst.
+/// Unused rate that a workspace may save for a burst, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
 
 /// The limit that a request exceeds.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Quota {
     in_flight: u32,
-    /// Requests of unused rate.
+    /// Number of requests saved from unused rate.
     saved: f64,
     refilled_at: Moment,
 }
@@ -53,7 +53,7 @@
 }
 
 impl Quota {
-    /// Starts at `now` with a full burst saved up.
+    /// Starts at `now` with a full burst saved.
     pub fn new(now: Moment) -> Self {
         Self {
             in_flight: 0,
--- a/crates/policy/src/reservation.rs
+++ b/crates/policy/src/reservation.rs
@@ -6,16 +6,16 @@
 //! these streams cause; the endpoints themselves follow from a fixed order.
 //!
 //! A dozen requests per second are too few to estimate the share: single entries differ
-//! by half, and an endpoint that is reserved by some entries only serves both kinds
-//! badly. Entries therefore report their work to each other and use the sums
+//! by half, and an endpoint that only some entries reserve serves both kinds badly.
+//! Entries therefore report their work to each other and use the sums
 //! ([`Reservation`]).
 //!
 //! [`interference`]: crate::interference
 
 use std::time::Duration;
 
-/// Factor on the share of the sensitive streams, so that they don't queue when only they
-/// burst.
+/// Factor on the share of the sensitive streams, so that they don't queue during a burst
+/// that consists of sensitive streams only.
 const MARGIN: f64 = 1.1;
 /// Work, as one endpoint's time, that is added to the recorded work, so that an entry
 /// agrees with the others just after its start.
@@ -36,8 +36,9 @@
 pub struct WorkMix {
     /// Time constant in seconds.
     decay: f64,
-    /// Work in seconds of an endpoint's time, at `at`.
+    /// Work of sensitive streams in seconds of an endpoint's time, decayed to time `at`.
     sensitive: f64,
+    /// Work of other requests in the same unit, decayed to time `at`.
     other: f64,
     at: Duration,
 }
@@ -149,7 +150,7 @@
     }
 
     /// Number of `endpoints` to reserve for sensitive streams, from the work of all
-    /// entries, or from own work if no fresh sums are known.
+    /// entries, or from own work if no recent sums are known.
     pub fn reserved(&self, now: Duration, endpoints: usize) -> usize {
         let fresh =
             |(_, at): &(WorkMix, Duration)| now.saturating_sub(*at) < TOTAL_LIFETIME;
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -11,9 +11,9 @@
 //! * At most one piece is in flight at a time, from one source.
 //! * Received bytes are kept if their source fails; the next source continues from there.
 //! * A transfer is completed before that of a newer version is started, unless no source
-//!   has its version any more. Under a series of changes each faster than a transfer,
-//!   every transfer therefore still yields a newer version, and the newest one arrives
-//!   after two.
+//!   has its version any more. If the text changes faster than it can be transferred,
+//!   every transfer therefore still completes a newer version, and after the last change
+//!   the newest version is complete after at most two transfers.
 //! * Entries rank sources differently, so that no source serves all of them.
 
 use crate::Moment;
@@ -47,7 +47,7 @@
     pub version: Version,
     /// Position of the first byte.
     pub offset: usize,
-    /// Most bytes to send.
+    /// Maximum number of bytes to send.
     pub max_len: usize,
 }
 
@@ -81,7 +81,7 @@
     /// Version that was requested from it and that it does not have.
     missing: Option<Version>,
     /// When it last failed to send a piece; `None` once it has sent one.
-    failed: Option<Moment>,
+    failed_at: Option<Moment>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -97,7 +97,7 @@
 pub struct Transfer {
     seed: u64,
     /// Newest version that was fetched completely.
-    held: Option<Version>,
+    fetched: Option<Version>,
     /// Sorted by address.
     sources: Vec<Source>,
     partial: Option<Partial>,
@@ -106,11 +106,12 @@
 }
 
 impl Transfer {
-    /// `name` is that of the entry and determines its ranking of sources.
+    /// Creates a transfer without sources for the entry `name`. The name determines the
+    /// entry's ranking of sources.
     pub fn new(name: &str) -> Self {
         Self {
             seed: hash(name.as_bytes()),
-            held: None,
+            fetched: None,
             sources: Vec::new(),
             partial: None,
             size: INITIAL_PIECE_BYTES,
@@ -131,13 +132,13 @@
                     address,
                     version,
                     missing: None,
-                    failed: None,
+                    failed_at: None,
                 },
             ),
         }
     }
 
-    /// Removes a source that does not respond any more or has ceased to be one.
+    /// Removes a source that no longer responds or no longer has the text.
     pub fn remove_source(&mut self, address: SocketAddr) {
         self.sources.retain(|source| source.address != address);
     }
@@ -152,7 +153,7 @@
     /// has what is missing.
     pub fn next_request(&mut self) -> Option<PieceRequest> {
         let newest = self.sources.iter().map(|source| source.version).max()?;
-        if self.held.is_some_and(|held| newest <= held) {
+        if self.fetched.is_some_and(|fetched| newest <= fetched) {
             return None;
         }
         let started = self.partial.as_ref().filter(|p| !p.bytes.is_empty());
@@ -187,7 +188,7 @@
         };
         let rank = |source: &Source| {
             let address_hash = hash(source.address.to_string().as_bytes());
-            (source.failed, mix(self.seed ^ address_hash))
+            (source.failed_at, mix(self.seed ^ address_hash))
         };
         let all = self.sources.iter().filter(may_have);
         all.min_by_key(|source| rank(source)).map(|s| s.address)
@@ -225,13 +226,13 @@
             self.size = (self.size * 2).min(MAX_PIECE_BYTES);
         }
         if let Ok(at) = self.sources.binary_search_by_key(&source, |s| s.address) {
-            self.sources[at].failed = None;
+            self.sources[at].failed_at = None;
         }
         if !complete {
             return None;
         }
         let partial = self.partial.take()?;
-        self.held = Some(partial.version);
+        self.fetched = Some(partial.version);
         Some(Text {
             version: partial.version,
             bytes: partial.bytes,
@@ -250,7 +251,7 @@
     pub fn piece_failed(&mut self, now: Moment, source: SocketAddr) -> bool {
         self.size = (self.size / 2).max(MIN_PIECE_BYTES);
         let found = self.sources.binary_search_by_key(&source, |s| s.address);
-        found.is_ok_and(|at| self.sources[at].failed.replace(now).is_none())
+        found.is_ok_and(|at| self.sources[at].failed_at.replace(now).is_none())
     }
 
     /// Bytes received so far of an incomplete text.
--- a/crates/policy/src/true_time.rs
+++ b/crates/policy/src/true_time.rs
@@ -13,12 +13,12 @@
 
 /// How long a reading counts: several of the intervals at which entries report.
 const READING_VALIDITY: Duration = Duration::from_secs(3);
-/// Most clocks that are used, enough for a stable median.
+/// Maximum number of clocks that are used, enough for a stable median.
 const MAX_CLOCKS: usize = 512;
 /// Time after the first reading in which the estimate equals the median: instances that
 /// start together have all reported by its end.
 const SETTLING_PERIOD: Duration = Duration::from_secs(5);
-/// Most seconds that the settled offset moves per second. A wrong initial offset is
+/// Maximum change of the settled offset, in seconds per second. A wrong initial offset is
 /// corrected within minutes, and a step of the median that lasts for seconds moves it by
 /// some hundredths of a second.
 const MAX_SLEW: f64 = 0.01;
@@ -80,9 +80,9 @@
         let passed = now.saturating_sub(self.updated);
         self.updated = now;
         self.offset = match self.offset {
-            Some(held) if !settling => {
+            Some(current) if !settling => {
                 let limit = passed.mul_f64(MAX_SLEW);
-                Some(median.clamp(held.saturating_sub(limit), held + limit))
+                Some(median.clamp(current.saturating_sub(limit), current + limit))
             }
             _ => Some(median),
         };
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -5,8 +5,9 @@
 //!
 //! 1. the tier of the route: a request never waits, or is preempted, for one of a less
 //!    urgent route, for any workspace and however late it is;
-//! 2. whether the request can still be in time: a late one goes to the background, behind
-//!    the others of its own tier and behind no others;
+//! 2. whether the request can still meet its objective: a late one goes to the
+//!    background, behind the other requests of its own tier but before those of less
+//!    urgent tiers;
 //! 3. the tier of the workspace.
 //!
 //! The background is one per tier: under a burst of three times the capacity the tier
--- a/crates/policy/src/usage/ledger.rs
+++ b/crates/policy/src/usage/ledger.rs
@@ -3,10 +3,11 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::usage::counts_of;
 
-/// Most windows that are kept, enough for minutes without control. The oldest are dropped
-/// first.
+/// Maximum number of windows that are stored, enough for minutes without control. The
+/// oldest are dropped first.
 const MAX_WINDOWS: usize = 256;
-/// Most workspaces per window, some 40 bytes each: several times the design size.
+/// Maximum number of workspaces per window, some 40 bytes each: several times the design
+/// size.
 /// Requests of further workspaces are not counted.
 const MAX_WORKSPACES: usize = 8_192;
 
--- a/crates/policy/src/usage/tally.rs
+++ b/crates/policy/src/usage/tally.rs
@@ -4,16 +4,16 @@
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_core::usage::counts_of;
 
-/// Most runs of entries that are kept: five times the design size.
+/// Maximum number of runs of entries that are stored: five times the design size.
 const MAX_RUNS: usize = 2_500;
-/// Most open windows that are kept per run.
+/// Maximum number of open windows that are stored per run.
 const MAX_WINDOWS: usize = 256;
-/// How long a run without open windows is kept after its last report.
+/// How long a run without open windows is stored after its last report.
 const RETENTION: Duration = Duration::from_secs(60);
 /// How long a run counts as active after its last report: several report intervals.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(2);
-/// How long windows wait for a run after its last report: it may have been frozen or
-/// disconnected, and return with further counts.
+/// How long windows wait for further reports of a run after its last one: the entry may
+/// be suspended or disconnected, and report further counts once it resumes.
 const AWAIT_PERIOD: Duration = Duration::from_secs(10);
 
 /// A usage report from one run of an entry.
@@ -27,7 +27,7 @@
     pub windows: Vec<WindowCounts>,
     /// The reports of this run so far include all of its requests begun before this time.
     pub through: TrueTime,
-    /// Whether this is the run's last report.
+    /// Whether this is the run's last report, because the entry stops.
     pub last: bool,
 }
 
@@ -53,7 +53,8 @@
     /// Time after a window's end at which it is closed without the reports that are
     /// missing, if at least half of the entries report to this instance.
     pub majority_wait: Duration,
-    /// The same time if fewer do, as the others may report to another instance.
+    /// The same time if fewer than half of them do, as the others may report to another
+    /// instance.
     pub minority_wait: Duration,
 }
 
@@ -103,8 +104,8 @@
 
     /// Whether the counts of `window` may be made final: the window is over, and either
     /// all `expected` entries have reported it in full or the wait of `rules` has passed.
-    /// Always false if no entry reports to this instance, since another one has their
-    /// counts then.
+    /// Always false if no entry reports to this instance, since another instance then has
+    /// their counts.
     pub fn is_complete(
         &self,
         now: Moment,
@@ -169,6 +170,7 @@
 }
 
 impl EntryRun {
+    /// Applies reported counts, which are cumulative: the larger count applies.
     fn take(&mut self, reported: &WindowCounts) {
         let known = counts_of(&mut self.windows, reported.window);
         for count in &reported.counts {
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -93,8 +93,8 @@
             + self.others * (-age / LOAD_DECAY.as_secs_f64()).exp()
     }
 
-    /// Whether a request of `tier` is expected to find a free slot; a due one uses the
-    /// slots of tier 0.
+    /// Whether a request of `tier` is expected to find a free slot. A request that is
+    /// `due` by the starvation limit uses the slots of tier 0.
     pub fn has_room(&self, now: Moment, tier: Tier, due: bool) -> bool {
         if !self.available(now) {
             return false;
--- a/crates/policy/tests/backoff.rs
+++ b/crates/policy/tests/backoff.rs
@@ -23,7 +23,7 @@
     backoff.record(ms(1_000), Retry::After(ms(3_000)));
     backoff.record(ms(1_100), Retry::After(ms(100)));
     backoff.record(ms(1_100), Retry::Unspecified);
-    backoff.record(ms(1_100), Retry::Unreadable);
+    backoff.record(ms(1_100), Retry::Invalid);
     assert_eq!(backoff.remaining(ms(2_000)), Some(ms(2_000)));
     backoff.record(ms(2_000), Retry::After(ms(3_000)));
     assert_eq!(backoff.remaining(ms(2_000)), Some(ms(3_000)));
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -33,7 +33,7 @@
     /// A frame of another attempt arrived.
     #[display("a frame of another attempt arrived")]
     ForeignFrame,
-    /// A frame is missing or came twice.
+    /// A frame is missing or arrived twice.
     #[display("a frame is missing or came twice")]
     Sequence,
     /// The byte count of the `End` frame differs from the bytes received.
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns whether the answer is over: complete, refused or invalid.
+    /// Returns whether the answer has ended: complete, refused or invalid.
     pub fn ended(&self) -> bool {
         self.stage == Stage::Done
     }
@@ -91,11 +91,11 @@
     ///
     /// Any [`AnswerError`]; the answer can no longer become complete.
     pub fn accept(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
-        let piece = self.check(frame);
-        if piece.is_err() {
+        let part = self.check(frame);
+        if part.is_err() {
             self.stage = Stage::Done;
         }
-        piece
+        part
     }
 
     fn check(&mut self, frame: Frame) -> Result<AnswerPart, AnswerError> {
--- a/crates/wire/src/attempt.rs
+++ b/crates/wire/src/attempt.rs
@@ -37,7 +37,7 @@
     /// Kind of the service's endpoints.
     pub kind: Kind,
     /// Time left until the caller's deadline. A duration instead of a time of day,
-    /// because the clocks of two instances may differ.
+    /// because the clocks of entry and agent may differ.
     pub remaining: Duration,
     /// Target of the class for the mean time between tokens, if it has one.
     pub token_gap: Option<Duration>,
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -22,11 +22,11 @@
 /// HTTP/2 flow-control window of one stream, in bytes. Bounds the data buffered for a
 /// stream whose reader stalls.
 pub const STREAM_WINDOW: u32 = 16 * 1024;
-/// HTTP/2 flow-control window of a connection, in bytes. Holds 1,024 stalled streams,
-/// more than the concurrency limit of any agent.
+/// HTTP/2 flow-control window of a connection, in bytes. Sufficient for 1,024 stalled
+/// streams, more than the concurrency limit of any agent.
 pub const CONNECTION_WINDOW: u32 = 1024 * STREAM_WINDOW;
 /// Time limit for establishing a connection. Shorter than the kernel's first SYN
-/// retransmission, which comes after one second, so that a call to an instance without
+/// retransmission, which occurs after one second, so that a call to an instance without
 /// power fails quickly.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval of HTTP/2 pings on a connection with open streams. Together with
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -96,12 +96,12 @@
     pub claim: ClaimKey,
     /// SHA-256 of method, path and body, to detect reuse of the key.
     pub digest: [u8; 32],
-    /// Identifies this delivery of the request to this entry, so that a message whose
-    /// answer was lost can be sent again and is granted again.
+    /// Identifies this delivery of the request to this entry. If the answer to this
+    /// message is lost, the message can be sent again and the claim is granted again.
     pub holder: AttemptId,
     /// Longest time the request may be in progress.
     pub duration: Duration,
-    /// How long the claim and its result are kept.
+    /// How long the claim and its result are retained.
     pub retention: Duration,
 }
 
@@ -116,7 +116,7 @@
     Ran(RecordedResponse),
 }
 
-/// A response kept to answer repeated deliveries.
+/// A response that is retained to answer repeated deliveries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedResponse {
     /// HTTP status code.
--- a/crates/wire/src/demand.rs
+++ b/crates/wire/src/demand.rs
@@ -3,7 +3,7 @@
 //! Each entry reports its demand per service, its newest read of the endpoint list, its
 //! observations of endpoints, lost requests and endpoint limits. The control instance
 //! answers with the merged state of all entries. Endpoints are identified by their index
-//! in a list that both sides hold, identified by its [mark](crate::list::Mark).
+//! in a list that both sides have, identified by its [mark](crate::list::Mark).
 
 use crate::limits::{EndpointLimit, EndpointLimits, EndpointPermits};
 use crate::list::ListRead;
@@ -17,16 +17,16 @@
 /// Time at which a control instance answered, by its own monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Identifies the instance's process; 0 for none.
+    /// Identifies the run of the instance; 0 for none.
     pub run: u64,
-    /// Time since that process started.
+    /// Time since the start of that run.
     pub at: Duration,
 }
 
 /// The last [`Stamp`] of an instance, echoed by an entry.
 ///
 /// The instance subtracts `since` from the time elapsed since the stamp. The difference
-/// is a lower bound of the message's transit time, so the instance recognises a
+/// is a lower bound of the message's transit time, so the instance recognizes a
 /// long-delayed message without a shared clock. `since` counts from the entry's request,
 /// not from the answer, so that the usual round trip contributes nothing: overestimated
 /// ages would make entries read the endpoint list themselves.
@@ -77,7 +77,7 @@
     /// Mark of the [`EndpointLimits`] that the entry has; 0 for none.
     #[serde(default)]
     pub limits_mark: u64,
-    /// Whether the entry sends its reports to this instance before all others.
+    /// Whether this instance is the entry's first choice among the control instances.
     #[serde(default)]
     pub preferred: bool,
 }
@@ -202,7 +202,7 @@
     pub age: Duration,
 }
 
-/// A suspected request that was served, which clears it.
+/// A suspected request that was served, which disproves the suspicion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestServed {
     /// Fingerprint of the request.
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -17,9 +17,9 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Longest time a control instance may hold a poll. Bounds how long a daemon waits for a
-/// frozen instance that keeps its connections open; HTTP/2 pings usually detect one
-/// earlier.
+/// Longest time after which a control instance answers a poll. Bounds how long a daemon
+/// waits for a suspended instance whose connections stay open; HTTP/2 pings usually
+/// detect such an instance earlier.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time beyond [`POLL_TIMEOUT`] after which the answer counts as lost.
 const ANSWER_GRACE: Duration = Duration::from_secs(4);
@@ -28,7 +28,7 @@
 /// Upper bound of the retry delay, before jitter.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// An [`DocumentsUpdate`] after [`DocumentCache::take`] applied its differences.
+/// A [`DocumentsUpdate`] after [`DocumentCache::take`] applied its differences.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedChanges {
     /// Revision up to which all accepted changes have been received.
@@ -105,11 +105,11 @@
     /// Client for the polls.
     pub client: PeerClient,
     /// Random number that selects the first control instance and seeds the jitter of
-    /// retry delays, so that daemons don't act in step.
+    /// retry delays, so that daemons don't poll or retry at the same moments.
     pub jitter_seed: u64,
     /// Newest revision seen in other messages. If it exceeds the revision of the last
-    /// poll, the polled instance may be cut off from the majority, so the pending poll is
-    /// abandoned and the next instance polled.
+    /// poll, the polled instance may be disconnected from the majority, so the pending
+    /// poll is abandoned and the next instance polled.
     pub newest: watch::Receiver<Revision>,
 }
 
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,7 +1,7 @@
 //! Messages about endpoint rate limits, between entries and control instances.
 //!
 //! An endpoint may announce a limit on the request rate of all entries together. Entries
-//! report the limits they see, and control instances divide them into permits.
+//! report the limits that they receive, and control instances divide them into permits.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::permits::{LimitReport, Observation, Rate};
@@ -15,7 +15,7 @@
     /// Limit in requests per second for all entries together; `None` if the endpoint no
     /// longer announces a limit.
     pub rate: Option<f64>,
-    /// Time since the endpoint announced it.
+    /// Time since the response that announced or removed the limit.
     pub age: Duration,
     /// Number of requests that the entry could send now beyond its permits.
     pub wanted: u32,
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Converts back to a report in the receiver's clock; `sent` is the time on that
-    /// clock at which `age` held. Returns `None` if the rate is invalid.
+    /// Converts back to a report by the receiver's clock. `sent` is the time on that
+    /// clock at which the message was sent, to which `age` refers. Returns `None` if the
+    /// rate is invalid.
     pub fn read(&self, sent: Duration) -> Option<LimitReport> {
         let rate = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
@@ -58,7 +59,8 @@
     pub limits: Vec<EndpointLimit>,
 }
 
-/// Permits granted to one entry for one limited endpoint, valid from the request on.
+/// Permits granted to one entry for one limited endpoint. Their validity is counted from
+/// the report that requested them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointPermits {
     /// Run of the endpoint.
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -20,9 +20,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Number of earlier lists from which changes can be computed. The list is read once and
-/// requested twice a second, so this covers a few seconds; a receiver further behind gets
-/// the complete list.
+/// Number of earlier lists from which changes can be computed. The list is read about
+/// once a second, and each entry requests it twice a second, so this covers a few
+/// seconds. A receiver with an older list gets the complete list.
 const MAX_EARLIER: usize = 8;
 
 /// One endpoint of the list.
@@ -162,18 +162,20 @@
 
     /// Applies the difference to `old`. Only removed and updated endpoints are hashed.
     pub fn apply(&self, old: &ListSnapshot) -> ListSnapshot {
-        let stays = |place: &(u32, &EndpointRecord)| {
-            self.removed.binary_search(&place.0).is_err()
-        };
+        let is_kept =
+            |item: &(u32, &EndpointRecord)| self.removed.binary_search(&item.0).is_err();
         let old_list = old.endpoints.as_slice();
-        let kept = (0..).zip(old_list).filter(stays).map(|(_, listed)| listed);
+        let kept = (0..)
+            .zip(old_list)
+            .filter(is_kept)
+            .map(|(_, listed)| listed);
         let mut list: Vec<EndpointRecord> = kept.chain(&self.updated).cloned().collect();
         list.sort_by(|a, b| a.run.cmp(&b.run));
-        let gone = self
+        let removed = self
             .removed
             .iter()
             .filter_map(|at| old_list.get(*at as usize));
-        let mark = old.mark.wrapping_sub(sum(gone));
+        let mark = old.mark.wrapping_sub(sum(removed));
         ListSnapshot {
             mark: mark.wrapping_add(sum(self.updated.iter())),
             endpoints: Arc::new(list),
@@ -186,7 +188,7 @@
         self.removed.len() + self.updated.len()
     }
 
-    /// Returns whether the two lists are equal.
+    /// Returns whether there are no differences, that is, the two lists are equal.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -253,7 +255,7 @@
 
     /// Returns the newest list, read `age` ago in `took`, in the smallest form for a
     /// receiver that has the list with mark `held`: nothing, changes or the complete
-    /// list. Changes are computed once for all receivers of the same list.
+    /// list. Changes are computed once for all receivers that have the same list.
     pub fn read_for(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
         let ListSnapshot { mark, endpoints } = self.newest.clone();
         let mut read = ListRead {
@@ -284,9 +286,9 @@
         read
     }
 
-    /// Reconstructs the list from a received `read`. Returns `None` if `read` carries no
-    /// list, if its changes don't apply to the newest list here, or if the result doesn't
-    /// have the announced mark.
+    /// Reconstructs the list from a received `read`. Returns `None` if `read` contains
+    /// neither a list nor changes, if its changes don't apply to the newest list of this
+    /// history, or if the result doesn't have the announced mark.
     pub fn resolve(&self, read: &ListRead) -> Option<ListSnapshot> {
         let snapshot = match (&read.whole, &read.changes) {
             (Some(whole), _) => ListSnapshot::new(whole.read()?),
--- a/crates/wire/src/routes.rs
+++ b/crates/wire/src/routes.rs
@@ -1,8 +1,8 @@
 //! Messages by which entries fetch the route set from control instances.
 //!
 //! A long poll returns only the version of the newest set. Entries then fetch its text in
-//! pieces, so that each answer takes a slow link only some tens of milliseconds and
-//! nothing is sent unrequested.
+//! pieces, so that the transfer of each answer takes only some tens of milliseconds on a
+//! slow link, and no text is sent that was not requested.
 
 use crate::compress::{DecompressError, compress, decompress};
 use dogwoodhill_core::prelude::*;
--- a/crates/wire/src/usage.rs
+++ b/crates/wire/src/usage.rs
@@ -12,23 +12,23 @@
 pub struct EntryUsage {
     /// Name of the entry.
     pub entry: String,
-    /// Identifies the entry's process; a restarted entry has another number.
+    /// Identifies the run of the entry; a restarted entry has another number.
     pub run: u64,
-    /// The entry's wall clock when it sent this.
+    /// The entry's wall clock when it sent this report.
     pub wall: TrueTime,
     /// Counts that the instance has not acknowledged, sorted by window. Each count is the
     /// workspace's total in that window, not an increment.
     pub windows: Vec<WindowCounts>,
     /// All requests begun before this time have been reported.
     pub through: TrueTime,
-    /// Whether the entry shuts down and this is its final report.
+    /// Whether the entry is shutting down and this is its final report.
     pub last: bool,
 }
 
 /// Answer to [`EntryUsage`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageReply {
-    /// Identifies the instance's process.
+    /// Identifies the run of the instance.
     pub instance: u64,
     /// Whether the instance is in contact with a majority and is not shutting down. If
     /// false, the entry must report to another instance.
