--- a/crates/policy/src/gate.rs
+++ b/crates/policy/src/gate.rs
@@ -13,7 +13,7 @@
 //! in a row the gate is on probation: no request starts for a pause that doubles with
 //! each further one, then one request at a time until one is answered completely.
 //! Requests of the most urgent tiers serve as probes only if no other request has arrived
-//! within [`URGENT_GRACE`] after the pause.
+//! within 3 s after the pause.
 
 use crate::Moment;
 use crate::limit::Limit;
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -203,7 +203,7 @@
     /// endpoint has been silent for too long, or a later connection attempt timed out. A
     /// refused connection is no reason: an endpoint with a long queue refuses connections
     /// and still responds to accepted requests. For a superseded run, or one with the
-    /// verdict [`Verdict::Silent`], [`MIN_SILENCE`] suffices: a crash behind a network
+    /// verdict [`Verdict::Silent`], a silence of 250 ms suffices: a crash behind a network
     /// partition closes no connection.
     pub fn should_abandon(&self, now: Duration, sent: Duration) -> bool {
         let waited = now.saturating_sub(sent);
--- a/crates/policy/tests/interference.rs
+++ b/crates/policy/tests/interference.rs
@@ -54,7 +54,7 @@
     assert!(interference.decide(ms(4_000), ms(240)));
 }
 
-/// The pauses of two streams on a frozen endpoint are not caused by prefill and leave the
+/// The pauses of two streams on a suspended endpoint are not caused by prefill and leave the
 /// estimate unchanged.
 #[test]
 fn estimate_ignores_outliers() {
--- a/crates/policy/tests/true_time.rs
+++ b/crates/policy/tests/true_time.rs
@@ -69,7 +69,7 @@
     );
 }
 
-/// The reading of a clock that is gone expires, and a new clock counts.
+/// The reading of a clock that is no longer reported expires, and a new clock counts.
 #[test]
 fn now_by_recent_readings() {
     let mut clock = TrueClock::default();
