--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -43,7 +43,7 @@
 /// Time without contact after which an instance checks whether it is still a member;
 /// longer than a typical election.
 const MEMBERSHIP_CHECK_DELAY: Duration = Duration::from_millis(1_500);
-/// Time-out of a call to one peer.
+/// Timeout of a call to one peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for another instance to become leader.
 const LEADER_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/control/src/forward.rs
+++ b/crates/control/src/forward.rs
@@ -36,7 +36,7 @@
 pub const ANNOUNCE_PATH: &str = "/internal/announce";
 /// How long an instance counts after its last announcement; a few announcement intervals.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(4);
-/// Time-out for a forwarded message.
+/// Timeout for a forwarded message.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
 /// Shortest time between two responses to an entry that has no routes.
 const MIN_RESPONSE_INTERVAL: Duration = Duration::from_millis(50);
@@ -94,7 +94,7 @@
     async fn wait_for_any(&self, max_wait: Duration) {
         let mut updated = self.updated.subscribe();
         if self.all().is_empty() {
-            // After a time-out the caller finds the list still empty.
+            // After a timeout the caller finds the list still empty.
             let _ = timeout(max_wait, updated.changed()).await;
         }
     }
--- a/crates/control/src/internal.rs
+++ b/crates/control/src/internal.rs
@@ -58,7 +58,7 @@
     pub demand: Demand,
     /// Endpoint lists and observations from entries.
     pub lists: EndpointLists,
-    /// Limits that endpoints declare.
+    /// Limits that endpoints announce.
     pub limits: LimitTracker,
     /// Requests that crash endpoints.
     pub quarantine: QuarantineTracker,
--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that endpoints declare, as reported by entries, and send permits under
+//! Rate limits that endpoints announce, as reported by entries, and send permits under
 //! them.
 //!
 //! Nothing here is durable: entries report the limits that they observed whenever they
--- a/crates/control/src/lists.rs
+++ b/crates/control/src/lists.rs
@@ -34,7 +34,7 @@
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
 /// Rate limit for full lists, in bytes per second. A control instance has a link of 100
 /// Mbit/s. If hundreds of entries that start together were all sent the list at once,
-/// they would share the link, and none would receive its list before its time-out and
+/// they would share the link, and none would receive its list before its timeout and
 /// retry. At this rate, an entry receives its list within some 100 ms from the start of
 /// its transfer.
 const FULL_LIST_BYTES_PER_S: f64 = 10_000_000.0;
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -3,7 +3,7 @@
 //! Each peer has two tasks with bounded queues and separate connections: one for the
 //! small messages that maintain contact, one for large entries and snapshots. A heartbeat
 //! therefore never waits for a large message, whose transfer may take seconds on a
-//! saturated link, far longer than the election time-out. Messages that do not fit into a
+//! saturated link, far longer than the election timeout. Messages that do not fit into a
 //! queue are dropped: the consensus protocol tolerates lost messages, and a slow peer
 //! must not consume memory here. The outcome of each large message is reported to the
 //! replica, which does not resend the message before that.
@@ -24,7 +24,7 @@
 /// Queued large messages per peer. The log has one in flight at a time, and another may
 /// follow a change of leader.
 const LARGE_QUEUE: usize = 2;
-/// Time-out of a delivery, in addition to the transfer time of its content.
+/// Timeout of a delivery, in addition to the transfer time of its content.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Messages between instances of one cluster.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -171,7 +171,7 @@
     }
 
     /// Delivers messages and returns whether they were acknowledged. A dead connection is
-    /// detected by its pings, long before the time-out of a large message.
+    /// detected by its pings, long before the timeout of a large message.
     async fn deliver(&self, messages: Vec<Message>) -> bool {
         let envelope = Envelope {
             cluster: self.cluster,
--- a/crates/control/src/reporter.rs
+++ b/crates/control/src/reporter.rs
@@ -34,7 +34,7 @@
 pub const DUTY: &str = "usage";
 /// Interval between checks for complete windows; a check makes no calls.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time-out of a report.
+/// Timeout of a report.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay after a failed report; doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
--- a/crates/control/src/routes.rs
+++ b/crates/control/src/routes.rs
@@ -131,7 +131,7 @@
     let end = Instant::now() + watch.wait.min(MAX_WAIT);
     let mut routes = replica.routes.clone();
     let newer = |sets: &RouteSets| sets.version() > watch.known;
-    // On a time-out, the response repeats the version that the entry already has.
+    // On a timeout, the response repeats the version that the entry already has.
     let _ = timeout_at(end, routes.wait_for(newer)).await;
     routes_status(replica, presence, &watch)
 }
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints declare, as reported by entries and returned to them.
+//! Limits that endpoints announce, as reported by entries and returned to them.
 
 use dogwoodhill_control::limits::LimitTracker;
 use dogwoodhill_core::prelude::*;
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -380,7 +380,7 @@
 
 /// After a restart of everything, 450 entries request a list of 3,000 endpoints every 100
 /// ms over one link of 100 Mbit/s. In each interval, no more is sent than the link
-/// carries, so that every recipient has the list before its time-out, and all have it
+/// carries, so that every recipient has the list before its timeout, and all have it
 /// within two seconds. Sent all at once, 20 MB would be in flight at the same time.
 #[test]
 fn report_rate_limits_full_lists() {
--- a/crates/control/tests/peers.rs
+++ b/crates/control/tests/peers.rs
@@ -86,7 +86,7 @@
 }
 
 /// Guards against heartbeats that wait for a large delivery. With a shared queue and
-/// time-out, instances lost their leader 0.5 s after it had begun to send them a large
+/// timeout, instances lost their leader 0.5 s after it had begun to send them a large
 /// entry, and a delivery that took longer than a second was aborted and restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn heartbeat_overtakes_large_delivery() {
--- a/crates/direct/src/directory.rs
+++ b/crates/direct/src/directory.rs
@@ -88,7 +88,8 @@
 /// Latency class of a request, which determines the endpoints preferred for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LatencyClass {
-    /// Latency-sensitive streams; their endpoints are kept free of long prompts.
+    /// Latency-sensitive streams; long prompts are placed on other endpoints where
+    /// possible.
     Sensitive,
     /// All other requests.
     Tolerant,
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -43,14 +43,14 @@
 }
 
 impl Endpoint {
-    /// Applies the rate limit named in a response of the endpoint.
-    pub fn apply_named_limit(&self, limit: Limit) {
+    /// Applies the rate limit announced in a response of the endpoint.
+    pub fn apply_announced_limit(&self, limit: Limit) {
         if limit == Limit::Unreadable {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
-        // Most endpoints name no limit.
+        // Most endpoints announce no limit.
         if limit != Limit::Unnamed || self.is_limited() {
             self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
@@ -149,7 +149,7 @@
     }
 
     /// Admits a request whose first byte is about to be sent. Since it was chosen, the
-    /// endpoint may have begun to leave, requested a backoff or named a limit.
+    /// endpoint may have begun to leave, requested a backoff or announced a limit.
     ///
     /// # Errors
     ///
--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits named by endpoints: reports to control, and limits and permits received
-//! from it.
+//! Rate limits announced by endpoints: reports to control, and limits and permits
+//! received from it.
 
 use super::Directory;
 use dogwoodhill_core::prelude::*;
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -324,7 +324,7 @@
         if meta.leaving {
             endpoint.update_leaving(true);
         }
-        endpoint.apply_named_limit(meta.limit);
+        endpoint.apply_announced_limit(meta.limit);
         if is_overloaded(parts.status) {
             endpoint.record_rejection(meta.retry);
         }
--- a/crates/direct/src/list_reader.rs
+++ b/crates/direct/src/list_reader.rs
@@ -46,7 +46,7 @@
             .list_tracker
             .next_read_in(interval, rand::rng().random());
         if due > Duration::ZERO {
-            // A read by another entry ends this entry's own retries.
+            // This entry has received a read by another entry and stops its retries.
             if std::mem::take(&mut failures) > 0 {
                 Event::new("list-regained").field("by", "others").info();
             }
--- a/crates/direct/src/list_tracker.rs
+++ b/crates/direct/src/list_tracker.rs
@@ -59,8 +59,8 @@
     own_read: Option<OwnRead>,
     /// Mark of the version that control has.
     control_mark: Option<Mark>,
-    /// Whether a list from control could not be applied; the whole list is requested
-    /// then.
+    /// Whether changes from control could not be applied, so that the complete list is
+    /// requested.
     needs_full: bool,
 }
 
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -23,7 +23,7 @@
 /// Share of the endpoint's idle timeout after which a connection is not reused, so that
 /// no request is sent while the endpoint closes the connection.
 const IDLE_REUSE_SHARE: f64 = 0.7;
-/// Idle connections kept per endpoint.
+/// Most idle connections per endpoint.
 const MAX_IDLE: usize = 48;
 /// Largest head of a response, in bytes.
 const MAX_HEAD: usize = 64 * 1024;
--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -13,7 +13,7 @@
 /// Sink that activates route sets in the entry.
 #[derive(Debug)]
 pub struct RouteActivator {
-    /// State in which the active route set is kept.
+    /// State that contains the active route set.
     pub shared: Arc<SharedState>,
     /// Parser of route sets.
     pub format: Box<dyn SetFormat>,
--- a/crates/direct/src/socket.rs
+++ b/crates/direct/src/socket.rs
@@ -1,7 +1,7 @@
 //! Socket of a connection to an endpoint.
 //!
 //! The kernel keeps delivering the written bytes of a closed socket for as long as the
-//! network path is blocked. A request that the entry has already given up could then
+//! network path is blocked. A request that the entry has already abandoned could then
 //! still reach its endpoint and run there, maybe after the endpoint has begun to leave. A
 //! connection with an outstanding response is therefore reset, which discards undelivered
 //! bytes.
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -65,7 +65,7 @@
     last_contact: Option<Duration>,
     served: ServedRequests,
     /// Suspected requests that were served, with the time, until they are reported.
-    exonerated: Vec<(Fingerprint, Duration)>,
+    served_suspects: Vec<(Fingerprint, Duration)>,
 }
 
 /// A request that this entry lost with its endpoint.
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Requests control's current state before a suspected request is sent. Otherwise the
-    /// state may be half a second old, and in that time the request may crash further
-    /// endpoints.
+    /// Requests control's current state before a suspected request is sent. Without that,
+    /// the local state may be half a second old, and within half a second the request may
+    /// crash further endpoints.
     pub async fn refresh(&self) {
         let mut refreshed = pin!(self.refresh_done.notified());
         refreshed.as_mut().enable();
@@ -172,7 +172,7 @@
         let now = uptime();
         let mut state = self.state();
         state.served.record(now, request);
-        state.exonerate(request, now);
+        state.clear_suspect(request, now);
     }
 
     /// What to report to a control instance whose run is `run`.
@@ -194,7 +194,7 @@
                 });
             }
         }
-        let served = state.exonerated.iter();
+        let served = state.served_suspects.iter();
         let served = served.map(|(request, at)| RequestServed {
             request: *request,
             age: now.saturating_sub(*at),
@@ -213,8 +213,8 @@
             own.acknowledged_by = run;
             own.in_flight = false;
         }
-        let acknowledged = report.served.len().min(state.exonerated.len());
-        state.exonerated.drain(..acknowledged);
+        let acknowledged = report.served.len().min(state.served_suspects.len());
+        state.served_suspects.drain(..acknowledged);
     }
 
     /// Applies a response of control; `reported` contains the findings over all entries
@@ -237,7 +237,7 @@
         let before = state.quarantine.quarantined_count();
         let since = *state.last_contact.get_or_insert(now);
         if now.saturating_sub(since) >= LOCAL_EVALUATION_DELAY {
-            state.blame(now);
+            state.evaluate_locally(now);
         }
         self.finish_update(state, now, before);
     }
@@ -274,7 +274,7 @@
         self.reported.sort_unstable();
         for request in &reported.requests {
             if let Some(at) = self.served.recently_served(now, request.request) {
-                self.exonerate(request.request, at);
+                self.clear_suspect(request.request, at);
             }
             let own = self.quarantine.status(now, request.request).remaining;
             if let Some(left) = request.remaining.filter(|_| own.is_none()) {
@@ -288,8 +288,8 @@
         }
     }
 
-    /// Blames requests by this entry's own observations.
-    fn blame(&mut self, now: Duration) {
+    /// Quarantines requests by the observations of this entry alone.
+    fn evaluate_locally(&mut self, now: Duration) {
         for found in self.quarantine.evaluate(now) {
             found.event().warn();
         }
@@ -297,7 +297,7 @@
 
     /// Clears a request that was served at `at`, and queues the report if the request is
     /// suspected.
-    fn exonerate(&mut self, request: Fingerprint, at: Duration) {
+    fn clear_suspect(&mut self, request: Fingerprint, at: Duration) {
         let known = self
             .reported
             .binary_search_by_key(&request, |suspect| suspect.0);
@@ -307,8 +307,8 @@
         }
         self.losses.retain(|own| own.loss.request != request);
         self.quarantine.record_served(request, at);
-        if self.exonerated.len() < MAX_SERVED {
-            self.exonerated.push((request, at));
+        if self.served_suspects.len() < MAX_SERVED {
+            self.served_suspects.push((request, at));
         }
     }
 
--- a/crates/direct/tests/all/entry.rs
+++ b/crates/direct/tests/all/entry.rs
@@ -76,7 +76,7 @@
 }
 
 impl Entry {
-    /// An entry with these endpoints and the routes of [`set`].
+    /// An entry with these endpoints and the routes of [`route_set`].
     pub(crate) async fn with_endpoints(endpoints: &[&ScriptedEndpoint]) -> Self {
         Self::with_routes(endpoints, route_set()).await
     }
--- a/crates/direct/tests/all/rate_limits.rs
+++ b/crates/direct/tests/all/rate_limits.rs
@@ -1,4 +1,4 @@
-//! An endpoint that names a rate limit for all entries together.
+//! An endpoint that announces a rate limit for all entries together.
 //!
 //! Guards against limits that are ignored or kept per entry only: an endpoint with a
 //! limit of 1.2 requests per second got 15 requests in 4 s from eight entries, each of
@@ -24,7 +24,7 @@
 const WINDOW: Duration = Duration::from_secs(4);
 /// Upper bound per window: half more than the limit allows, plus five.
 const MAX_IN_WINDOW: usize = (1.5 * LIMIT * 4.0) as usize + 5;
-/// Time after which an entry that forwarded a response applies the limit named in it.
+/// Time after which an entry that forwarded a response applies the limit announced in it.
 const LIMIT_KNOWN_AFTER: Duration = Duration::from_millis(500);
 /// How long callers keep sending after that.
 const LOAD_TIME: Duration = Duration::from_secs(6);
@@ -151,8 +151,8 @@
     );
 }
 
-/// Guards against a limit that stays in force: once the endpoint names none, all entries
-/// use it as before.
+/// Guards against a limit that stays in force: once the endpoint announces none, all
+/// entries use it as before.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_withdrawn_endpoint_used_again() {
     let cluster = Cluster::start().await;
--- a/crates/direct/tests/all/usage.rs
+++ b/crates/direct/tests/all/usage.rs
@@ -67,8 +67,8 @@
     wait_reported(&instance, 3).await;
 }
 
-/// An endpoint that is still up after it broke a connection has run the request. One that
-/// ended during a request may not have started it.
+/// An endpoint that is still up after a connection to it broke is assumed to have run the
+/// request. One that exited during a request may not have started it.
 #[tokio::test]
 async fn count_request_with_lost_response() {
     let (entry, instance, _endpoint) = counting_entry(vec![Act::Break]).await;
