--- a/crates/direct/src/directory/limits.rs
+++ b/crates/direct/src/directory/limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits named by endpoints: reports to control, and limits and permits received
-//! from it.
+//! Rate limits announced by endpoints: reports to control, and limits and permits
+//! received from it.
 
 use super::Directory;
 use dogwoodhill_core::prelude::*;
@@ -8,7 +8,7 @@
 
 /// Time without a response of any control instance after which an entry issues its own
 /// permits for limited endpoints. Another instance would have taken over by then.
-const AUTONOMY_DELAY: Duration = Duration::from_secs(2);
+const LOCAL_PERMITS_DELAY: Duration = Duration::from_secs(2);
 
 /// State of the exchange of limits with control.
 #[derive(Clone, Copy, Debug, Default)]
@@ -43,7 +43,7 @@
         let was_failing = self.limit_sync().failing_since.take().is_some();
         if was_failing {
             let all = self.all();
-            all.iter().for_each(|endpoint| endpoint.end_autonomy());
+            all.iter().for_each(|endpoint| endpoint.end_local_permits());
         }
         for reported in reported {
             let Some(endpoint) = self.find_run(&reported.run) else {
@@ -79,10 +79,10 @@
     pub fn limits_unavailable(&self, entries: u32) {
         let now = uptime();
         let since = *self.limit_sync().failing_since.get_or_insert(now);
-        if now.saturating_sub(since) >= AUTONOMY_DELAY {
+        if now.saturating_sub(since) >= LOCAL_PERMITS_DELAY {
             let all = self.all();
             let limited = all.iter().filter(|endpoint| endpoint.is_limited());
-            limited.for_each(|endpoint| endpoint.begin_autonomy(entries));
+            limited.for_each(|endpoint| endpoint.begin_local_permits(entries));
         }
     }
 }
