--- a/crates/control/src/limits.rs
+++ b/crates/control/src/limits.rs
@@ -1,8 +1,8 @@
-//! Rate limits that endpoints declare, as reported by entries, and send permits under
+//! Rate limits that endpoints announce, as reported by entries, and send permits under
 //! them.
 //!
-//! Nothing here is durable: entries repeat what they know whenever they need a permit, so
-//! another instance has the same information as soon as it is asked.
+//! Nothing here is durable: entries report the limits that they observed whenever they
+//! need a permit, so another instance has the same information with their first report.
 
 use dogwoodhill_core::prelude::*;
 use dogwoodhill_policy::affinity::hash;
@@ -33,9 +33,9 @@
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         let sent = now.saturating_sub(transit);
         let choice = if report.preferred {
-            ControlChoice::First
+            ControlChoice::Primary
         } else {
-            ControlChoice::Second
+            ControlChoice::Fallback
         };
         let reported = report.limits.iter().take(MAX_LIMITS);
         let granted = reported.filter_map(|reported| {
@@ -51,9 +51,16 @@
     /// `known`.
     pub fn current(&self, now: Duration, known: u64) -> Option<EndpointLimits> {
         let mut tracked = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
-        let limits = tracked.observations(now).map(|(run, observed)| {
+        let limits = tracked.observations(now).map(|(run, observation)| {
             let wanted = 0;
-            EndpointLimit::new(now, run.clone(), LimitReport { observed, wanted })
+            EndpointLimit::new(
+                now,
+                run.clone(),
+                LimitReport {
+                    observation,
+                    wanted,
+                },
+            )
         });
         let limits: Vec<EndpointLimit> = limits.collect();
         let hash = content_hash(&limits);
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -31,7 +31,7 @@
     BackedOff,
 }
 
-/// Limits that an endpoint imposes on its senders.
+/// Limits that an endpoint imposes on entries.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
     permits: Mutex<Permits>,
@@ -43,15 +43,15 @@
 }
 
 impl Endpoint {
-    /// Applies the rate limit named in a response of the endpoint.
-    pub fn apply_named_limit(&self, limit: Limit) {
-        if limit == Limit::Unreadable {
+    /// Applies the rate limit announced in a response of the endpoint.
+    pub fn apply_announced_limit(&self, limit: Limit) {
+        if limit == Limit::Invalid {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
-        // Most endpoints name no limit.
-        if limit != Limit::Unnamed || self.is_limited() {
+        // Most endpoints announce no limit.
+        if limit != Limit::Absent || self.is_limited() {
             self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
     }
@@ -76,7 +76,7 @@
             .info();
     }
 
-    /// Remaining backoff; `None` if there is none.
+    /// Remaining backoff of this entry; `None` without a backoff.
     pub fn remaining_backoff(&self) -> Option<Duration> {
         if !self.admission.backed_off.load(Ordering::Acquire) {
             return None;
@@ -96,7 +96,7 @@
         self.change_limit("control", |permits| permits.merge(observation));
     }
 
-    fn change_limit(&self, by: &str, change: impl FnOnce(&mut Permits) -> bool) {
+    fn change_limit(&self, origin: &str, change: impl FnOnce(&mut Permits) -> bool) {
         let mut permits = self.permits();
         let changed = change(&mut permits);
         let rate = permits.rate();
@@ -110,7 +110,7 @@
                 .field("endpoint", self.run())
                 .field("service", &self.service)
                 .field("limit", limit)
-                .field("by", by)
+                .field("by", origin)
                 .info();
         }
     }
@@ -123,11 +123,11 @@
     /// Whether the endpoint admits a request now.
     pub(super) fn admits(&self) -> bool {
         let available = self.check_available().is_ok();
-        available && (!self.is_limited() || self.permits().demand(uptime()))
+        available && (!self.is_limited() || self.permits().record_demand(uptime()))
     }
 
     /// Time until the endpoint is expected to admit a request.
-    pub(super) fn admits_in(&self) -> Duration {
+    pub(super) fn time_until_admission(&self) -> Duration {
         let backoff = self.remaining_backoff().unwrap_or_default();
         let permitted = !self.is_limited() || self.permits().is_available(uptime());
         backoff.max(if permitted {
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Whether the endpoint is neither leaving nor backed off.
+    /// Fails if the endpoint is leaving or backed off.
     fn check_available(&self) -> Result<(), AdmissionError> {
         if self.leaving() {
             return Err(AdmissionError::Leaving);
@@ -149,7 +149,7 @@
     }
 
     /// Admits a request whose first byte is about to be sent. Since it was chosen, the
-    /// endpoint may have begun to leave, requested a backoff or named a limit.
+    /// endpoint may have begun to leave, requested a backoff or announced a limit.
     ///
     /// # Errors
     ///
@@ -207,14 +207,15 @@
         }
     }
 
-    /// Control is unreachable: this entry, one of `entries`, limits its own rate.
-    pub(super) fn begin_autonomy(&self, entries: u32) {
-        self.permits().begin_autonomy(entries, rand::random());
+    /// Called when control is unreachable: this entry, one of `entries`, issues its own
+    /// permits.
+    pub(super) fn begin_local_permits(&self, entries: u32) {
+        self.permits().begin_local_permits(entries, rand::random());
     }
 
-    /// Control is reachable again.
-    pub(super) fn end_autonomy(&self) {
-        self.permits().end_autonomy();
+    /// Called when control is reachable again.
+    pub(super) fn end_local_permits(&self) {
+        self.permits().end_local_permits();
     }
 
     fn permits(&self) -> MutexGuard<'_, Permits> {
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -2,13 +2,14 @@
 //! ([`dogwoodhill_policy::quarantine`]): the entry's own observations, and those of all
 //! entries together.
 //!
-//! An entry alone blames no request: of the requests lost with an endpoint, it has only
-//! its own, and the culprit may have come to another entry. It relies on its own
-//! observations only after control has been unreachable for some time.
+//! An entry alone quarantines no request. Of the requests lost with an endpoint, it has
+//! recorded only its own, and the one that crashed the endpoint may have been sent by
+//! another entry. An entry relies on its own observations only after control has been
+//! unreachable for some time.
 //!
-//! Observations are kept here and reported to each control instance once, so that a new
-//! instance catches up with the previous one. A quarantine lasts until its end, even if
-//! an instance that has lost its state no longer reports it.
+//! Observations are retained here and reported to each run of a control instance once, so
+//! that a new instance receives what the previous one had. A quarantine lasts until its
+//! end, even if an instance that has lost its state no longer reports it.
 
 use crate::directory::Endpoint;
 use crate::stats::Stats;
@@ -28,11 +29,12 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Upper bound on own losses kept; the oldest is dropped first. Covers the requests in
-/// flight at the endpoints that end while control is unreachable.
+/// Upper bound on retained own losses; the oldest is dropped first. Covers the requests
+/// in flight at the endpoints that crash while control is unreachable.
 const MAX_LOSSES: usize = 1_024;
-/// Time without control after which an entry relies on its own observations.
-const AUTONOMY_DELAY: Duration = Duration::from_secs(10);
+/// Time without a response of control after which an entry relies on its own
+/// observations.
+const LOCAL_EVALUATION_DELAY: Duration = Duration::from_secs(10);
 /// Longest wait of a suspected request for control's current state.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(150);
 /// Upper bound on served requests waiting to be reported.
@@ -63,7 +65,7 @@
     last_contact: Option<Duration>,
     served: ServedRequests,
     /// Suspected requests that were served, with the time, until they are reported.
-    exonerated: Vec<(Fingerprint, Duration)>,
+    served_suspects: Vec<(Fingerprint, Duration)>,
 }
 
 /// A request that this entry lost with its endpoint.
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Known crashes of a request, and the rest of its quarantine.
+    /// Known crashes attributed to a request, and the remaining time of its quarantine.
     pub fn status(&self, request: Fingerprint) -> SuspectStatus {
         let state = self.state();
         let own = state.quarantine.status(uptime(), request);
@@ -115,9 +117,9 @@
         }
     }
 
-    /// Requests control's current state before a suspected request is sent. Otherwise the
-    /// state may be half a second old, and in that time the request may crash further
-    /// endpoints.
+    /// Requests control's current state before a suspected request is sent. Without that,
+    /// the local state may be half a second old, and within half a second the request may
+    /// crash further endpoints.
     pub async fn refresh(&self) {
         let mut refreshed = pin!(self.refresh_done.notified());
         refreshed.as_mut().enable();
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Records a request that was lost with an ended endpoint. Returns the number of its
-    /// crashes.
+    /// Records a request that was lost with a crashed endpoint. Returns the number of
+    /// crashes attributed to the request.
     pub fn record_loss(&self, endpoint: &Arc<Endpoint>, loss: LostRequest) -> usize {
         let mut state = self.state();
         let now = uptime();
@@ -170,7 +172,7 @@
         let now = uptime();
         let mut state = self.state();
         state.served.record(now, request);
-        state.exonerate(request, now);
+        state.clear_suspect(request, now);
     }
 
     /// What to report to a control instance whose run is `run`.
@@ -192,7 +194,7 @@
                 });
             }
         }
-        let served = state.exonerated.iter();
+        let served = state.served_suspects.iter();
         let served = served.map(|(request, at)| RequestServed {
             request: *request,
             age: now.saturating_sub(*at),
@@ -211,12 +213,12 @@
             own.acknowledged_by = run;
             own.in_flight = false;
         }
-        let acknowledged = report.served.len().min(state.exonerated.len());
-        state.exonerated.drain(..acknowledged);
+        let acknowledged = report.served.len().min(state.served_suspects.len());
+        state.served_suspects.drain(..acknowledged);
     }
 
-    /// Applies a response of control; `reported` has what all entries found, if that
-    /// changed.
+    /// Applies a response of control; `reported` contains the findings over all entries
+    /// if they changed.
     pub fn apply_control(&self, reported: Option<ReportedSuspects>) {
         let now = uptime();
         let mut state = self.state();
@@ -234,8 +236,8 @@
         let mut state = self.state();
         let before = state.quarantine.quarantined_count();
         let since = *state.last_contact.get_or_insert(now);
-        if now.saturating_sub(since) >= AUTONOMY_DELAY {
-            state.blame(now);
+        if now.saturating_sub(since) >= LOCAL_EVALUATION_DELAY {
+            state.evaluate_locally(now);
         }
         self.finish_update(state, now, before);
     }
@@ -272,7 +274,7 @@
         self.reported.sort_unstable();
         for request in &reported.requests {
             if let Some(at) = self.served.recently_served(now, request.request) {
-                self.exonerate(request.request, at);
+                self.clear_suspect(request.request, at);
             }
             let own = self.quarantine.status(now, request.request).remaining;
             if let Some(left) = request.remaining.filter(|_| own.is_none()) {
@@ -286,8 +288,8 @@
         }
     }
 
-    /// Blames requests by this entry's own observations.
-    fn blame(&mut self, now: Duration) {
+    /// Quarantines requests by the observations of this entry alone.
+    fn evaluate_locally(&mut self, now: Duration) {
         for found in self.quarantine.evaluate(now) {
             found.event().warn();
         }
@@ -295,7 +297,7 @@
 
     /// Clears a request that was served at `at`, and queues the report if the request is
     /// suspected.
-    fn exonerate(&mut self, request: Fingerprint, at: Duration) {
+    fn clear_suspect(&mut self, request: Fingerprint, at: Duration) {
         let known = self
             .reported
             .binary_search_by_key(&request, |suspect| suspect.0);
@@ -305,8 +307,8 @@
         }
         self.losses.retain(|own| own.loss.request != request);
         self.quarantine.record_served(request, at);
-        if self.exonerated.len() < MAX_SERVED {
-            self.exonerated.push((request, at));
+        if self.served_suspects.len() < MAX_SERVED {
+            self.served_suspects.push((request, at));
         }
     }
 
