--- a/crates/policy/tests/interference.rs
+++ b/crates/policy/tests/interference.rs
@@ -54,8 +54,8 @@
     assert!(interference.decide(ms(4_000), ms(240)));
 }
 
-/// The pauses of two streams on a suspended endpoint are not caused by prefill and leave the
-/// estimate unchanged.
+/// The pauses of two streams on a suspended endpoint are not caused by prefill and leave
+/// the estimate unchanged.
 #[test]
 fn estimate_ignores_outliers() {
     let pauses = (0..60).map(|stream| if stream % 30 == 0 { 6_000 } else { 90 });
