--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -35,8 +35,9 @@
 pub const ATTEMPT_PATH: &str = "/v1/attempt";
 /// Largest message from an entry: one body and its headers.
 const MAX_ATTEMPT_BYTES: usize = 64 * 1024 * 1024;
-/// Frames buffered between a detached request and its entry.
-const DETACHED_BUFFER_FRAMES: usize = 4;
+/// Capacity of the channel between a detached request and its entry, in writes of one or
+/// more frames.
+const DETACHED_CHANNEL_CAPACITY: usize = 4;
 /// Response header with which an endpoint reports that it is being taken out of service.
 const STATE_HEADER: &str = "x-endpoint-state";
 
@@ -353,7 +354,7 @@
 
 /// Serves an attempt that runs to its end even if its entry disconnects.
 fn serve_detached(core: Arc<Core>, mut attempt: Attempt) -> Response {
-    let (sender, receiver) = mpsc::channel(DETACHED_BUFFER_FRAMES);
+    let (sender, receiver) = mpsc::channel(DETACHED_CHANNEL_CAPACITY);
     let drain_guard = core.drain.enter();
     tokio::spawn(async move {
         run_detached(&core, &mut attempt, &sender).await;
--- a/crates/agent/src/lease.rs
+++ b/crates/agent/src/lease.rs
@@ -21,11 +21,11 @@
 
 /// Renewals within the duration of one lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Pause before the next request if no control instance answered.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause before the next request while another agent holds the lease. Short,
+/// Delay after a failed request, and shortest delay while another agent holds the lease.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay before the next request while another agent holds the lease. Short,
 /// because a drained agent releases its lease long before it expires.
-const MAX_HELD_PAUSE: Duration = Duration::from_millis(500);
+const MAX_HELD_DELAY: Duration = Duration::from_millis(500);
 
 /// Which requests the agent may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,8 @@
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// No control instances are configured, so no other agent can hold the endpoint.
+    /// No control instances are configured: there is no lease, and nothing prevents
+    /// another agent of the endpoint from starting requests.
     Unmanaged,
     NeverHeld,
     Held {
@@ -126,19 +127,19 @@
         let result = client
             .call(LEASE_PATH, &acquire, duration / RENEWALS_PER_LEASE)
             .await;
-        let pause = match &result {
+        let delay = match &result {
             Ok(reply) => {
                 lease.apply_reply(sent, duration, reply);
                 match reply {
                     LeaseReply::Held(_) => duration / RENEWALS_PER_LEASE,
                     LeaseReply::Other(remaining) => {
-                        (*remaining).clamp(RETRY_PAUSE, MAX_HELD_PAUSE)
+                        (*remaining).clamp(MIN_RETRY_DELAY, MAX_HELD_DELAY)
                     }
                 }
             }
-            Err(_) => RETRY_PAUSE,
+            Err(_) => MIN_RETRY_DELAY,
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -1,9 +1,12 @@
 //! Conversion of an endpoint's response into frames for the entry.
 //!
-//! The entry's reads drive the relay: it reads from the endpoint only after the previous
-//! frames have been taken. A slow reader slows down only its own stream, and no more than
-//! one read is buffered for it. Dropping the relay closes the connection to the endpoint,
-//! which cancels the request there.
+//! Backpressure: the relay reads from the endpoint only when [`Relay::next`] is called
+//! and no frame is pending. A slow reader therefore slows down only its own stream, and
+//! the relay buffers no more than one read for it, except for a model response that is
+//! not an event stream: it is buffered completely, up to `max_answer` bytes. For a
+//! non-idempotent attempt, the agent buffers a few more writes, and calls `next` to the
+//! end of the response after the entry has disconnected. Dropping the relay closes the
+//! connection to the endpoint, which cancels the request there.
 
 use crate::endpoint::ID_HEADER;
 use crate::events::EventReader;
@@ -49,11 +52,13 @@
     last: Option<Instant>,
 }
 
-/// The fields of a complete model response that the agent reads.
+/// The fields of a complete model response that the agent decodes.
 #[derive(Deserialize)]
 struct ModelResponse {
     #[serde(default)]
     usage: Usage,
+    /// Accepts any value and is not used; a second `error` key makes the response
+    /// invalid.
     #[serde(default, rename = "error")]
     _error: Option<IgnoredAny>,
 }
@@ -85,8 +90,8 @@
     ) -> Self {
         let deadline = match attempt.repeat {
             Repeat::Allowed => started + attempt.remaining,
-            // A non-idempotent request is left to finish: a cut-off would turn a known
-            // outcome into an unknown one.
+            // A non-idempotent request gets at least MIN_NON_IDEMPOTENT_TIMEOUT, since a
+            // timeout makes its outcome unknown.
             Repeat::Never => started + attempt.remaining.max(MIN_NON_IDEMPOTENT_TIMEOUT),
         };
         let (head, body) = response.into_parts();
@@ -209,7 +214,8 @@
         }
     }
 
-    /// Records the arrival of `tokens` tokens that were read together.
+    /// Records the arrival of `tokens` tokens that were read together. A chunk of a plain
+    /// service and a buffered answer count as one token each.
     fn record_tokens(&mut self, tokens: u32) {
         if tokens == 0 {
             return;
@@ -237,7 +243,8 @@
         self.push(FrameBody::End { bytes, tokens });
     }
 
-    /// Ends a response that the endpoint did not complete, and counts it as broken.
+    /// Ends the response as broken because it is incomplete, invalid, too large or
+    /// belongs to another request, and records the failure in the gate.
     fn fail(&mut self, reason: &str) {
         self.gate.record_end(false);
         self.terminate(reason);
@@ -248,8 +255,8 @@
         self.push(FrameBody::Broken(reason.to_string()));
     }
 
-    /// Frees the slot before the last frame is built, so that the load report in that
-    /// frame already includes the free slot.
+    /// Drops the endpoint's body and frees the slot. Called before the last frame is
+    /// built, so that the load report in that frame already includes the free slot.
     fn release(&mut self) {
         self.endpoint_body = None;
         self.slot = None;
--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -39,7 +39,7 @@
         mark: mark_of(count),
         age,
         took: ms(50),
-        whole: content.then(|| Arc::new(CompressedList::of(&endpoints(count)))),
+        whole: content.then(|| Arc::new(CompressedList::encode(&endpoints(count)))),
         changes: None,
     })
 }
@@ -56,7 +56,7 @@
         .newest
         .expect("a newest read");
     assert_eq!((update.mark, update.age), (list_mark, ms(540)));
-    let whole = update.whole.expect("sent to b, which has no list").read();
+    let whole = update.whole.expect("sent to b, which has no list").decode();
     assert_eq!(whole.expect("the content decodes").len(), 3);
     let update = lists
         .report(now + ms(900), "b", list_mark, None)
--- a/crates/daemon/src/log_queue.rs
+++ b/crates/daemon/src/log_queue.rs
@@ -1,10 +1,10 @@
 //! Bounded queue between the logger and the output.
 //!
 //! A write to a pipe that is not read blocks the writer. Log lines therefore pass through
-//! a bounded queue to a writer thread, so that logging never blocks. A line that exceeds
-//! the queue or the budget of its second is dropped and counted, and the count is logged
-//! as `event=log-lines-dropped` as soon as a line fits again. A part of the budget is
-//! reserved for warnings and errors.
+//! a bounded queue to a writer thread, so that logging never blocks. A line that does not
+//! fit into the queue, or exceeds the rate limit of the current window of one second, is
+//! dropped and counted, and the count is logged as `event=log-lines-dropped` as soon as a
+//! line fits again. A part of the rate limit is reserved for warnings and errors.
 
 use std::io::{self, Write};
 use std::sync::OnceLock;
@@ -39,7 +39,8 @@
     Flush(SyncSender<()>),
 }
 
-/// Waits until all lines logged so far are written, at most 200 ms.
+/// Waits up to [`FLUSH_TIMEOUT`], 200 ms, until all queued lines are written. Returns at
+/// once if the queue is full.
 pub fn flush() {
     let Some(queue) = PROCESS_QUEUE.get() else {
         return;
@@ -89,7 +90,8 @@
     /// Starts the writer thread, which writes to `out`.
     pub fn start(out: impl Write + Send + 'static) -> Self {
         let (lines, queue) = sync_channel(QUEUE_LINES);
-        // If the thread can't be started, lines are dropped once the queue is full.
+        // If the thread can't be started, the receiver is dropped with it, and every
+        // line is dropped and counted.
         let _ = thread::Builder::new()
             .name("log".to_string())
             .spawn(move || drain(&queue, out));
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -220,7 +220,8 @@
         .try_init();
 }
 
-/// Formats an error with its causes on one line.
+/// Formats `error` with `{:#}`, which includes the causes of an `error_stack::Report` on
+/// one line.
 pub fn describe(error: impl Display) -> String {
     format!("{error:#}")
 }
--- a/crates/direct/tests/all/list_tracker.rs
+++ b/crates/direct/tests/all/list_tracker.rs
@@ -37,7 +37,7 @@
             age,
             took: Duration::ZERO,
             whole: content
-                .map(|content| Arc::new(CompressedList::of(&content.endpoints))),
+                .map(|content| Arc::new(CompressedList::encode(&content.endpoints))),
             changes: None,
         }),
         ..DemandReply::default()
@@ -62,7 +62,7 @@
     let whole = reported
         .whole
         .expect("the read is sent with its content")
-        .read();
+        .decode();
     assert_eq!(whole.expect("the list is complete").len(), 1);
     let mut reply = control_reply(list_mark, Duration::ZERO, None);
     tracker.apply_control(&directory, uptime(), &mut reply);
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -43,7 +43,8 @@
 /// Why an attempt gave no complete answer. The request may have run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The connection to the agent broke.
+    /// No answer, or only a part of it, could be read from the agent, or the agent
+    /// refused the attempt as [`RefusalReason::Repeated`].
     #[display("the connection to the agent broke")]
     Connection,
     /// The frames show that the answer is incomplete or belongs to another attempt.
@@ -172,14 +173,14 @@
     let request = client.open(address, ATTEMPT_PATH, attempt);
     let response = match timeout_at(deadline, request).await {
         Err(_) => return AttemptResult::Lost(AttemptFailure::DeadlinePassed),
-        Ok(Err(CallError::Connect { .. })) => return not_sent(),
+        Ok(Err(CallError::Connect { .. })) => return refused_before_start(),
         Ok(Err(_)) => return AttemptResult::Lost(AttemptFailure::Connection),
         Ok(Ok(response)) => response,
     };
     if !response.status().is_success() {
         // The agent checks the cluster key and the encoding before anything else, so
         // nothing has reached the endpoint.
-        return not_sent();
+        return refused_before_start();
     }
     let mut answer = AnswerReader {
         body: response.into_body(),
@@ -208,7 +209,7 @@
     }
 }
 
-fn not_sent() -> AttemptResult {
+fn refused_before_start() -> AttemptResult {
     AttemptResult::Refused {
         reason: RefusalReason::Unreachable,
         load: None,
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -181,7 +181,7 @@
                 }
             };
             attempts.refused += 1;
-            tried.push(placement.view());
+            tried.push(placement.endpoint_index());
             let next = placement.reassign(load.as_ref(), &tried).await;
             placement = next.map_err(PlacementError::Queue)?;
         }
--- a/crates/entry/src/deliver.rs
+++ b/crates/entry/src/deliver.rs
@@ -1,9 +1,11 @@
 //! Delivery of an answer to the caller.
 //!
 //! A buffered answer is sent only after its end marker has arrived, so its status and
-//! outcome are final when they are sent. A stream starts with its first part. If it fails
-//! later, it ends with an error event and without `[DONE]`; the stream of a plain service
-//! ends with a broken connection, which every HTTP client reports.
+//! outcome are final when they are sent. An event stream is sent from its first chunk
+//! on, another unbuffered answer once more than `max_buffered` bytes have arrived. If
+//! an event stream fails later, it ends with an error event and without `[DONE]`; a
+//! stream of another content type ends with a connection error, which every HTTP client
+//! reports.
 
 use crate::attempt::{AnswerReader, AttemptFailure};
 use crate::call::AnswerHead;
--- a/crates/entry/src/non_idempotent.rs
+++ b/crates/entry/src/non_idempotent.rs
@@ -6,7 +6,7 @@
 use crate::entry::Core;
 use crate::refusal::{Cause, Refusal, set_outcome};
 use crate::request::Call;
-use crate::serve::{CompletedCall, build_response, execute, refusal_counts, run};
+use crate::serve::{AnsweredCall, build_response, execute, refusal_counts, run};
 use axum::body::Body;
 use axum::response::Response;
 use dogwoodhill_core::prelude::*;
@@ -21,7 +21,8 @@
 /// Largest answer that is recorded with a claim, in bytes.
 const MAX_RECORDED_BYTES: usize = 64 * 1024;
 /// Time after the deadline until a claim without a reported end counts as unknown. The
-/// agent reads a non-idempotent answer to its end even after its entry has crashed.
+/// request may still be running then: the agent reads a non-idempotent answer to its end
+/// even after its entry has crashed.
 const CLAIM_GRACE: Duration = Duration::from_secs(30);
 /// `Retry-After` while a claim is unconfirmed or in progress.
 const CONTROL_RETRY: Duration = Duration::from_secs(2);
@@ -41,7 +42,7 @@
     }
     let result = execute(core, &call, arrived).await;
     let ended = match &result {
-        Ok(completed) => ClaimEnd::Ran(record(&completed.answered)),
+        Ok(call) => ClaimEnd::Ran(record(&call.answered)),
         Err(refusal) if refusal.outcome == Outcome::NotRun => ClaimEnd::NotRun,
         Err(_) => ClaimEnd::Unknown,
     };
@@ -51,7 +52,7 @@
         ended,
     };
     tokio::spawn(report_end(Arc::clone(core), report, call.id.clone()));
-    let CompletedCall { answered, quota } = result.inspect_err(|refusal| {
+    let AnsweredCall { answered, quota } = result.inspect_err(|refusal| {
         core.stats.record_request(
             &call,
             refusal_counts(refusal),
@@ -68,9 +69,9 @@
     ))
 }
 
-/// Reports the end of a claimed request while the caller is already answered. If this
-/// entry stops before, the claim becomes unknown, which is safe: the key is never granted
-/// again.
+/// Reports the end of a claimed request concurrently with the response. If the entry
+/// stops before the report has arrived, the outcome of the claim counts as unknown,
+/// which is safe: the key is not granted again within its retention.
 async fn report_end(core: Arc<Core>, report: FinishClaim, request: RequestId) {
     let _drain_guard = core.drain.enter();
     if core.claims.finish(&report).await.is_err() {
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -17,8 +17,9 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// Interval at which queued requests are retried without any event. Only this retry
-/// notices slots that requests of other entries have freed.
+/// Interval at which placement of queued requests is retried. Without it, a request could
+/// wait for the next arrival or end in this pool although requests of other entries have
+/// freed slots.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How the wait of a queued request ended.
@@ -106,7 +107,8 @@
         self.wait(outcome).await
     }
 
-    /// Retries queued requests and drops those whose caller has disconnected.
+    /// Removes queued requests whose caller has disconnected or whose deadline is near,
+    /// and starts those that can be placed.
     pub fn tick(&self) {
         let now = self.now();
         let actions = {
@@ -207,8 +209,8 @@
         self.started.as_ref().expect("held until consumed")
     }
 
-    /// Returns the index of the endpoint among the views of the pool.
-    pub fn view(&self) -> usize {
+    /// Returns the dispatcher's index of the endpoint.
+    pub fn endpoint_index(&self) -> usize {
         self.started().view
     }
 
@@ -235,13 +237,19 @@
     /// Records a load report that arrived with an answer.
     pub fn record_load(&self, load: &Load) {
         let now = self.pool.now();
-        self.pool.lock().dispatcher.report(now, self.view(), load);
+        self.pool
+            .lock()
+            .dispatcher
+            .report(now, self.endpoint_index(), load);
     }
 
     /// Records that the endpoint or its agent could not be reached.
     pub fn unreachable(&self) {
         let now = self.pool.now();
-        self.pool.lock().dispatcher.unreachable(now, self.view());
+        self.pool
+            .lock()
+            .dispatcher
+            .unreachable(now, self.endpoint_index());
     }
 
     /// Ends the request after a complete answer.
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -54,7 +54,7 @@
     drain_guard: DrainGuard,
 ) -> Result<Response, Refusal> {
     let result = execute(core, &call, arrived).await;
-    let CompletedCall { answered, quota } = result.inspect_err(|refusal| {
+    let AnsweredCall { answered, quota } = result.inspect_err(|refusal| {
         core.stats.record_request(
             &call,
             refusal_counts(refusal),
@@ -71,8 +71,8 @@
     ))
 }
 
-/// A call with an answer, and the guard of its workspace's quota.
-pub(crate) struct CompletedCall {
+/// The answer to a call, possibly still arriving, and the guard of its workspace's quota.
+pub(crate) struct AnsweredCall {
     pub(crate) answered: Answered,
     pub(crate) quota: QuotaGuard,
 }
@@ -81,7 +81,7 @@
     core: &Arc<Core>,
     call: &Call,
     arrived: Instant,
-) -> Result<CompletedCall, Refusal> {
+) -> Result<AnsweredCall, Refusal> {
     let document = &call.service.document;
     let quota = admit(core, call)?;
     let dispatch = core
@@ -96,7 +96,7 @@
         .await?;
     core.stats
         .record_refused(&document.service, answered.attempts.refused);
-    Ok(CompletedCall { answered, quota })
+    Ok(AnsweredCall { answered, quota })
 }
 
 fn no_endpoint() -> Refusal {
--- a/crates/wire/src/demand.rs
+++ b/crates/wire/src/demand.rs
@@ -25,11 +25,11 @@
 
 /// The last [`Stamp`] of an instance, echoed by an entry.
 ///
-/// The instance subtracts `since` from the time elapsed since the stamp. The difference
-/// is a lower bound of the message's transit time, so the instance recognizes a
-/// long-delayed message without a shared clock. `since` counts from the entry's request,
-/// not from the answer, so that the usual round trip contributes nothing: overestimated
-/// ages would make entries read the endpoint list themselves.
+/// A lower bound of the message's transit time is `(now - stamp.at) - since`, by which
+/// the instance detects a long-delayed message without a shared clock. `since` starts
+/// when the entry sent its earlier request, not when the answer arrived. It therefore
+/// includes that request's transit time, and a usual round trip yields about 0. An
+/// estimate that is too high would make entries read the endpoint list unnecessarily.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// The echoed stamp.
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -1,9 +1,9 @@
 //! Watches service documents by long polling a control instance.
 //!
-//! A control instance answers a poll only after a majority confirmed, since the poll
-//! arrived, that the instance has applied every accepted change. A daemon that has seen a
-//! revision therefore never gets an older state from a lagging instance. While no
-//! instance answers, the daemon keeps the documents it has.
+//! After a poll arrives, the instance first has a majority confirm that it has applied
+//! every accepted change (a linearizable read), and only then answers. A daemon that has
+//! received a revision therefore never gets an older state from a lagging instance. While
+//! no instance answers, the daemon keeps the documents it has.
 
 use crate::client::PeerClient;
 use crate::control::{
@@ -197,8 +197,9 @@
     }
 }
 
-/// One step of a linear congruential generator with Knuth's MMIX constants. Jitter needs
-/// no better quality, and no shared random source is involved.
+/// Returns the next state: one multiply-add step with Knuth's MMIX constants, shifted
+/// right by one bit. The shifted value is also the next state, so the period is not that
+/// of the MMIX generator; jitter needs no better quality and no shared random source.
 fn next_jitter(state: u64) -> u64 {
     const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
     const INCREMENT: u64 = 1_442_695_040_888_963_407;
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -1,10 +1,12 @@
 //! Distribution of the endpoint list, complete or as differences.
 //!
 //! A few entries read the list from the platform; control instances pass it on to the
-//! others. A receiver without a recent list gets the complete list, any other receiver
-//! the changes since the list it has. While endpoints leave one by one, a list of 3,000
-//! endpoints changes twice a second: sending it complete to 300 entries would take 60
-//! MB/s, whereas the changes are some hundred bytes per entry.
+//! others. A receiver that has the newest list gets only its mark, one with a recent
+//! list gets the changes since that list, and any other receiver gets the complete
+//! list, compressed. The complete list is also sent if the changes amount to half of it
+//! or more. While endpoints leave one by one, a list of 3,000 endpoints changes twice
+//! per second: sending it complete, compressed, to 300 entries would take 60 MB/s,
+//! whereas the changes are some hundred bytes per entry.
 //!
 //! Invariants: changes are applied only to the list from which they were computed, and a
 //! result is rejected unless its [`Mark`] equals the announced one. Lost, duplicated or
@@ -21,7 +23,7 @@
 use std::sync::Arc;
 
 /// Number of earlier lists from which changes can be computed. The list is read about
-/// once a second, and each entry requests it twice a second, so this covers a few
+/// once per second, and each entry requests it twice per second, so this covers a few
 /// seconds. A receiver with an older list gets the complete list.
 const MAX_EARLIER: usize = 8;
 
@@ -100,7 +102,7 @@
     /// # Panics
     ///
     /// Never: a list holds nothing that can't be encoded.
-    pub fn of(endpoints: &[EndpointRecord]) -> Self {
+    pub fn encode(endpoints: &[EndpointRecord]) -> Self {
         Self(compress(
             &rmp_serde::to_vec(endpoints).expect("lists encode"),
         ))
@@ -112,7 +114,7 @@
     }
 
     /// Decompresses and decodes the list. Returns `None` if the bytes are corrupt.
-    pub fn read(&self) -> Option<Vec<EndpointRecord>> {
+    pub fn decode(&self) -> Option<Vec<EndpointRecord>> {
         rmp_serde::from_slice(&decompress(&self.0).ok()?).ok()
     }
 }
@@ -279,7 +281,7 @@
         match changes.filter(|changes| changes.len() * 2 < endpoints.len()) {
             Some(changes) => read.changes = Some(changes),
             None => {
-                let compressed = || Arc::new(CompressedList::of(&endpoints));
+                let compressed = || Arc::new(CompressedList::encode(&endpoints));
                 read.whole = Some(Arc::clone(self.whole.get_or_insert_with(compressed)));
             }
         }
@@ -291,7 +293,7 @@
     /// history, or if the result doesn't have the announced mark.
     pub fn resolve(&self, read: &ListRead) -> Option<ListSnapshot> {
         let snapshot = match (&read.whole, &read.changes) {
-            (Some(whole), _) => ListSnapshot::new(whole.read()?),
+            (Some(whole), _) => ListSnapshot::new(whole.decode()?),
             (None, Some(changes))
                 if changes.from == self.newest.mark && changes.from != 0 =>
             {
--- a/crates/wire/tests/list.rs
+++ b/crates/wire/tests/list.rs
@@ -75,8 +75,8 @@
 fn compressed_list_corrupt_detected() {
     let list = list(0..20);
     let text =
-        rmp_serde::to_vec(&CompressedList::of(&list.endpoints)).expect("it encodes");
-    let read = |text: &[u8]| rmp_serde::from_slice::<CompressedList>(text).ok()?.read();
+        rmp_serde::to_vec(&CompressedList::encode(&list.endpoints)).expect("it encodes");
+    let read = |text: &[u8]| rmp_serde::from_slice::<CompressedList>(text).ok()?.decode();
     assert_eq!(read(&text).as_ref(), Some(&*list.endpoints));
     for at in 0..text.len() {
         let mut damaged = text.clone();
