--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -43,14 +43,14 @@
 }
 
 impl Endpoint {
-    /// Applies the rate limit named in a response of the endpoint.
-    pub fn apply_named_limit(&self, limit: Limit) {
+    /// Applies the rate limit announced in a response of the endpoint.
+    pub fn apply_announced_limit(&self, limit: Limit) {
         if limit == Limit::Invalid {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
-        // Most endpoints name no limit.
+        // Most endpoints announce no limit.
         if limit != Limit::Absent || self.is_limited() {
             self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
@@ -149,7 +149,7 @@
     }
 
     /// Admits a request whose first byte is about to be sent. Since it was chosen, the
-    /// endpoint may have begun to leave, requested a backoff or named a limit.
+    /// endpoint may have begun to leave, requested a backoff or announced a limit.
     ///
     /// # Errors
     ///
@@ -209,12 +209,12 @@
 
     /// Called when control is unreachable: this entry, one of `entries`, issues its own
     /// permits.
-    pub(super) fn begin_autonomy(&self, entries: u32) {
+    pub(super) fn begin_local_permits(&self, entries: u32) {
         self.permits().begin_local_permits(entries, rand::random());
     }
 
     /// Called when control is reachable again.
-    pub(super) fn end_autonomy(&self) {
+    pub(super) fn end_local_permits(&self) {
         self.permits().end_local_permits();
     }
 
