--- a/crates/daemon/src/log_queue.rs
+++ b/crates/daemon/src/log_queue.rs
@@ -39,8 +39,8 @@
     Flush(SyncSender<()>),
 }
 
-/// Waits up to [`FLUSH_TIMEOUT`], 200 ms, until all queued lines are written. Returns at
-/// once if the queue is full.
+/// Waits at most 200 ms until all queued lines are written. Returns at once if the queue
+/// is full.
 pub fn flush() {
     let Some(queue) = PROCESS_QUEUE.get() else {
         return;
