--- a/crates/control/tests/lists.rs
+++ b/crates/control/tests/lists.rs
@@ -39,7 +39,7 @@
         mark: mark_of(count),
         age,
         took: ms(50),
-        whole: content.then(|| Arc::new(CompressedList::of(&endpoints(count)))),
+        whole: content.then(|| Arc::new(CompressedList::encode(&endpoints(count)))),
         changes: None,
     })
 }
@@ -56,7 +56,7 @@
         .newest
         .expect("a newest read");
     assert_eq!((update.mark, update.age), (list_mark, ms(540)));
-    let whole = update.whole.expect("sent to b, which has no list").read();
+    let whole = update.whole.expect("sent to b, which has no list").decode();
     assert_eq!(whole.expect("the content decodes").len(), 3);
     let update = lists
         .report(now + ms(900), "b", list_mark, None)
@@ -380,7 +380,7 @@
 
 /// After a restart of everything, 450 entries request a list of 3,000 endpoints every 100
 /// ms over one link of 100 Mbit/s. In each interval, no more is sent than the link
-/// carries, so that every recipient has the list before its time-out, and all have it
+/// carries, so that every recipient has the list before its timeout, and all have it
 /// within two seconds. Sent all at once, 20 MB would be in flight at the same time.
 #[test]
 fn report_rate_limits_full_lists() {
--- a/crates/direct/src/directory/admission.rs
+++ b/crates/direct/src/directory/admission.rs
@@ -43,15 +43,15 @@
 }
 
 impl Endpoint {
-    /// Applies the rate limit named in a response of the endpoint.
-    pub fn apply_named_limit(&self, limit: Limit) {
-        if limit == Limit::Unreadable {
+    /// Applies the rate limit announced in a response of the endpoint.
+    pub fn apply_announced_limit(&self, limit: Limit) {
+        if limit == Limit::Invalid {
             Event::new("endpoint-limit-unreadable")
                 .field("endpoint", self.run())
                 .warn();
         }
-        // Most endpoints name no limit.
-        if limit != Limit::Unnamed || self.is_limited() {
+        // Most endpoints announce no limit.
+        if limit != Limit::Absent || self.is_limited() {
             self.change_limit("answer", |permits| permits.observe(uptime(), limit));
         }
     }
@@ -123,7 +123,7 @@
     /// Whether the endpoint admits a request now.
     pub(super) fn admits(&self) -> bool {
         let available = self.check_available().is_ok();
-        available && (!self.is_limited() || self.permits().demand(uptime()))
+        available && (!self.is_limited() || self.permits().record_demand(uptime()))
     }
 
     /// Time until the endpoint is expected to admit a request.
@@ -149,7 +149,7 @@
     }
 
     /// Admits a request whose first byte is about to be sent. Since it was chosen, the
-    /// endpoint may have begun to leave, requested a backoff or named a limit.
+    /// endpoint may have begun to leave, requested a backoff or announced a limit.
     ///
     /// # Errors
     ///
@@ -209,13 +209,13 @@
 
     /// Called when control is unreachable: this entry, one of `entries`, issues its own
     /// permits.
-    pub(super) fn begin_autonomy(&self, entries: u32) {
-        self.permits().begin_autonomy(entries, rand::random());
+    pub(super) fn begin_local_permits(&self, entries: u32) {
+        self.permits().begin_local_permits(entries, rand::random());
     }
 
     /// Called when control is reachable again.
-    pub(super) fn end_autonomy(&self) {
-        self.permits().end_autonomy();
+    pub(super) fn end_local_permits(&self) {
+        self.permits().end_local_permits();
     }
 
     fn permits(&self) -> MutexGuard<'_, Permits> {
--- a/crates/wire/src/document_watch.rs
+++ b/crates/wire/src/document_watch.rs
@@ -1,9 +1,9 @@
 //! Watches service documents by long polling a control instance.
 //!
-//! A control instance answers a poll only after a majority confirmed, since the poll
-//! arrived, that the instance has applied every accepted change. A daemon that has seen a
-//! revision therefore never gets an older state from a lagging instance. While no
-//! instance answers, the daemon keeps the documents it has.
+//! After a poll arrives, the instance first has a majority confirm that it has applied
+//! every accepted change (a linearizable read), and only then answers. A daemon that has
+//! received a revision therefore never gets an older state from a lagging instance. While
+//! no instance answers, the daemon keeps the documents it has.
 
 use crate::client::PeerClient;
 use crate::control::{
@@ -17,9 +17,9 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Longest time a control instance may hold a poll. Bounds how long a daemon waits for a
-/// frozen instance that keeps its connections open; HTTP/2 pings usually detect one
-/// earlier.
+/// Longest time after which a control instance answers a poll. Bounds how long a daemon
+/// waits for a suspended instance whose connections stay open; HTTP/2 pings usually
+/// detect such an instance earlier.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time beyond [`POLL_TIMEOUT`] after which the answer counts as lost.
 const ANSWER_GRACE: Duration = Duration::from_secs(4);
@@ -28,7 +28,7 @@
 /// Upper bound of the retry delay, before jitter.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// An [`DocumentsUpdate`] after [`DocumentCache::take`] applied its differences.
+/// A [`DocumentsUpdate`] after [`DocumentCache::take`] applied its differences.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedChanges {
     /// Revision up to which all accepted changes have been received.
@@ -105,11 +105,11 @@
     /// Client for the polls.
     pub client: PeerClient,
     /// Random number that selects the first control instance and seeds the jitter of
-    /// retry delays, so that daemons don't act in step.
+    /// retry delays, so that daemons don't poll or retry at the same moments.
     pub jitter_seed: u64,
     /// Newest revision seen in other messages. If it exceeds the revision of the last
-    /// poll, the polled instance may be cut off from the majority, so the pending poll is
-    /// abandoned and the next instance polled.
+    /// poll, the polled instance may be disconnected from the majority, so the pending
+    /// poll is abandoned and the next instance polled.
     pub newest: watch::Receiver<Revision>,
 }
 
@@ -197,8 +197,9 @@
     }
 }
 
-/// One step of a linear congruential generator with Knuth's MMIX constants. Jitter needs
-/// no better quality, and no shared random source is involved.
+/// Returns the next state: one multiply-add step with Knuth's MMIX constants, shifted
+/// right by one bit. The shifted value is also the next state, so the period is not that
+/// of the MMIX generator; jitter needs no better quality and no shared random source.
 fn next_jitter(state: u64) -> u64 {
     const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
     const INCREMENT: u64 = 1_442_695_040_888_963_407;
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -1,10 +1,12 @@
 //! Distribution of the endpoint list, complete or as differences.
 //!
 //! A few entries read the list from the platform; control instances pass it on to the
-//! others. A receiver without a recent list gets the complete list, any other receiver
-//! the changes since the list it has. While endpoints leave one by one, a list of 3,000
-//! endpoints changes twice a second: sending it complete to 300 entries would take 60
-//! MB/s, whereas the changes are some hundred bytes per entry.
+//! others. A receiver that has the newest list gets only its mark, one with a recent
+//! list gets the changes since that list, and any other receiver gets the complete
+//! list, compressed. The complete list is also sent if the changes amount to half of it
+//! or more. While endpoints leave one by one, a list of 3,000 endpoints changes twice
+//! per second: sending it complete, compressed, to 300 entries would take 60 MB/s,
+//! whereas the changes are some hundred bytes per entry.
 //!
 //! Invariants: changes are applied only to the list from which they were computed, and a
 //! result is rejected unless its [`Mark`] equals the announced one. Lost, duplicated or
@@ -20,9 +22,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Number of earlier lists from which changes can be computed. The list is read once and
-/// requested twice a second, so this covers a few seconds; a receiver further behind gets
-/// the complete list.
+/// Number of earlier lists from which changes can be computed. The list is read about
+/// once per second, and each entry requests it twice per second, so this covers a few
+/// seconds. A receiver with an older list gets the complete list.
 const MAX_EARLIER: usize = 8;
 
 /// One endpoint of the list.
@@ -100,7 +102,7 @@
     /// # Panics
     ///
     /// Never: a list holds nothing that can't be encoded.
-    pub fn of(endpoints: &[EndpointRecord]) -> Self {
+    pub fn encode(endpoints: &[EndpointRecord]) -> Self {
         Self(compress(
             &rmp_serde::to_vec(endpoints).expect("lists encode"),
         ))
@@ -112,7 +114,7 @@
     }
 
     /// Decompresses and decodes the list. Returns `None` if the bytes are corrupt.
-    pub fn read(&self) -> Option<Vec<EndpointRecord>> {
+    pub fn decode(&self) -> Option<Vec<EndpointRecord>> {
         rmp_serde::from_slice(&decompress(&self.0).ok()?).ok()
     }
 }
@@ -162,18 +164,20 @@
 
     /// Applies the difference to `old`. Only removed and updated endpoints are hashed.
     pub fn apply(&self, old: &ListSnapshot) -> ListSnapshot {
-        let stays = |place: &(u32, &EndpointRecord)| {
-            self.removed.binary_search(&place.0).is_err()
-        };
+        let is_kept =
+            |item: &(u32, &EndpointRecord)| self.removed.binary_search(&item.0).is_err();
         let old_list = old.endpoints.as_slice();
-        let kept = (0..).zip(old_list).filter(stays).map(|(_, listed)| listed);
+        let kept = (0..)
+            .zip(old_list)
+            .filter(is_kept)
+            .map(|(_, listed)| listed);
         let mut list: Vec<EndpointRecord> = kept.chain(&self.updated).cloned().collect();
         list.sort_by(|a, b| a.run.cmp(&b.run));
-        let gone = self
+        let removed = self
             .removed
             .iter()
             .filter_map(|at| old_list.get(*at as usize));
-        let mark = old.mark.wrapping_sub(sum(gone));
+        let mark = old.mark.wrapping_sub(sum(removed));
         ListSnapshot {
             mark: mark.wrapping_add(sum(self.updated.iter())),
             endpoints: Arc::new(list),
@@ -186,7 +190,7 @@
         self.removed.len() + self.updated.len()
     }
 
-    /// Returns whether the two lists are equal.
+    /// Returns whether there are no differences, that is, the two lists are equal.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -253,7 +257,7 @@
 
     /// Returns the newest list, read `age` ago in `took`, in the smallest form for a
     /// receiver that has the list with mark `held`: nothing, changes or the complete
-    /// list. Changes are computed once for all receivers of the same list.
+    /// list. Changes are computed once for all receivers that have the same list.
     pub fn read_for(&mut self, held: Mark, age: Duration, took: Duration) -> ListRead {
         let ListSnapshot { mark, endpoints } = self.newest.clone();
         let mut read = ListRead {
@@ -277,19 +281,19 @@
         match changes.filter(|changes| changes.len() * 2 < endpoints.len()) {
             Some(changes) => read.changes = Some(changes),
             None => {
-                let compressed = || Arc::new(CompressedList::of(&endpoints));
+                let compressed = || Arc::new(CompressedList::encode(&endpoints));
                 read.whole = Some(Arc::clone(self.whole.get_or_insert_with(compressed)));
             }
         }
         read
     }
 
-    /// Reconstructs the list from a received `read`. Returns `None` if `read` carries no
-    /// list, if its changes don't apply to the newest list here, or if the result doesn't
-    /// have the announced mark.
+    /// Reconstructs the list from a received `read`. Returns `None` if `read` contains
+    /// neither a list nor changes, if its changes don't apply to the newest list of this
+    /// history, or if the result doesn't have the announced mark.
     pub fn resolve(&self, read: &ListRead) -> Option<ListSnapshot> {
         let snapshot = match (&read.whole, &read.changes) {
-            (Some(whole), _) => ListSnapshot::new(whole.read()?),
+            (Some(whole), _) => ListSnapshot::new(whole.decode()?),
             (None, Some(changes))
                 if changes.from == self.newest.mark && changes.from != 0 =>
             {
